--- a/almondstair/core/announcing.py
+++ b/almondstair/core/announcing.py
@@ -1,56 +1,56 @@
-"""When an entry tells the others at once, and not with its next heartbeat.
-
-What goes wrong without the bound: a lost rack makes hundreds of strikes in a
-moment, and each would be told to every entry. What goes wrong when those over
-the bound are dropped: a request's second strike follows some milliseconds after
-the first, nobody hears of it before the next heartbeat, and an entry that its
-caller turns to runs the request a third time. So the first ones are told at
-once, and one announcement at the end of the interval tells the rest.
+"""Rate limit on announcements that are sent outside of heartbeats.
+
+A lost rack causes hundreds of strikes at once; without a limit each of them
+would be sent to every entry immediately. Dropping those over the limit is not
+an option: a request's second strike follows some milliseconds after the first,
+and if no entry received it before the next heartbeat, an entry that the caller
+turns to would run the request a third time. So the first announcements of an
+interval are sent at once, and one at its end carries the rest.
 """
 
 import math
 
-# Announcements that go out at once within an interval. A request that is
-# stopped makes two strikes, and two may be stopped at the same time.
+# Announcements sent at once within an interval. A quarantined request has two
+# strikes, and two requests may be quarantined at the same time.
 DEFAULT_BURST = 4
 
 
 class Announcing:
-    """Spaces announcements out; none is dropped."""
+    """Limits the rate of announcements by delaying them; none is dropped."""
 
     def __init__(self, *, interval_s: float, burst: int = DEFAULT_BURST):
-        """Starts with nothing announced.
+        """Starts without announcements.
 
         Args:
-          interval_s: time in which `burst` may go out at once.
-          burst: how many.
+          interval_s: length of the interval in seconds.
+          burst: announcements that may be sent at once in an interval.
         """
         self._interval_s = interval_s
         self._burst = burst
-        self._began_s = -math.inf
+        self._interval_start_s = -math.inf
         self._count = 0
-        self._planned = False
+        self._scheduled = False
 
     def wait_s(self, *, now_s: float) -> float | None:
-        """Returns when to announce what has just been noted.
+        """Returns how long to wait before announcing a new change.
 
         Returns:
-          0 for now, a time to wait in seconds, or None when an announcement
-          that is already planned will tell it.
+          Seconds to wait, 0 to announce now, or None if an announcement that
+          is already scheduled will carry the change.
         """
-        if self._planned:
+        if self._scheduled:
             return None
-        if now_s - self._began_s >= self._interval_s:
-            self._began_s = now_s
+        if now_s - self._interval_start_s >= self._interval_s:
+            self._interval_start_s = now_s
             self._count = 0
         self._count += 1
         if self._count <= self._burst:
             return 0.0
-        self._planned = True
-        return self._began_s + self._interval_s - now_s
+        self._scheduled = True
+        return self._interval_start_s + self._interval_s - now_s
 
     def planned_told(self, *, now_s: float) -> None:
-        """The planned announcement goes out now."""
-        self._planned = False
-        self._began_s = now_s
+        """Records that the scheduled announcement is sent now."""
+        self._scheduled = False
+        self._interval_start_s = now_s
         self._count = 1
--- a/almondstair/core/blocks.py
+++ b/almondstair/core/blocks.py
@@ -1,9 +1,9 @@
 """The table from blocks of client addresses to sites.
 
 A block is a /24 network of IPv4 (24 bits) or a /48 network of IPv6 (48 bits).
-Flat sorted arrays hold a million blocks in a few bytes each, where a dict of
-the same would take more than a hundred. The platform's values hold at most a
-megabyte, so the table is written as shards.
+Flat sorted arrays take a few bytes per block for a million blocks, where a dict
+would take more than a hundred. The platform limits a value to a megabyte, so
+the table is stored as shards.
 """
 
 from array import array
@@ -20,7 +20,7 @@
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 
-# Below a megabyte with room for the key and the framing of a write.
+# Leaves space for the key and the framing of a write within a megabyte.
 SHARD_LIMIT_BYTES = 900_000
 NO_SITE = None
 _SHARD_OVERHEAD_BYTES = 200
@@ -30,7 +30,7 @@
 
 
 class BlockSite(NamedTuple):
-    """One block and the number of its site.
+    """A block and the number of its site.
 
     Attributes:
       block: 3 bytes for an IPv4 /24, 6 bytes for an IPv6 /48.
@@ -42,14 +42,14 @@
 
 
 class BlockShard(NamedTuple):
-    """A part of the table as the platform keeps it.
+    """A part of the table as the platform stores it.
 
     Attributes:
       version: version of the whole table.
-      number: position of this shard, from 0; a later one holds higher blocks.
-      shard_count: shards of the table.
+      number: index of this shard, from 0; a later one holds higher blocks.
+      shard_count: number of shards of the table.
       block_bytes: 3 or 6, the same for the whole shard.
-      blocks: rising block numbers, as little-endian words of 4 bytes (IPv4)
+      blocks: ascending block numbers, as little-endian words of 4 bytes (IPv4)
         or 8 bytes (IPv6).
       sites: their sites, as little-endian words of 2 bytes.
     """
@@ -115,10 +115,10 @@
         return size_bytes
 
     def shards(self) -> tuple[bytes, ...]:
-        """Returns the table as values for the platform's service."""
+        """Returns the table as encoded shards for the platform's service."""
         parts: list[BlockShard] = []
         for family in (self._ipv4, self._ipv6):
-            parts.extend(_split(family=family))
+            parts.extend(_split_into_shards(family=family))
         values: list[bytes] = []
         for number, part in enumerate(parts):
             shard = part._replace(
@@ -128,7 +128,7 @@
         return tuple(values)
 
     def family(self, *, block_bytes: int) -> _Family:
-        """Returns the family whose blocks have so many bytes.
+        """Returns the family whose blocks have `block_bytes` bytes.
 
         Raises:
           AlmondstairError: CONFIGURATION_INVALID if there is none.
@@ -142,7 +142,7 @@
 def table_from_rows(
     *, rows: Iterable[BlockSite], version: int = 0
 ) -> BlockTable:
-    """Returns the table of rows in any order.
+    """Returns the table of unsorted rows.
 
     Raises:
       AlmondstairError: CONFIGURATION_INVALID if a block is neither 3 nor 6
@@ -154,43 +154,43 @@
             raise _invalid(f"a block of {len(row.block)} bytes")
         if not 0 <= row.site <= _HIGHEST_SITE:
             raise _invalid(f"site number {row.site}")
-        # Block and site share a word, so that one sort orders both.
-        word = int.from_bytes(row.block) << _SITE_BITS | row.site
-        words[len(row.block)].append(word)
+        # Block and site share an integer, so that one sort orders both.
+        packed_row = int.from_bytes(row.block) << _SITE_BITS | row.site
+        words[len(row.block)].append(packed_row)
     table = BlockTable(version=version)
-    for block_bytes, unordered in words.items():
+    for block_bytes, unsorted_rows in words.items():
         family = table.family(block_bytes=block_bytes)
         previous = -1
-        for word in sorted(set(unordered)):
-            block = word >> _SITE_BITS
+        for packed_row in sorted(set(unsorted_rows)):
+            block = packed_row >> _SITE_BITS
             if block == previous:
                 raise _invalid(f"block {block:x} with two sites")
             previous = block
             family.blocks.append(block)
-            family.sites.append(word & _HIGHEST_SITE)
+            family.sites.append(packed_row & _HIGHEST_SITE)
     return table
 
 
 class ShardReader:
-    """Puts a table together from its shards, in any order.
+    """Assembles a table from its shards, in any order.
 
-    Shards are checked and taken in as whole arrays, one at a time: a million
-    rows at once would hold up the loop of an entry.
+    Shards are validated and stored as whole arrays, one at a time: a million
+    rows at once would block the event loop of an entry.
     """
 
     def __init__(self) -> None:
-        """Makes a reader that has read nothing."""
+        """Makes a reader without shards."""
         self._families: dict[int, _Family] = {}
         self._versions: set[int] = set()
         self._shard_counts: set[int] = set()
 
     def take(self, *, value: bytes) -> None:
-        """Takes in one shard.
+        """Adds a shard.
 
         Raises:
-          AlmondstairError: CONFIGURATION_INVALID if it cannot be read or its
-            rows are not in order. Bisection over rows out of order would miss
-            blocks that are there.
+          AlmondstairError: CONFIGURATION_INVALID if it cannot be decoded or
+            its rows are not sorted. Bisection over unsorted rows would miss
+            blocks that are in the table.
         """
         try:
             shard = msgspec.msgpack.decode(value, type=BlockShard)
@@ -201,12 +201,12 @@
         self._families[shard.number] = _read_rows(shard=shard)
 
     def table(self) -> BlockTable:
-        """Returns the table once every shard was taken in.
+        """Returns the table after every shard was added.
 
         Raises:
-          AlmondstairError: CONFIGURATION_INVALID if shards are missing or
-            belong to different versions. A table with a gap would leave the
-            callers of the gap without a site.
+          AlmondstairError: CONFIGURATION_INVALID if shards are missing, belong
+            to different versions or overlap. Callers in a missing shard would
+            have no site.
         """
         complete = self._shard_counts == {len(self._families)}
         if not complete or len(self._versions) != 1:
@@ -224,10 +224,10 @@
 
 
 def table_from_shards(*, values: Iterable[bytes]) -> BlockTable:
-    """Returns the table that shards make up, read in one go.
+    """Returns the table assembled from all of its shards.
 
     Raises:
-      AlmondstairError: CONFIGURATION_INVALID as `ShardReader` says.
+      AlmondstairError: CONFIGURATION_INVALID, as `ShardReader` describes.
     """
     reader = ShardReader()
     for value in values:
@@ -251,14 +251,14 @@
     return rows
 
 
-def _split(*, family: _Family) -> list[BlockShard]:
-    """Returns the shards of a family, numbered later."""
+def _split_into_shards(*, family: _Family) -> list[BlockShard]:
+    """Returns the shards of a family; the caller numbers them."""
     row_bytes = family.blocks.itemsize + family.sites.itemsize
-    room = (SHARD_LIMIT_BYTES - _SHARD_OVERHEAD_BYTES) // row_bytes
+    max_rows = (SHARD_LIMIT_BYTES - _SHARD_OVERHEAD_BYTES) // row_bytes
     parts: list[BlockShard] = []
-    for start in range(0, len(family.blocks), room):
-        blocks = family.blocks[start : start + room]
-        sites = family.sites[start : start + room]
+    for start in range(0, len(family.blocks), max_rows):
+        blocks = family.blocks[start : start + max_rows]
+        sites = family.sites[start : start + max_rows]
         _to_little_endian(words=blocks)
         _to_little_endian(words=sites)
         part = BlockShard(
@@ -274,14 +274,14 @@
 
 
 def _block_array(*, block_bytes: int) -> "array[int]":
-    # Type codes hold 4 and 8 bytes on every machine that CPython runs on.
+    # These type codes are 4 and 8 bytes on every platform of CPython.
     if block_bytes == IPV4_BLOCK_BYTES:
         return array("I")
     return array("Q")
 
 
 def _to_little_endian(*, words: "array[int]") -> None:
-    """Turns words from the machine's order to little-endian, or back."""
+    """Converts words from native byte order to little-endian, or back."""
     if sys.byteorder != "little":
         words.byteswap()
 
--- a/almondstair/core/membership_records.py
+++ b/almondstair/core/membership_records.py
@@ -1,16 +1,16 @@
-"""What an entry hears of others, from them and from the platform."""
+"""What an entry learns of others, from heartbeats and from the platform."""
 
 from typing import NamedTuple
 
 
 class VmObservation(NamedTuple):
-    """What one answer of the platform's VM list says.
+    """One answer of the platform's VM list.
 
     Attributes:
       listed: names of the VMs in the list.
-      leaving: those of them that the list has as leaving.
-      described_s: moment that the answer describes, on the reader's monotonic
-        clock: when it was read less the age that the list states.
+      leaving: those of them that are marked as leaving.
+      described_s: time of the listed state on the reader's monotonic clock:
+        when the list was read less the age that it states.
     """
 
     listed: frozenset[str]
@@ -19,7 +19,7 @@
 
 
 class Heard(NamedTuple):
-    """What an entry said of itself, as its latest heartbeat told it.
+    """State of an entry as its latest heartbeat reported it.
 
     Attributes:
       name: name of the entry.
@@ -28,8 +28,8 @@
       epoch: epoch of the entry table that it acts on.
       configuration_version: version that it has in force.
       leaving: whether it takes no new work.
-      finished: whether it has given up every duty for good.
-      heard_s: when it was heard, less any time spent on relays.
+      finished: whether it has released every duty for good.
+      heard_s: when it was received, less any time spent on relays.
     """
 
     name: str
@@ -43,5 +43,5 @@
 
 
 def incarnation_text(incarnation: int) -> str:
-    """Returns the incarnation of a process as the entry table has it."""
+    """Returns an incarnation in the hexadecimal form of the entry table."""
     return f"{incarnation:016x}"
--- a/almondstair/core/message_delays.py
+++ b/almondstair/core/message_delays.py
@@ -1,70 +1,77 @@
-"""How much later than usual messages of other entries arrive.
+"""Estimates how much later than usual messages of other entries arrive.
 
-Entries share no clock, so a message alone does not tell how long it took. But
-the difference between its arrival here and its sending there hardly changes
-while messages take their usual time. What a message took longer than the
-quickest one lately is its delay.
+Entries share no clock, so the transit time of a single message is unknown. But
+the difference between its local arrival time and the sender's timestamp is
+nearly constant while transit times are. The delay of a message is its
+difference less the least difference of late.
 
-Strikes against requests need it: one counts if its request started after the
-strike before. What goes wrong without: a heartbeat is held up for longer than
-the requests ran that a lost rack took along; its strikes seem to be later ones,
-and their path is refused for minutes by the entry that it comes to.
+Strikes against requests need this: a strike counts only if its request started
+after the previous strike. If a heartbeat is delayed for longer than the
+requests that were lost with a rack had run, its strikes would look like later
+ones, and the receiving entry would refuse the path for minutes.
 """
 
 from typing import NamedTuple
 
-# How long the quickest message counts. Clocks of two VMs drift apart by less
-# than 0.1 ms a second, so by 6 ms in that time.
-SPAN_S = 60.0
+# Window of the least difference. The clocks of two VMs drift apart by less
+# than 0.1 ms per second, so by 6 ms within the window.
+WINDOW_S = 60.0
 
 
-class _Quickest(NamedTuple):
-    """Least differences between arrival and sending, in seconds.
+class _LeastDifferences(NamedTuple):
+    """Least differences between arrival time and sender's timestamp.
 
     Attributes:
       incarnation: the sender's process; another one has another clock.
-      since_s: when the span began that `current_s` belongs to.
-      current_s: least difference in it.
-      before_s: least difference in the span before.
+      window_start_s: start of the current window.
+      current_min_s: least difference in the current window.
+      previous_min_s: least difference in the previous window.
     """
 
     incarnation: int
-    since_s: float
-    current_s: float
-    before_s: float
+    window_start_s: float
+    current_min_s: float
+    previous_min_s: float
 
 
 class MessageDelays:
-    """Learns the usual time of each sender's messages."""
+    """Tracks the least transit time of each sender's messages."""
 
     def __init__(self) -> None:
-        """Starts with no sender."""
-        self._senders: dict[str, _Quickest] = {}
+        """Starts without senders."""
+        self._senders: dict[str, _LeastDifferences] = {}
 
     def usual_arrival_s(
         self, *, sender: str, incarnation: int, sent_s: float, now_s: float
     ) -> float:
-        """Returns when a message would have come usually, by the clock here.
+        """Returns when a message would have arrived without its delay.
 
         Args:
           sender: name of the entry that sent it.
           incarnation: its process.
-          sent_s: the sender's clock when it sent the message.
-          now_s: the clock here at its arrival.
+          sent_s: time of sending on the sender's clock.
+          now_s: time of arrival on the local clock.
+
+        Returns:
+          The time on the local clock.
         """
         difference_s = now_s - sent_s
         known = self._senders.get(sender)
         if known is None or known.incarnation != incarnation:
-            known = _Quickest(incarnation, now_s, difference_s, difference_s)
-        elif now_s - known.since_s > SPAN_S:
-            known = _Quickest(incarnation, now_s, difference_s, known.current_s)
+            known = _LeastDifferences(
+                incarnation, now_s, difference_s, difference_s
+            )
+        elif now_s - known.window_start_s > WINDOW_S:
+            known = _LeastDifferences(
+                incarnation, now_s, difference_s, known.current_min_s
+            )
         else:
-            least_s = min(known.current_s, difference_s)
-            known = known._replace(current_s=least_s)
+            least_s = min(known.current_min_s, difference_s)
+            known = known._replace(current_min_s=least_s)
         self._senders[sender] = known
-        usual_s = min(known.current_s, known.before_s)
-        return now_s - max(0.0, difference_s - usual_s)
+        min_difference_s = min(known.current_min_s, known.previous_min_s)
+        return now_s - max(0.0, difference_s - min_difference_s)
 
     def forget(self, *, sender: str) -> None:
-        """Drops an entry that left the entry table."""
+        """Drops an entry that was removed from the entry table."""
         self._senders.pop(sender, None)
--- a/almondstair/core/peer_marks.py
+++ b/almondstair/core/peer_marks.py
@@ -1,27 +1,32 @@
-"""What peers say of leaving upstreams, kept for a time without the VM list.
+"""Peers' reports of leaving upstreams, kept while the VM list is unavailable.
 
-What goes wrong without: one entry alone has read a new mark of the VM list
-when the list goes out. That entry restarts; the others forget its word with
-it, and the upstream gets new work.
+Suppose only one entry has read a new leaving mark when the VM list becomes
+unavailable, and that entry restarts. If the others dropped its report with its
+old process, the upstream would get new work.
 """
 
 from collections.abc import Collection
 from typing import NamedTuple
 
 
-class _Word(NamedTuple):
-    """The latest word of one process of a peer."""
+class _LeavingReport(NamedTuple):
+    """The latest report of one process of a peer.
+
+    Attributes:
+      names: upstreams that it reports as leaving.
+      received_s: when the report was received.
+    """
 
     names: frozenset[str]
-    heard_s: float
+    received_s: float
 
 
 class PeerMarks:
-    """The latest word of each peer's processes on which upstreams leave."""
+    """Holds the latest report of leaving upstreams from each peer process."""
 
     def __init__(self) -> None:
-        """Starts with nothing heard."""
-        self._words: dict[tuple[str, int], _Word] = {}
+        """Starts without reports."""
+        self._reports: dict[tuple[str, int], _LeavingReport] = {}
 
     def heard(
         self,
@@ -31,40 +36,42 @@
         names: Collection[str],
         now_s: float,
     ) -> None:
-        """Takes a process's word in place of its earlier one.
+        """Records a process's report, which replaces its previous one.
 
-        A process that has just started has nothing to take back: its word
-        does not replace that of the process before it.
+        It does not replace the report of an earlier process of the same peer:
+        a process that has just started does not know yet what that one knew.
 
         Args:
-          peer: the entry that says it.
+          peer: name of the reporting entry.
           incarnation: its process.
-          names: the upstreams that leave by all that it knows.
-          now_s: when it was heard.
+          names: all upstreams that it knows to be leaving.
+          now_s: when the report was received.
         """
-        self._words[peer, incarnation] = _Word(frozenset(names), now_s)
+        self._reports[peer, incarnation] = _LeavingReport(
+            frozenset(names), now_s
+        )
 
     def names(self, *, since_s: float) -> set[str]:
-        """Returns the upstreams that any word since a moment calls leaving.
+        """Returns the upstreams that any report since a time has as leaving.
 
         Args:
-          since_s: what the VM list said then goes before earlier words.
+          since_s: time of the last VM list, which overrides older reports.
         """
         found: set[str] = set()
-        for word in self._words.values():
-            if word.heard_s >= since_s:
-                found |= word.names
+        for report in self._reports.values():
+            if report.received_s >= since_s:
+                found |= report.names
         return found
 
     def forget(
         self, *, known: Collection[tuple[str, int]], since_s: float
     ) -> None:
-        """Drops words from before a moment of processes that are gone.
+        """Drops the reports of processes that are gone, if older than a time.
 
         Args:
           known: name and incarnation of each entry of the table.
-          since_s: words since then are kept, whoever said them.
+          since_s: later reports are kept, also those of other processes.
         """
-        for process, word in tuple(self._words.items()):
-            if process not in known and word.heard_s < since_s:
-                del self._words[process]
+        for process, report in tuple(self._reports.items()):
+            if process not in known and report.received_s < since_s:
+                del self._reports[process]
--- a/almondstair/core/standstill.py
+++ b/almondstair/core/standstill.py
@@ -1,58 +1,58 @@
-"""Time for which the loop of this process stood still.
+"""Measures how long the event loop of this process was stalled.
 
-An entry measures how long answers take with a clock that goes on while the
-process itself does not. What goes wrong without this: on a machine with little
-processor time, or after a pause of the VM, every answer that came meanwhile
-looks slow, its upstream is given fewer slots, and callers are refused although
-the upstream answers as quickly as ever.
+The clock that measures latencies runs on while the process does not. Without
+this correction, on a VM with little CPU time or after a pause of the VM, every
+answer received meanwhile would look slow: its upstream would be given fewer
+slots and callers would be refused, although the upstream is as fast as before.
 """
 
-# Pause between two turns of the loop. A standstill is counted as shorter by up
-# to this, and each turn costs processor time that control has little of.
+# Interval of the ticks. A stall is underestimated by up to this much; shorter
+# ticks would cost CPU time that the control loop lacks.
 TURN_S = 0.05
-# Shorter delays of a turn are not counted. Processes that share processors wait
-# for each other that long all the time; counted, a slow upstream would look
-# less slow on a busy machine, and keep work.
-LEAST_S = 0.05
+# Shorter delays of a tick are ignored. Processes that share CPUs regularly
+# wait that long; if that counted, a slow upstream would look less slow on a
+# busy host and keep its work.
+MIN_STALL_S = 0.05
 
 
 class Standstill:
-    """Adds up by how much turns of the loop were late."""
+    """Accumulates the lateness of periodic ticks of the event loop."""
 
     def __init__(self) -> None:
-        """Starts with none."""
+        """Starts without stalls."""
         self._total_s = 0.0
         self._due_s: float | None = None
 
     def turned(self, *, now_s: float) -> None:
-        """Takes a turn of the loop; the next one is due after `TURN_S`."""
+        """Records a tick of the loop; the next one is due after `TURN_S`."""
         self._total_s = self.total_s(now_s=now_s)
         self._due_s = now_s + TURN_S
 
     def total_s(self, *, now_s: float) -> float:
-        """Returns the time stood still so far, a turn that is due included.
+        """Returns the total stall in seconds, including an overdue tick.
 
-        What was received during a standstill is handled before the late turn.
+        Data received during a stall is handled before the overdue tick runs.
         """
         if self._due_s is None:
             return self._total_s
         late_s = now_s - self._due_s
-        if late_s < LEAST_S:
+        if late_s < MIN_STALL_S:
             return self._total_s
         return self._total_s + late_s
 
 
 def judged_ratio(*, ratio: float, latency_s: float, still_s: float) -> float:
-    """Returns a latency over the usual one, without what is not its own fault.
+    """Returns the ratio of a latency to its baseline, without local stalls.
+
+    The peer may have worked on during a stall, so the correction never lowers
+    the ratio below 1.
 
     Args:
-      ratio: the measured latency over the usual one.
+      ratio: the measured latency over the baseline.
       latency_s: the measured latency.
-      still_s: part of it in which the measuring process stood still. The other
-        side may have worked on meanwhile, so the result is never better than
-        usual on this ground.
+      still_s: part of it during which the measuring process was stalled.
     """
     if ratio <= 1.0 or latency_s <= 0.0:
         return ratio
-    own_part = min(1.0, still_s / latency_s)
-    return max(1.0, ratio * (1.0 - own_part))
+    stalled_fraction = min(1.0, still_s / latency_s)
+    return max(1.0, ratio * (1.0 - stalled_fraction))
