--- a/almondstair/core/configuration.py
+++ b/almondstair/core/configuration.py
@@ -1,31 +1,32 @@
-"""Versions of the configuration: which is in force, and the fate of an edit.
+"""Versions of the configuration: which is in force, and the status of an edit.
 
-Three rules carry the promise that a configuration seen accepted is in force
+Three rules guarantee that a configuration reported as accepted is in force
 everywhere and never reverts:
 
-* An entry applies only a version above the one it has, whoever serves it.
+* An entry applies only a version above its own, whatever the source.
 * An edit is a compare-and-swap on the version that the operator read, with an
-  id by which it is found again after a lost answer.
-* An edit is *accepted* only once every entry of the entry table said in a
-  fresh heartbeat that it has that version, or a later one, in force.
+  id by which it can be looked up after a lost answer.
+* An edit is *accepted* only once every entry of the entry table has reported
+  in a fresh heartbeat that it has that version, or a later one, in force.
 """
 
 from collections.abc import Iterable
 import enum
 from typing import NamedTuple
 
-# Edits named in the document itself, by which a lost answer is resolved.
+# Latest edits listed in the stored document, to look up an edit after a lost
+# answer.
 RECENT_EDITS = 50
 
 
 class EditNote(NamedTuple):
-    """Who made one edit, without its text.
+    """Version, id and author of an edit, without its text.
 
     Attributes:
-      version: version that it made.
-      edit_id: id that the editing side drew.
-      author: who made it.
-      edited_at: date and time by the author's clock, for people only.
+      version: version that the edit created.
+      edit_id: id chosen by the editing client.
+      author: who made the edit.
+      edited_at: date and time by the author's clock, for display only.
     """
 
     version: int
@@ -35,13 +36,13 @@
 
 
 class StoredConfiguration(NamedTuple):
-    """The configuration as the platform keeps it.
+    """The configuration as the platform stores it.
 
     Attributes:
       version: grows by at least one with each edit.
-      edit_id: id of the edit that made it.
-      author: who made it.
-      edited_at: date and time by the author's clock, for people only.
+      edit_id: id of the edit that created this version.
+      author: who made the edit.
+      edited_at: date and time by the author's clock, for display only.
       text: the document in TOML, comments included.
       recent: the latest edits, this one first.
     """
@@ -54,11 +55,11 @@
     recent: tuple[EditNote, ...] = ()
 
     def note(self) -> EditNote:
-        """Returns who made this version."""
+        """Returns the record of the edit that created this version."""
         return EditNote(self.version, self.edit_id, self.author, self.edited_at)
 
     def find(self, *, edit_id: str) -> EditNote | None:
-        """Returns the note of an edit, None if it is not among the latest."""
+        """Returns the record of an edit, None if not among the latest."""
         for note in self.recent:
             if note.edit_id == edit_id:
                 return note
@@ -66,15 +67,16 @@
 
 
 class Offer(enum.StrEnum):
-    """What became of a configuration that the platform or a peer served.
+    """Outcome for a configuration that the platform or a peer served.
 
     Attributes:
       APPLIED: it was newer and is in force.
       SAME: it is the one in force.
       OLDER: it is older than the one in force and was ignored. From the
-        platform this means that it was wiped or rolled back.
-      DIVERGED: another text under the version in force, which was kept. The
-        platform was rolled back and edited by an entry cut off from the rest.
+        platform, this means that the platform was wiped or rolled back.
+      DIVERGED: it has the version in force but another text; the one in force
+        was kept. The platform was rolled back and then edited through an entry
+        that was partitioned from the rest.
     """
 
     APPLIED = "applied"
@@ -84,7 +86,7 @@
 
 
 class ConfigurationState:
-    """The configuration that one entry has in force.
+    """Holds the configuration that this entry has in force.
 
     Attributes:
       in_force: the configuration, None before the first.
@@ -102,7 +104,7 @@
         return self.in_force.version
 
     def judge(self, stored: StoredConfiguration) -> Offer:
-        """Returns what `offer` would make of a configuration."""
+        """Returns the outcome of `offer` without applying anything."""
         if self.in_force is None or stored.version > self.in_force.version:
             return Offer.APPLIED
         if stored.version < self.in_force.version:
@@ -112,28 +114,28 @@
         return Offer.DIVERGED
 
     def offer(self, stored: StoredConfiguration) -> Offer:
-        """Takes a configuration over if it is newer, and only then.
+        """Applies a configuration if, and only if, it is newer.
 
-        A platform that lost its data, or a peer that slept, serves an older
-        version. The operators saw the newer one accepted, so it stays; what
-        to do with the platform is for them to say, and nothing is written to
-        it from here.
+        A platform that lost its data, or a peer that was suspended, serves an
+        older version. The newer one stays in force because operators were told
+        that it is accepted. Repairing the platform is left to them; nothing is
+        written to it from here.
 
-        The caller validates the text before; an invalid one is not offered.
+        The caller must have validated the text.
         """
-        judgement = self.judge(stored)
-        if judgement is Offer.APPLIED:
+        outcome = self.judge(stored)
+        if outcome is Offer.APPLIED:
             self.in_force = stored
-        return judgement
+        return outcome
 
 
 class VersionReport(NamedTuple):
-    """Which version an entry of the table said that it has in force.
+    """The version in force that an entry of the table last reported.
 
     Attributes:
       name: name of the entry.
-      version: the version; 0 if it never said any.
-      age_s: time since it said so, relays included.
+      version: the version; 0 if it never reported one.
+      age_s: time since the report in seconds, relays included.
     """
 
     name: str
@@ -142,14 +144,14 @@
 
 
 class EditFate(enum.StrEnum):
-    """What is known of an edit.
+    """Status of an edit.
 
     Attributes:
       ACCEPTED: in force on every entry of the table.
-      PENDING: kept by the platform, not yet in force everywhere.
+      PENDING: stored by the platform, not yet in force everywhere.
       CONFLICT: not applied, another edit came first.
       UNKNOWN: may or may not have been applied.
-      NOT_FOUND: surely not applied, or older than the edits remembered.
+      NOT_FOUND: certainly not applied, or older than the recorded edits.
     """
 
     ACCEPTED = "accepted"
@@ -160,13 +162,13 @@
 
 
 class EditResult(NamedTuple):
-    """The fate of an edit, for the operator.
+    """Result of an edit, for the operator.
 
     Attributes:
-      fate: what is known.
-      edit_id: id to ask again with.
-      version: version that the edit made, 0 if it made none.
-      lacking: entries that did not yet report the version in force.
+      fate: status of the edit.
+      edit_id: id by which the edit can be looked up again.
+      version: version that the edit created, 0 if none.
+      lacking: entries that have not reported the version as in force yet.
       winner: on a conflict, the edit that came first.
     """
 
@@ -180,16 +182,15 @@
 def lacking_entries(
     *, version: int, reports: Iterable[VersionReport], fresh_limit_s: float
 ) -> tuple[str, ...]:
-    """Returns the entries not surely known to have a version in force.
+    """Returns the entries not confirmed to have a version in force.
 
-    An old report does not count, though a running entry never goes back: the
-    entry may have been replaced since by a process that has yet to learn the
-    version.
+    An old report does not count, although a running entry never reverts: the
+    entry may have been replaced since by a process that lacks the version.
 
     Args:
       version: the version.
       reports: one for each entry of the entry table.
-      fresh_limit_s: age past which a report counts as silence.
+      fresh_limit_s: age in seconds above which a report does not count.
     """
     lacking = []
     for report in reports:
@@ -205,7 +206,7 @@
     reports: Iterable[VersionReport],
     fresh_limit_s: float,
 ) -> EditResult:
-    """Returns `accepted` or `pending` for an edit that the platform holds."""
+    """Returns `ACCEPTED` or `PENDING` for an edit stored by the platform."""
     lacking = lacking_entries(
         version=note.version, reports=reports, fresh_limit_s=fresh_limit_s
     )
@@ -216,13 +217,13 @@
 
 
 class Edit(NamedTuple):
-    """An edit as the operator asks for it.
+    """An edit that an operator requests.
 
     Attributes:
-      base_version: version that the operator read; 0 for the first ever.
-      edit_id: id drawn by the operator's side.
-      author: who edits.
-      edited_at: date and time by the author's clock, for people only.
+      base_version: version that the operator read; 0 if there was none.
+      edit_id: id chosen by the editing client.
+      author: who makes the edit.
+      edited_at: date and time by the author's clock, for display only.
       text: the new document in TOML.
     """
 
@@ -234,15 +235,16 @@
 
 
 class Basis(enum.StrEnum):
-    """How an edit relates to what the platform holds.
+    """How the base of an edit relates to the stored configuration.
 
     Attributes:
-      CURRENT: made on the version that the platform holds.
-      DONE: this very edit is already applied.
+      CURRENT: the edit is based on the stored version.
+      DONE: the edit is already applied.
       BEHIND: another edit was applied since.
-      ROLLED_BACK: made on the version in force, which the platform lost.
-      UNSURE: the platform lost versions, and not every entry of the table is
-        heard, so a version above the base may be in force on a silent one.
+      ROLLED_BACK: the edit is based on the version in force, which the
+        platform lost.
+      UNSURE: the platform lost versions and some entries of the table are
+        silent, so a version above the base may be in force on one of them.
     """
 
     CURRENT = "current"
@@ -259,13 +261,13 @@
     highest_version: int,
     all_heard: bool,
 ) -> Basis:
-    """Returns how an edit relates to what the platform holds.
+    """Returns how the base of an edit relates to the stored configuration.
 
     Args:
       edit: the edit.
-      stored: what the platform holds, None for nothing.
-      highest_version: highest version in force on any entry as far as heard.
-      all_heard: whether every entry of the table was heard lately.
+      stored: what the platform stores, None for nothing.
+      highest_version: highest version that any entry reported in force.
+      all_heard: whether no entry of the table is silent.
     """
     stored_version = 0
     if stored is not None:
@@ -276,11 +278,11 @@
         if edit.base_version == stored_version:
             return Basis.CURRENT
         return Basis.BEHIND
-    # The platform holds less than some entry has in force: it was wiped or
-    # rolled back. Only an operator's edit over the version in force repairs
-    # it. A number taken twice would leave two texts under one version, which
-    # no entry could tell apart, so a silent entry that may have a higher
-    # version blocks the edit.
+    # The platform stores a lower version than some entry has in force: it was
+    # wiped or rolled back. Only an operator's edit based on the version in
+    # force repairs it. Reusing a version number would put two texts under one
+    # version, which entries could not tell apart. So a silent entry, which may
+    # have a higher version, blocks the edit.
     if edit.base_version != highest_version:
         return Basis.BEHIND
     if not all_heard:
@@ -294,7 +296,7 @@
     stored: StoredConfiguration | None,
     highest_version: int,
 ) -> StoredConfiguration:
-    """Returns what an edit writes, under a version above every known one."""
+    """Returns the document that an edit writes, above every known version."""
     recent: tuple[EditNote, ...] = ()
     version = highest_version
     if stored is not None:
--- a/almondstair/core/entry_table.py
+++ b/almondstair/core/entry_table.py
@@ -1,29 +1,29 @@
 """The entry table: which entries exist, under an epoch number.
 
-The table lives in the platform's service and changes there by compare-and-swap.
-Everything that must be owned by one entry at a time is worked out from it.
+The platform's service stores the table, and each change is a compare-and-swap.
+Everything that must have a single owning entry is derived from it.
 """
 
 from typing import NamedTuple
 
 
 class EntryRow(NamedTuple):
-    """One entry of the table.
+    """An entry of the table.
 
     Attributes:
       name: unique name of the entry; a replaced VM gets a new one.
-      availability_zone: where it runs.
+      availability_zone: availability zone that it runs in.
       region: region of that availability zone.
       caller_address: `ip:port` of its listener for callers.
       forward_address: `ip:port` of its listener for other entries' requests.
       peer_address: `ip:port` of its socket for control messages.
       operator_address: `ip:port` of its listener for operators.
-      incarnation: drawn anew by each process start. A process that finds
-        another incarnation in its own row must have the row replaced before
-        it holds any duty, since its predecessor's work may still be running.
-      joined_epoch: epoch under which this incarnation entered the table.
-      leaving: whether it is handing over its duties before it is dropped; it
-        still acknowledges tables, but is home or successor of nothing.
+      incarnation: random id of the process. A process that finds another
+        incarnation in its own row must replace the row before it takes on any
+        duty, since its predecessor's work may still be running.
+      joined_epoch: epoch at which this incarnation was added to the table.
+      leaving: whether it is handing over its duties before its removal. It
+        still acknowledges tables, but is home or successor of no upstream.
     """
 
     name: str
@@ -44,9 +44,9 @@
     Attributes:
       epoch: grows by one with each change; 0 is the empty table before any.
       entries: the rows, in any order.
-      lost_epoch: the last epoch that dropped an entry which had not released
-        its duties; 0 if there was none. Work that such an entry left running
-        is known to nobody, so slots are held back after it.
+      lost_epoch: the last epoch that removed an entry which had not released
+        its duties; 0 if there was none. No entry knows which of its requests
+        still run, so slots are held back after it.
     """
 
     epoch: int = 0
@@ -72,8 +72,8 @@
     def with_entry(self, *, row: EntryRow) -> "EntryTable":
         """Returns the next table, with an entry added or replaced.
 
-        Replacing another incarnation counts as losing the old one: its
-        process is dead, and nobody knows which requests it left running.
+        Replacing another incarnation counts as a loss of the old one: its
+        process is dead, and no entry knows which of its requests still run.
         """
         epoch = self.epoch + 1
         old = self.row(name=row.name)
@@ -97,12 +97,12 @@
         return EntryTable(self.epoch + 1, tuple(rows), self.lost_epoch)
 
     def without(self, *, name: str, released: bool) -> "EntryTable":
-        """Returns the next table, with an entry dropped.
+        """Returns the next table, with an entry removed.
 
         Args:
-          name: the entry.
-          released: True only if the entry itself said, when it was marked as
-            leaving, that it had nothing in flight any more (`Homes.idle`).
+          name: name of the entry.
+          released: True only if the entry itself reported, while marked as
+            leaving, that it has nothing in flight any more (`Homes.idle`).
         """
         epoch = self.epoch + 1
         lost_epoch = self.lost_epoch
--- a/almondstair/core/heartbeat_words.py
+++ b/almondstair/core/heartbeat_words.py
@@ -1,8 +1,8 @@
-"""What heartbeats say: loads, views of a group, digests of zones.
+"""Payloads of heartbeats: loads, views of a group and digests of zones.
 
-A view tells of each member of the sender's group, a digest of each entry of a
-zone beyond. Both are relayed, so their words carry an age and acknowledge
-nothing.
+A view reports on each member of the sender's group, a digest on each entry of
+another zone. Both pass on what others reported, so they carry ages and
+acknowledge nothing.
 """
 
 from collections.abc import Sequence
@@ -13,11 +13,11 @@
 from almondstair.core.quarantine import Mark
 
 AGE_UNIT_S = 0.1
-# Added to a relayed age for the way, so that no word grows fresher from relay
-# to relay. A message that was held up for longer makes its words look fresher
-# by the rest; since a relay's word acknowledges nothing, the worst of it is
-# work sent to a dead entry for that much longer.
-RELAY_S = 0.2
+# Added to a relayed age for the transit time, so that no report appears fresher
+# from relay to relay. If a message is delayed for longer, its reports appear
+# fresher by the difference; since a relayed report acknowledges nothing, the
+# worst effect is that work goes to a dead entry for that much longer.
+RELAY_DELAY_S = 0.2
 UNKNOWN_BYTE = 255
 
 
@@ -27,8 +27,8 @@
     Attributes:
       service: name of the service.
       slots: usable slots.
-      free_slots: those of them that are free.
-      age_ms: age of the figures when they were sent.
+      free_slots: free slots among them.
+      age_ms: age of the measurement when it was sent.
     """
 
     service: str
@@ -38,12 +38,12 @@
 
 
 class StatusDetail(NamedTuple):
-    """What an entry says of its upstreams, to the entries near it.
+    """Status of an entry's upstreams, sent to the entries near it.
 
     Attributes:
       loads: load by service over the upstreams that it is home of.
       leaving_upstreams: upstreams that it knows to be leaving.
-      marks: requests that crashed upstreams.
+      marks: strikes against requests that crashed upstreams.
     """
 
     loads: tuple[ServiceLoad, ...] = ()
@@ -54,8 +54,8 @@
 def far_detail(detail: StatusDetail) -> StatusDetail | None:
     """Returns the part of a status that every entry needs, None if empty.
 
-    A request that crashes upstreams may come back through any entry, so the
-    marks must leave the zone; loads go there summed, by digests.
+    A request that crashes upstreams may be resent through any entry, so the
+    marks must reach other zones. Loads reach them as sums, in digests.
     """
     if not detail.marks and not detail.leaving_upstreams:
         return None
@@ -63,13 +63,15 @@
 
 
 class GroupView(NamedTuple):
-    """How lately the sender heard each entry of its group, itself or relayed.
+    """Age of the sender's latest report on each entry of its group.
+
+    Reports may be direct or relayed.
 
     Attributes:
-      epoch: entry table whose order of names the bytes follow.
-      ages: one byte an entry, its age in `AGE_UNIT_S`; 255 for unheard.
-      versions_behind: one byte an entry, configuration versions that it lacks
-        against `configuration_version`; 255 for 255 or more or unknown.
+      epoch: epoch of the entry table that defines the order of the bytes.
+      ages: one byte per entry, the age in `AGE_UNIT_S`; 255 for silent.
+      versions_behind: one byte per entry, the number of configuration versions
+        behind `configuration_version`; 255 for 255 or more, or unknown.
       configuration_version: highest version that the sender knows of.
     """
 
@@ -80,15 +82,15 @@
 
 
 class ZoneDigest(NamedTuple):
-    """One availability zone in few bytes, relayed to far entries.
+    """Compact status of an availability zone, relayed to far entries.
 
     Attributes:
-      availability_zone: the zone.
-      epoch: entry table whose order of names the bits follow.
-      live_bits: one bit an entry, set if it is heard and not leaving.
+      availability_zone: name of the zone.
+      epoch: epoch of the entry table that defines the order of the bits.
+      live_bits: one bit per entry, set if it is neither silent nor leaving.
       version: highest configuration version that the sender knows of.
-      version_bits: one bit an entry, set if it has that version in force.
-      age_ms: age of the oldest word in it, grown on each relay.
+      version_bits: one bit per entry, set if it has that version in force.
+      age_ms: age of the oldest report in the digest; each relay adds to it.
       loads: load by service over the zone's upstreams.
     """
 
@@ -102,13 +104,13 @@
 
 
 class MemberWord(NamedTuple):
-    """What a view or digest says of one entry.
+    """Status of one entry in a view or digest.
 
     Attributes:
-      name: the entry.
-      live: whether it is heard and takes work.
-      age_s: time since it was heard; infinity for never.
-      version: configuration version that it has at least; 0 if unknown.
+      name: name of the entry.
+      live: whether it is not silent and accepts work.
+      age_s: time since it was heard in seconds; infinity for never.
+      version: lower bound of its configuration version; 0 if unknown.
     """
 
     name: str
@@ -120,18 +122,24 @@
 def taken_in_turn(
     names: Sequence[str], place: int, count: int
 ) -> tuple[tuple[str, ...], int]:
-    """Returns the next names from a place on, and the place after them."""
-    taken = []
+    """Returns up to `count` names in round-robin order and the next index.
+
+    Args:
+      names: names to cycle through.
+      place: index of the first name to return.
+      count: maximum number of names.
+    """
+    selected = []
     for step in range(min(count, len(names))):
-        taken.append(names[(place + step) % len(names)])
+        selected.append(names[(place + step) % len(names)])
     next_place = 0
     if names:
-        next_place = (place + len(taken)) % len(names)
-    return tuple(taken), next_place
+        next_place = (place + len(selected)) % len(names)
+    return tuple(selected), next_place
 
 
 def zone_names(*, table: EntryTable) -> dict[str, list[str]]:
-    """Returns each zone's names in the order that views and digests follow."""
+    """Returns the names by zone, in the order used by views and digests."""
     zones: dict[str, list[str]] = {}
     for row in table.entries:
         zones.setdefault(row.availability_zone, []).append(row.name)
@@ -149,40 +157,45 @@
     """Returns the view of a group.
 
     Args:
-      epoch: epoch of the table that the order of `words` follows.
-      words: one for each member, this entry included, by name.
-      configuration_version: highest version known of.
+      epoch: epoch of the entry table that defines the order of `words`.
+      words: status of each member, this entry included, sorted by name.
+      configuration_version: highest known configuration version.
     """
     ages = bytearray()
-    behind = bytearray()
+    versions_behind_bytes = bytearray()
     for word in words:
-        units = UNKNOWN_BYTE
+        age_units = UNKNOWN_BYTE
         if word.live and word.age_s < UNKNOWN_BYTE * AGE_UNIT_S:
-            # Rounded up: a relayed word must never look fresher than it is.
-            units = min(UNKNOWN_BYTE, math.ceil(word.age_s / AGE_UNIT_S))
-        ages.append(units)
-        lacked = configuration_version - word.version
-        behind.append(min(UNKNOWN_BYTE, max(0, lacked)))
-    return GroupView(epoch, bytes(ages), bytes(behind), configuration_version)
+            # Rounded up: a relayed report must never appear fresher than it
+            # is.
+            age_units = min(UNKNOWN_BYTE, math.ceil(word.age_s / AGE_UNIT_S))
+        ages.append(age_units)
+        versions_behind_count = configuration_version - word.version
+        versions_behind_bytes.append(
+            min(UNKNOWN_BYTE, max(0, versions_behind_count))
+        )
+    return GroupView(
+        epoch, bytes(ages), bytes(versions_behind_bytes), configuration_version
+    )
 
 
 def read_view(*, view: GroupView, names: Sequence[str]) -> list[MemberWord]:
-    """Returns what a view says of the members that its sender heard.
+    """Returns the status of the members that a view reports as heard.
 
     Args:
-      view: a view under this entry's own epoch.
-      names: the group in the order of the view.
+      view: a view of the epoch that is in force here.
+      names: names of the group in the order of the view.
     """
     words = []
-    for name, units, lacked in zip(
+    for name, age_units, versions_behind_count in zip(
         names, view.ages, view.versions_behind, strict=False
     ):
-        if units == UNKNOWN_BYTE:
+        if age_units == UNKNOWN_BYTE:
             continue
         version = 0
-        if lacked != UNKNOWN_BYTE:
-            version = view.configuration_version - lacked
-        age_s = units * AGE_UNIT_S + RELAY_S
+        if versions_behind_count != UNKNOWN_BYTE:
+            version = view.configuration_version - versions_behind_count
+        age_s = age_units * AGE_UNIT_S + RELAY_DELAY_S
         words.append(MemberWord(name, True, age_s, version))
     return words
 
@@ -195,13 +208,13 @@
     version: int,
     loads: tuple[ServiceLoad, ...],
 ) -> ZoneDigest:
-    """Returns the digest of a zone as of now.
+    """Returns the current digest of a zone.
 
     Args:
-      availability_zone: the zone.
-      epoch: epoch of the table that the order of `words` follows.
-      words: one for each entry of the zone, by name.
-      version: highest configuration version known of.
+      availability_zone: name of the zone.
+      epoch: epoch of the entry table that defines the order of `words`.
+      words: status of each entry of the zone, sorted by name.
+      version: highest known configuration version.
       loads: load by service over the zone's upstreams.
     """
     live = []
@@ -226,18 +239,18 @@
 def read_digest(
     *, digest: ZoneDigest, names: Sequence[str]
 ) -> list[MemberWord]:
-    """Returns what a digest says of the entries of its zone.
+    """Returns the status of the entries of a digest's zone.
 
     Args:
-      digest: a digest under this entry's own epoch.
-      names: the zone in the order of the digest.
+      digest: a digest of the epoch that is in force here.
+      names: names of the zone's entries in the order of the digest.
     """
-    age_s = digest.age_ms / 1000 + RELAY_S
+    age_s = digest.age_ms / 1000 + RELAY_DELAY_S
     words = []
     for place, name in enumerate(names):
-        live = _bit(digest.live_bits, place)
+        live = _is_bit_set(digest.live_bits, place)
         version = 0
-        if _bit(digest.version_bits, place):
+        if _is_bit_set(digest.version_bits, place):
             version = digest.version
         words.append(MemberWord(name, live, age_s, version))
     return words
@@ -251,47 +264,47 @@
     return bytes(packed)
 
 
-def _bit(packed: bytes, place: int) -> bool:
+def _is_bit_set(packed: bytes, place: int) -> bool:
     if place // 8 >= len(packed):
         return False
     return bool(packed[place // 8] >> (place % 8) & 1)
 
 
 class DigestStore:
-    """The freshest digest of each zone beyond the group."""
+    """Holds the freshest digest of each zone outside of the group."""
 
     def __init__(self) -> None:
-        """Starts without any."""
+        """Makes an empty store."""
         self._digests: dict[str, ZoneDigest] = {}
-        self._described_s: dict[str, float] = {}
-        self._place = 0
+        self._as_of_s: dict[str, float] = {}
+        self._next_index = 0
 
     def offer(self, *, digest: ZoneDigest, now_s: float) -> bool:
-        """Keeps a digest if it is fresher than the one known.
+        """Stores a digest if it is fresher than the stored one.
 
         Returns:
-          Whether it was kept.
+          Whether it was stored.
         """
         zone = digest.availability_zone
-        described_s = now_s - digest.age_ms / 1000 - RELAY_S
-        if described_s <= self._described_s.get(zone, float("-inf")):
+        as_of_s = now_s - digest.age_ms / 1000 - RELAY_DELAY_S
+        if as_of_s <= self._as_of_s.get(zone, float("-inf")):
             return False
         self._digests[zone] = digest
-        self._described_s[zone] = described_s
+        self._as_of_s[zone] = as_of_s
         return True
 
     def get(self, *, availability_zone: str, now_s: float) -> ZoneDigest | None:
-        """Returns a zone's digest with its age as of now, None if unknown."""
+        """Returns a zone's digest with its current age, None if unknown."""
         digest = self._digests.get(availability_zone)
         if digest is None:
             return None
-        age_s = now_s - self._described_s[availability_zone]
+        age_s = now_s - self._as_of_s[availability_zone]
         return digest._replace(age_ms=math.ceil(age_s * 1000))
 
     def next(self, *, count: int, now_s: float) -> tuple[ZoneDigest, ...]:
-        """Returns the next digests to relay, taking turns over the zones."""
-        zones, self._place = taken_in_turn(
-            sorted(self._digests), self._place, count
+        """Returns the next digests to relay, round-robin over the zones."""
+        zones, self._next_index = taken_in_turn(
+            sorted(self._digests), self._next_index, count
         )
         digests = []
         for zone in zones:
--- a/almondstair/core/heartbeats.py
+++ b/almondstair/core/heartbeats.py
@@ -1,35 +1,35 @@
-"""Who sends heartbeats to whom, and what rides along with them.
+"""Selects who receives heartbeats, and what they carry.
 
-A full mesh does not carry the system to its target: 769 peers at one packet a
-second each is tens of kilobytes a second. So an entry has a *near group*, to
-whose members it sends heartbeats in turn, as many in a tick as its allowance
-of bytes pays for:
+A full mesh does not scale to the target size: 769 peers at one packet per
+second each is tens of kilobytes per second. So an entry sends heartbeats
+round-robin to the members of its *near group*, as many per tick as its byte
+allowance permits:
 
-* With at most `FULL_MESH_ENTRIES` entries the group is the whole table, and
-  everyone hears everyone directly within a second.
+* With at most `FULL_MESH_ENTRIES` entries, the group is the whole table, and
+  each entry hears every other directly within a second.
 * With more, it is the entry's availability zone. Each heartbeat then carries a
-  `GroupView`, two bytes for each member, so that what one member heard reaches
-  the others in a few rounds instead of one full turn.
+  `GroupView`, two bytes per member, so that what one member heard reaches the
+  others in a few ticks instead of a full round.
 
-*Partners*, the entries that an entry shares a duty with, get a heartbeat each
-`PARTNER_PERIOD_S` wherever they are, because a duty needs acknowledgements of
-the partner itself. Beyond the group an entry knows availability zones by
-`ZoneDigest`, two bits for each entry. A far contact gets some of them each
+*Partners*, the entries that an entry shares a duty with, get a heartbeat every
+`PARTNER_PERIOD_S` wherever they are, because a duty needs acknowledgements from
+the partner itself. Availability zones outside of the group are known by
+`ZoneDigest`, two bits per entry. A far contact gets some digests every
 `FAR_PERIOD_S`, and every heartbeat within the group carries some.
 
-What `python -m benchmarks.heartbeats --target` gave, sent by each entry with
-packet headers and without partners:
+Results of `python -m benchmarks.heartbeats --target`, as sent by each entry,
+with packet headers and without partners:
 
-* 10 entries: 2.0 KB/s, every word at most 0.5 s old.
-* 770 entries in 14 zones: 2.3 KB/s; words on the own zone 1.6 s old on average
-  and 3.7 s at most, on other zones 5.4 s and 14.4 s. A new version, given to
-  two entries of each zone, was in force on all after 3.0 s and known to be so
-  by one entry after 9.5 s.
+* 10 entries: 2.0 KB/s, every report at most 0.5 s old.
+* 770 entries in 14 zones: 2.3 KB/s. Reports on the own zone are 1.6 s old on
+  average and 3.7 s at most, on other zones 5.4 s and 14.4 s. A new version,
+  given to two entries of each zone, is in force on all after 3.0 s, and one
+  entry knows so after 9.5 s.
 
-Ten partners add 1.0 KB/s, worked out from the size of a heartbeat. What is
-received is as much again, so both ways together pass 5 KB/s at the target size,
-and loads of far zones come later than steering wants them; in-band loads on
-answers have to serve there.
+Ten partners add 1.0 KB/s, calculated from the size of a heartbeat. Received
+traffic is as much again, so both directions together exceed 5 KB/s at the
+target size. Loads of far zones arrive later than steering needs them; there it
+depends on the in-band loads on answers.
 """
 
 from collections.abc import Iterable
@@ -43,14 +43,14 @@
 from almondstair.core.heartbeat_words import taken_in_turn
 
 FULL_MESH_ENTRIES = 16
-# Bytes a second that an entry sends as heartbeats to its group. A full mesh
-# has no other heartbeats to pay for.
+# Bytes per second of heartbeats to the group. A full mesh has a larger
+# allowance because it sends no other heartbeats.
 FULL_MESH_ALLOWANCE_BYTES_PER_S = 2400
 ZONE_ALLOWANCE_BYTES_PER_S = 1600
 # TCP and IP headers with timestamps, and the framing of ZeroMQ.
 PACKET_OVERHEAD_BYTES = 54
-# A heartbeat without its view, as `benchmarks/heartbeats.py` measures it with
-# the load of two services.
+# A heartbeat without its view, with the load of two services, as measured by
+# `benchmarks/heartbeats.py`.
 HEARTBEAT_BYTES = 60
 VIEW_BYTES_PER_ENTRY = 2
 DIGEST_BYTES = 70
@@ -59,25 +59,25 @@
 FAR_CONTACTS_PER_ZONE = 2
 DIGESTS_TO_FAR = 4
 DIGESTS_TO_NEAR = 3
-# An entry is silent when this many turns in a row brought nothing.
-TURNS_MISSED = 3
-# With views most words come by relays, long before the entry's own turn. Twice
-# the greatest age that the benchmark finds in a zone of 55.
+# An entry is silent after this many consecutive rounds without a heartbeat.
+MISSED_ROUNDS = 3
+# With views, most reports arrive by relays, long before the entry's own
+# heartbeat. Twice the greatest age in a zone of 55 entries in the benchmark.
 VIEW_SILENCE_S = 6.0
-# Twice the greatest age that the benchmark finds beyond the group at the target
+# Twice the greatest age outside of the group in the benchmark at the target
 # size.
 FAR_SILENCE_S = 25.0
 WATCHERS_PER_ZONE = 2
 
 
 def near_group(*, own: EntryRow, table: EntryTable) -> tuple[EntryRow, ...]:
-    """Returns the other entries that get this one's heartbeats in turn."""
-    whole = len(table.entries) <= FULL_MESH_ENTRIES
+    """Returns the other entries that get this one's heartbeats round-robin."""
+    is_full_mesh = len(table.entries) <= FULL_MESH_ENTRIES
     group = []
     for row in table.entries:
         if row.name == own.name:
             continue
-        if whole or row.availability_zone == own.availability_zone:
+        if is_full_mesh or row.availability_zone == own.availability_zone:
             group.append(row)
     return tuple(group)
 
@@ -85,8 +85,8 @@
 def far_contacts(*, own: EntryRow, table: EntryTable) -> tuple[str, ...]:
     """Returns the entries of other zones that this one sends digests to.
 
-    A rendezvous hash gives each entry contacts of its own, so that the load
-    spreads and a change of the table moves few connections.
+    A rendezvous hash selects different contacts for each entry, so that the
+    load is spread and a change of the table moves few connections.
     """
     if len(table.entries) <= FULL_MESH_ENTRIES:
         return ()
@@ -94,36 +94,38 @@
     for row in table.entries:
         if row.availability_zone != own.availability_zone:
             zones.setdefault(row.availability_zone, []).append(row.name)
-    rounds: list[list[str]] = []
+    contacts_by_zone: list[list[str]] = []
     for zone in sorted(zones):
-        rounds.append(_ranked(own.name, zones[zone])[:FAR_CONTACTS_PER_ZONE])
+        contacts_by_zone.append(
+            _rank_by_hash(own.name, zones[zone])[:FAR_CONTACTS_PER_ZONE]
+        )
     contacts = []
     for place in range(FAR_CONTACTS_PER_ZONE):
-        for chosen in rounds:
+        for chosen in contacts_by_zone:
             contacts.extend(chosen[place : place + 1])
     return tuple(contacts)
 
 
 def holds_watch(*, own: EntryRow, live: Iterable[EntryRow]) -> bool:
-    """Returns whether this entry waits on the platform's watches itself.
+    """Returns whether this entry watches the platform itself.
 
-    A waiting watch is a counted call, so only some entries of a zone hold one;
-    the rest learn from heartbeats and pull from the peer that sent them. A
-    silent holder is followed by the next in the order.
+    An open watch counts as a call to the platform, so only some entries of a
+    zone watch. The others learn of changes by heartbeats and pull from the peer
+    that sent them. A silent watcher is replaced by the next entry in the order.
 
     Args:
       own: this entry.
-      live: the entries that are heard and not leaving.
+      live: the entries that are neither silent nor leaving.
     """
     names = {own.name}
     for row in live:
         if row.availability_zone == own.availability_zone:
             names.add(row.name)
-    first = _ranked(own.availability_zone, names)[:WATCHERS_PER_ZONE]
+    first = _rank_by_hash(own.availability_zone, names)[:WATCHERS_PER_ZONE]
     return own.name in first
 
 
-def _ranked(salt: str, names: Iterable[str]) -> list[str]:
+def _rank_by_hash(salt: str, names: Iterable[str]) -> list[str]:
     def weight(name: str) -> int:
         return xxhash.xxh64_intdigest(f"{salt}/{name}".encode())
 
@@ -131,13 +133,13 @@
 
 
 class Sending(NamedTuple):
-    """Who gets a heartbeat at one tick.
+    """The receivers of heartbeats at one tick.
 
     Attributes:
       near: members of the group; with a view if `with_view`.
-      partners: partners in a duty, beyond the group.
+      partners: partners in a duty outside of the group.
       far: entries of other zones, with digests.
-      with_view: whether near heartbeats carry a view and a digest.
+      with_view: whether near heartbeats carry a view and digests.
     """
 
     near: tuple[str, ...]
@@ -147,7 +149,7 @@
 
 
 class FanOut:
-    """Takes turns over the receivers of heartbeats, within the allowance."""
+    """Schedules heartbeats round-robin within the byte allowance."""
 
     def __init__(
         self,
@@ -155,11 +157,11 @@
         own: EntryRow,
         interval_s: float,
     ) -> None:
-        """Starts with nobody to send to.
+        """Starts without receivers.
 
         Args:
           own: this entry.
-          interval_s: time between ticks.
+          interval_s: time between ticks in seconds.
         """
         self._own = own
         self._interval_s = interval_s
@@ -168,15 +170,15 @@
         self._partners: tuple[str, ...] = ()
         self._far: tuple[str, ...] = ()
         self._credit_bytes = 0.0
-        self._near_place = 0
-        self._partner_place = 0
-        self._far_place = 0
+        self._near_index = 0
+        self._partner_index = 0
+        self._far_ticks = 0
         self._with_view = False
 
     def set_table(
         self, *, table: EntryTable, partners: Iterable[str] = ()
     ) -> None:
-        """Works the receivers out anew.
+        """Recomputes the receivers from an entry table.
 
         Args:
           table: the entry table.
@@ -185,9 +187,9 @@
         near = []
         for row in near_group(own=self._own, table=table):
             near.append(row.name)
-        # Everyone walks a circle of its own, so that no entry gets the
-        # heartbeats of all the others in the same tick.
-        self._near = tuple(_ranked(self._own.name, near))
+        # Each entry has its own order, so that no entry gets the heartbeats of
+        # all the others in the same tick.
+        self._near = tuple(_rank_by_hash(self._own.name, near))
         self._far = far_contacts(own=self._own, table=table)
         self._with_view = len(table.entries) > FULL_MESH_ENTRIES
         allowance_bytes_per_s = FULL_MESH_ALLOWANCE_BYTES_PER_S
@@ -204,17 +206,17 @@
 
     @property
     def receiver_names(self) -> tuple[str, ...]:
-        """Everyone who gets heartbeats of any kind."""
+        """Entries that get heartbeats of any kind."""
         return self._near + self._partners + self._far
 
     @property
     def detail_names(self) -> frozenset[str]:
-        """Entries whose whole status this one hears from themselves."""
+        """Entries whose heartbeats to this one carry their whole status."""
         return frozenset(self._near + self._partners)
 
     @property
     def near_cost_bytes(self) -> int:
-        """What one heartbeat to the group costs, headers included."""
+        """Size of one heartbeat to the group, headers included."""
         cost_bytes = PACKET_OVERHEAD_BYTES + HEARTBEAT_BYTES
         if self._with_view:
             cost_bytes += VIEW_BYTES_PER_ENTRY * (len(self._near) + 1)
@@ -224,15 +226,15 @@
 
     @property
     def near_turn_s(self) -> float:
-        """Time in which every member of the group gets a heartbeat."""
+        """Time in which every member of the group gets one heartbeat."""
         if not self._near:
             return self._interval_s
-        turn_bytes = len(self._near) * self.near_cost_bytes
-        ticks = math.ceil(turn_bytes / self._allowance_bytes)
+        round_bytes = len(self._near) * self.near_cost_bytes
+        ticks = math.ceil(round_bytes / self._allowance_bytes)
         return max(1, ticks) * self._interval_s
 
-    def _near_count(self) -> int:
-        """Returns how many heartbeats the group gets now and pays for them."""
+    def _take_near_count(self) -> int:
+        """Returns how many heartbeats the group gets now; uses up credit."""
         cost_bytes = self.near_cost_bytes
         limit_bytes = self._allowance_bytes + cost_bytes
         self._credit_bytes += self._allowance_bytes
@@ -243,28 +245,32 @@
         return count
 
     def silence_limit_s(self, *, shortest_s: float) -> float:
-        """Returns the age past which a member of the group is silent."""
+        """Returns the age above which a member of the group is silent.
+
+        Args:
+          shortest_s: lower bound of the limit in seconds.
+        """
         if self._with_view:
             return max(shortest_s, VIEW_SILENCE_S)
-        return max(shortest_s, TURNS_MISSED * self.near_turn_s)
+        return max(shortest_s, MISSED_ROUNDS * self.near_turn_s)
 
     def tick(self) -> Sending:
-        """Returns who is next; to be called each `interval_s`."""
-        near, self._near_place = taken_in_turn(
-            self._near, self._near_place, self._near_count()
+        """Returns the next receivers; must be called every `interval_s`."""
+        near, self._near_index = taken_in_turn(
+            self._near, self._near_index, self._take_near_count()
         )
-        partners, self._partner_place = taken_in_turn(
+        partners, self._partner_index = taken_in_turn(
             self._partners,
-            self._partner_place,
-            self._per_tick(len(self._partners), PARTNER_PERIOD_S),
+            self._partner_index,
+            self._count_per_tick(len(self._partners), PARTNER_PERIOD_S),
         )
         far: tuple[str, ...] = ()
-        self._far_place += 1
+        self._far_ticks += 1
         ticks = max(1, round(FAR_PERIOD_S / self._interval_s))
-        if self._far and self._far_place % ticks == 0:
-            place = self._far_place // ticks
+        if self._far and self._far_ticks % ticks == 0:
+            place = self._far_ticks // ticks
             far = (self._far[place % len(self._far)],)
         return Sending(near, partners, far, self._with_view)
 
-    def _per_tick(self, count: int, period_s: float) -> int:
+    def _count_per_tick(self, count: int, period_s: float) -> int:
         return math.ceil(count * self._interval_s / period_s)
--- a/almondstair/core/known_regions.py
+++ b/almondstair/core/known_regions.py
@@ -1,4 +1,4 @@
-"""What an entry knows of each region: reports, answers, links, and losses."""
+"""State of each region: load reports, in-band health, links and losses."""
 
 from almondstair.core.admission import KEPT_FRACTION
 from almondstair.core.health import HealthTable
@@ -11,21 +11,21 @@
 from almondstair.core.steering_records import Flow
 from almondstair.core.steering_records import RegionStatus
 
-# A region that fails this part of its answers is left like a lost one.
-FAILED_AS_LOST = 0.8
+# Fraction of failed requests from which a region is treated as lost.
+LOST_FAILURE_FRACTION = 0.8
 
 
 class KnownRegions:
-    """Keeps reports and answers by region and service."""
+    """Tracks load reports and in-band health by region and service."""
 
     def __init__(
         self, *, configuration: Configuration, report_limit_s: float
     ) -> None:
-        """Starts with nothing heard.
+        """Starts without reports.
 
         Args:
           configuration: regions, links, upstreams and services.
-          report_limit_s: age at which a load report counts as unknown.
+          report_limit_s: age in seconds at which a load report expires.
         """
         self._report_limit_s = report_limit_s
         self._loads: dict[tuple[str, str], RegionLoad] = {}
@@ -36,7 +36,7 @@
         self.configure(configuration=configuration)
 
     def configure(self, *, configuration: Configuration) -> None:
-        """Takes a new configuration; what was heard of its regions stays."""
+        """Applies a new configuration; reports on its regions are kept."""
         self._configuration = configuration
         self._distances_ms.clear()
         loads: dict[tuple[str, str], RegionLoad] = {}
@@ -52,11 +52,11 @@
         self._loads = loads
 
     def configured_slots(self, *, region: str, service: str) -> float:
-        """Returns the slots that the configuration gives a region."""
+        """Returns the slots configured for a service in a region."""
         return self._loads[(region, service)].configured_slots
 
     def totals(self, *, region: str, service: str, now_s: float) -> Totals:
-        """Returns what the reports on a region add up to."""
+        """Returns the sum of the load reports on a region."""
         return self._loads[(region, service)].totals(now_s=now_s)
 
     def observe(
@@ -71,18 +71,18 @@
         now_s: float,
         limit_s: float | None = None,
     ) -> None:
-        """Takes a load report; one on an unknown region or service is dropped.
+        """Records a load report; unknown regions and services are ignored.
 
         Args:
           region: region reported on.
           service: service reported on.
-          source: who reports; sources of one region add up.
-          slots: slots of the service that the source answers for.
-          free_slots: free ones among them.
-          age_s: age of the measurement when it arrived.
-          now_s: now.
-          limit_s: age at which this report no longer counts, for digests that
-            take long over several relays; None for the usual limit.
+          source: name of the source; the sources of a region are summed.
+          slots: slots of the service that the source reports on.
+          free_slots: free slots among them.
+          age_s: age of the measurement on arrival, in seconds.
+          now_s: monotonic time.
+          limit_s: age in seconds at which this report expires, for digests
+            that are slow over several relays; None for the default limit.
         """
         load = self._loads.get((region, service))
         if load is None:
@@ -96,22 +96,22 @@
         )
 
     def forget_source(self, *, source: str) -> None:
-        """Drops the reports of an entry that left the entry table."""
+        """Drops the reports of an entry removed from the entry table."""
         for load in self._loads.values():
             load.forget(source=source)
 
     def observe_link(
         self, *, availability_zone: str, region: str, headroom: float
     ) -> None:
-        """Takes the unused part of a link's cap, 0 to 1."""
+        """Records the unused fraction of a link's cap, 0 to 1."""
         self._link_headroom[(availability_zone, region)] = headroom
 
     def region_lost(self, *, region: str) -> None:
-        """Leaves a region at once: all its entries are silent or gone."""
+        """Marks a region as lost: all its entries are silent or gone."""
         self._lost.add(region)
 
     def region_back(self, *, region: str) -> None:
-        """Lets a region take work again; its weight grows from nothing."""
+        """Marks a region as recovered; its weight grows from zero."""
         self._lost.discard(region)
 
     def sent(self, *, region: str, service: str) -> None:
@@ -121,10 +121,10 @@
             load.sent()
 
     def returned(self, *, region: str, service: str) -> None:
-        """Counts the end of a request that tells nothing of the region.
+        """Counts the end of a request that is no evidence of health.
 
-        A caller that left, or whose own deadline was too short, or a claim
-        that the platform did not answer, is no fault of the region.
+        A caller that disconnected, a deadline that the caller set too short
+        or a claim that the platform did not answer is no fault of the region.
         """
         load = self._loads.get((region, service))
         if load is not None:
@@ -141,23 +141,23 @@
         now_s: float,
         still_ms: float = 0.0,
     ) -> None:
-        """Counts a whole answer of a region.
+        """Records a complete answer of a region.
 
         Args:
-          region: where it came from.
-          service: the service.
-          priority: of the request.
+          region: region that answered.
+          service: service of the request.
+          priority: priority of the request.
           request_class: class of the request.
-          latency_ms: from sending to the whole answer.
-          now_s: the time.
-          still_ms: part of it in which this entry stood still.
+          latency_ms: time from sending to the complete answer.
+          now_s: monotonic time.
+          still_ms: part of the latency in which this process was stalled.
         """
         self.returned(region=region, service=service)
         self._health.accepted(
-            name=_refusals_name(region, service, priority), now_s=now_s
+            name=_refusals_key(region, service, priority), now_s=now_s
         )
         self._health.answered(
-            name=_health_name(region, service),
+            name=_health_key(region, service),
             request_class=request_class,
             latency_ms=latency_ms,
             now_s=now_s,
@@ -167,28 +167,28 @@
     def refused(
         self, *, region: str, service: str, priority: Priority, now_s: float
     ) -> None:
-        """Counts a refusal by a region: certainly not run.
+        """Records a refusal by a region; the request was certainly not run.
 
-        Refusals count by priority, since low priority is refused first and
-        that says nothing about the room for higher ones.
+        Refusals are counted by priority: low priorities are refused first,
+        which says nothing about the capacity for higher ones.
         """
         self.returned(region=region, service=service)
-        name = _refusals_name(region, service, priority)
+        name = _refusals_key(region, service, priority)
         self._health.refused(name=name, now_s=now_s)
 
     def failed(self, *, region: str, service: str, now_s: float) -> None:
-        """Counts a failed, lost or late answer of a region."""
+        """Records a failed, lost or late answer of a region."""
         self.returned(region=region, service=service)
-        name = _health_name(region, service)
+        name = _health_key(region, service)
         self._health.failed(name=name, now_s=now_s)
 
     def status(self, *, service: str, now_s: float) -> tuple[RegionStatus, ...]:
-        """Returns every region of a service with the age of its report."""
+        """Returns the status of every region for a service."""
         rows: list[RegionStatus] = []
         for region in self._configuration.regions:
             load = self._loads[(region, service)]
             totals = load.totals(now_s=now_s)
-            name = _health_name(region, service)
+            name = _health_key(region, service)
             row = RegionStatus(
                 region=region,
                 live=self.is_live(region=region, service=service, now_s=now_s),
@@ -202,7 +202,7 @@
         return tuple(rows)
 
     def is_live(self, *, region: str, service: str, now_s: float) -> bool:
-        """Says whether a region takes work of a service at all."""
+        """Returns whether a region can take work of a service at all."""
         if region in self._lost:
             return False
         load = self._loads.get((region, service))
@@ -211,10 +211,10 @@
         return load.totals(now_s=now_s).slots > 0
 
     def is_failing(self, *, region: str, service: str, now_s: float) -> bool:
-        """Says whether nearly all answers of a region have failed."""
-        name = _health_name(region, service)
+        """Returns whether nearly all requests to a region fail."""
+        name = _health_key(region, service)
         view = self._health.view(name=name, now_s=now_s)
-        return view.failed >= FAILED_AS_LOST
+        return view.failed >= LOST_FAILURE_FRACTION
 
     def distance_ms(self, *, availability_zone: str, region: str) -> float:
         """Returns the latency to a region, infinite without a link to it."""
@@ -243,12 +243,12 @@
         free_slots: float,
         now_s: float,
     ) -> RegionView:
-        """Returns a region as work of this priority sees it."""
+        """Returns the region's view for a flow, less the reserved slots."""
         answers = self._health.view(
-            name=_health_name(region, flow.service), now_s=now_s
+            name=_health_key(region, flow.service), now_s=now_s
         )
         refusals = self._health.view(
-            name=_refusals_name(region, flow.service, flow.priority),
+            name=_refusals_key(region, flow.service, flow.priority),
             now_s=now_s,
         )
         kept_free = slots * KEPT_FRACTION[flow.priority]
@@ -283,9 +283,9 @@
         return regions
 
 
-def _health_name(region: str, service: str) -> str:
+def _health_key(region: str, service: str) -> str:
     return f"{region}/{service}"
 
 
-def _refusals_name(region: str, service: str, priority: Priority) -> str:
+def _refusals_key(region: str, service: str, priority: Priority) -> str:
     return f"{region}/{service}/{priority}"
--- a/almondstair/core/loads.py
+++ b/almondstair/core/loads.py
@@ -1,7 +1,7 @@
 """Load reports of the regions, with their ages.
 
-A region's load is the sum over its sources: one per entry nearby, or a single
-digest for a region far away.
+A region's load is the sum over its sources: one per entry for a nearby region,
+or a single digest for a remote one.
 """
 
 from typing import NamedTuple
@@ -12,12 +12,12 @@
 
 
 class Totals(NamedTuple):
-    """Load of one service in one region.
+    """Total load of one service in one region.
 
     Attributes:
-      known: whether any report is within the limit of age.
-      slots: slots reported; those configured while nothing is known.
-      free_slots: free slots reported, less what was sent since; 0 while
+      known: whether any report is within the age limit.
+      slots: reported slots; the configured ones while nothing is known.
+      free_slots: reported free slots less the requests sent since; 0 while
         nothing is known.
     """
 
@@ -27,18 +27,18 @@
 
 
 class _Report(NamedTuple):
-    """The last load report of one source."""
+    """The last load report of a source."""
 
     slots: int
     free_slots: int
     measured_s: float
-    ends_s: float
+    expires_s: float
 
 
 class RegionLoad:
-    """Load of one service in one region.
+    """Tracks the load of one service in one region.
 
-    Sums are kept as reports arrive, since they are read on each request and
+    The sums are updated as reports arrive, since each request reads them and
     a region may have many sources.
     """
 
@@ -57,8 +57,8 @@
         """Makes a load without reports.
 
         Args:
-          configured_slots: slots of the upstreams configured there.
-          limit_s: age at which a report no longer counts.
+          configured_slots: slots of the upstreams configured in the region.
+          limit_s: age in seconds at which a report expires.
         """
         self.configured_slots = configured_slots
         self._limit_s = limit_s
@@ -78,55 +78,58 @@
         measured_s: float,
         limit_s: float | None = None,
     ) -> None:
-        """Takes a report unless a younger one of the source is known.
+        """Records a report unless a newer one of the source is known.
 
         Args:
-          source: who reports.
-          slots: slots that it answers for.
-          free_slots: free ones among them.
-          measured_s: when they were counted.
-          limit_s: age at which this report no longer counts; None for the
-            limit of the load.
+          source: name of the reporting source.
+          slots: slots that the source reports on.
+          free_slots: free slots among them.
+          measured_s: monotonic time of the measurement.
+          limit_s: age in seconds at which this report expires; None for the
+            limit given to the load.
         """
         last = self._reports.get(source)
         if last is not None and last.measured_s > measured_s:
             return
-        ends_s = measured_s + (self._limit_s if limit_s is None else limit_s)
-        self._reports[source] = _Report(slots, free_slots, measured_s, ends_s)
-        # The report covers what was sent before it, in its source's part.
+        expires_s = measured_s + (self._limit_s if limit_s is None else limit_s)
+        self._reports[source] = _Report(
+            slots, free_slots, measured_s, expires_s
+        )
+        # The report already includes the source's share of the requests sent
+        # before it.
         self._outstanding -= self._outstanding / len(self._reports)
-        if last is None or last.ends_s < self._valid_until_s:
-            # Its last report is not in the sums.
+        if last is None or last.expires_s < self._valid_until_s:
+            # The sums do not include the source's last report.
             self._valid_until_s = NEVER_S
             return
         self._slots += slots - last.slots
         self._free_slots += free_slots - last.free_slots
-        self._valid_until_s = min(self._valid_until_s, ends_s)
+        self._valid_until_s = min(self._valid_until_s, expires_s)
 
     def forget(self, *, source: str) -> None:
-        """Drops a source that left."""
+        """Drops the report of a source that was removed."""
         if self._reports.pop(source, None) is not None:
             self._valid_until_s = NEVER_S
 
     def sent(self) -> None:
-        """Counts a request sent and not answered yet.
+        """Counts a request that was sent and is not finished yet.
 
-        A report lags. Without this every request until the next report would
-        see the same free slots, and all would go there at once.
+        Reports lag. Without this count, every request until the next report
+        would see the same free slots and be sent to the same region.
         """
         self._outstanding += 1.0
 
     def returned(self) -> None:
-        """Counts an answer, a refusal or a failure."""
+        """Counts the end of a request: an answer, a refusal or a failure."""
         self._outstanding = max(0.0, self._outstanding - 1.0)
 
     def totals(self, *, now_s: float) -> Totals:
-        """Returns the sums over reports within the limit.
+        """Returns the sums over reports within the age limit.
 
-        A source past the limit adds nothing: its slots may be taken or gone.
+        An expired report adds nothing: the slots may be in use or gone.
         """
         if now_s > self._valid_until_s:
-            self._add_up(now_s=now_s)
+            self._recompute_sums(now_s=now_s)
         if not self._known:
             return Totals(
                 known=False, slots=self.configured_slots, free_slots=0.0
@@ -135,33 +138,33 @@
         return Totals(known=True, slots=self._slots, free_slots=free_slots)
 
     def youngest_age_s(self, *, now_s: float) -> float | None:
-        """Returns the age of the youngest report, None without any."""
-        youngest_s: float | None = None
+        """Returns the age of the newest report, None without reports."""
+        least_age_s: float | None = None
         for report in self._reports.values():
             age_s = now_s - report.measured_s
-            if youngest_s is None or age_s < youngest_s:
-                youngest_s = age_s
-        return youngest_s
+            if least_age_s is None or age_s < least_age_s:
+                least_age_s = age_s
+        return least_age_s
 
-    def _add_up(self, *, now_s: float) -> None:
-        """Adds up again; valid until the first report counted runs out."""
+    def _recompute_sums(self, *, now_s: float) -> None:
+        """Recomputes the sums; they hold until the first report expires."""
         self._slots = 0
         self._free_slots = 0
         self._known = False
         self._valid_until_s = float("inf")
         for report in self._reports.values():
-            if report.ends_s < now_s:
+            if report.expires_s < now_s:
                 continue
             self._known = True
             self._slots += report.slots
             self._free_slots += report.free_slots
-            self._valid_until_s = min(self._valid_until_s, report.ends_s)
+            self._valid_until_s = min(self._valid_until_s, report.expires_s)
 
 
 def configured_slots(
     *, configuration: Configuration
 ) -> dict[tuple[str, str], int]:
-    """Returns the slots by region and service, leaving upstreams left out."""
+    """Returns the slots by region and service, without leaving upstreams."""
     slots: dict[tuple[str, str], int] = {}
     for region in configuration.regions:
         for service in configuration.services:
--- a/almondstair/core/lookup.py
+++ b/almondstair/core/lookup.py
@@ -1,7 +1,7 @@
-"""Which entries a caller is told to use, and in which order.
+"""Look-up answers: which entries a caller should use, and in which order.
 
-The order depends only on the caller's block of addresses and on the live
-entries, so every entry gives the same answer and callers spread evenly.
+The order depends only on the caller's address block and on the live entries,
+so every entry gives the same answer and callers are spread evenly.
 """
 
 import heapq
@@ -13,9 +13,9 @@
 from almondstair.core.model import Configuration
 
 DEFAULT_LIMIT = 3
-# Blocks are put into buckets and the answer is worked out once a bucket, which
-# bounds the memory of kept answers. Some hundreds of buckets for each entry of
-# a zone keep the callers evenly spread.
+# Blocks are hashed into buckets with one cached answer each, which bounds the
+# memory of the cache. With some hundreds of buckets for each entry of a zone,
+# callers are spread evenly.
 BUCKETS = 16_384
 SAME_REGION_DISTANCE_MS = 0.5
 IPV4_BLOCK_BYTES = 3
@@ -27,8 +27,8 @@
 
     Attributes:
       name: name in the entry table.
-      availability_zone: where it runs.
-      address: `ip:port` of its caller listener.
+      availability_zone: availability zone that it runs in.
+      address: `ip:port` of its listener for callers.
     """
 
     name: str
@@ -36,8 +36,8 @@
     address: str
 
 
-class _Scored(NamedTuple):
-    """One entry with the bytes that its score is worked out from."""
+class _ScoredEntry(NamedTuple):
+    """An entry with the bytes that its score is computed from."""
 
     key: bytes
     entry: LookupEntry
@@ -66,11 +66,11 @@
 def zone_distances_ms(
     *, configuration: Configuration, availability_zone: str
 ) -> dict[str, float]:
-    """Returns how far each availability zone is from one, one way.
+    """Returns the one-way latency from one availability zone to each.
 
-    Zones of the same region count as half a millisecond away; others as far as
-    the link to their region. A zone without a link to it is infinitely far, so
-    that it is named only when nothing nearer lives.
+    Zones of the same region count as half a millisecond away, others as far as
+    the link to their region. A zone without a link is infinitely far, so that
+    it is used only when no nearer entry is live.
     """
     own_region = configuration.region_of(availability_zone=availability_zone)
     distances: dict[str, float] = {}
@@ -90,8 +90,8 @@
 class LookupTable:
     """Orders the live entries for callers of one availability zone.
 
-    A table is built again whenever the live entries change. Answers are worked
-    out when first asked for and then kept.
+    A table is rebuilt whenever the live entries change. Answers are computed on
+    first use and then cached.
     """
 
     def __init__(
@@ -106,13 +106,13 @@
         Args:
           entries: entries that are live and not leaving.
           distances_ms: distance of each availability zone from the callers.
-          limit: most entries in an answer; at least 2.
+          limit: maximum number of entries in an answer; at least 2.
 
         Raises:
           ValueError: `limit` is below 2.
         """
         if limit < 2:
-            raise ValueError("a look-up names at least two entries")
+            raise ValueError("the limit of a look-up must be at least 2")
         self._limit = limit
         self._groups = _group_by_distance(
             entries=entries, distances_ms=distances_ms
@@ -122,55 +122,57 @@
     def order(self, *, block: bytes) -> tuple[LookupEntry, ...]:
         """Returns the entries for a caller's block, best first.
 
-        When the nearest zone alone could fill the answer, its last place goes
-        to the next nearest zone. Otherwise a lost availability zone would
-        take away every entry that its callers know until their cached answer
-        ends; with this, one of them still answers.
+        If the nearest zone alone could fill the answer, the last position goes
+        to the next nearest zone. Otherwise the loss of an availability zone
+        would leave its callers without any entry until their cached answer
+        expires.
         """
         bucket = xxhash.xxh3_64_intdigest(block) % BUCKETS
         answer = self._answers.get(bucket)
         if answer is None:
-            answer = self._order(bucket=bucket)
+            answer = self._compute_order(bucket=bucket)
             self._answers[bucket] = answer
         return answer
 
-    def _order(self, *, bucket: int) -> tuple[LookupEntry, ...]:
-        chosen: list[LookupEntry] = []
+    def _compute_order(self, *, bucket: int) -> tuple[LookupEntry, ...]:
+        selected: list[LookupEntry] = []
         last_group = len(self._groups) - 1
         for position, group in enumerate(self._groups):
-            room = self._limit - len(chosen)
-            if room == 0:
+            remaining = self._limit - len(selected)
+            if remaining == 0:
                 break
             if position == 0 and last_group > 0:
-                room -= 1
-            chosen.extend(_best(group=group, bucket=bucket, count=room))
-        return tuple(chosen)
+                remaining -= 1
+            selected.extend(
+                _highest_scored(group=group, bucket=bucket, count=remaining)
+            )
+        return tuple(selected)
 
 
 def _group_by_distance(
     *, entries: tuple[LookupEntry, ...], distances_ms: dict[str, float]
-) -> tuple[tuple[_Scored, ...], ...]:
+) -> tuple[tuple[_ScoredEntry, ...], ...]:
     """Returns the entries in groups of equal distance, nearest first."""
-    groups: dict[float, list[_Scored]] = {}
+    groups: dict[float, list[_ScoredEntry]] = {}
     for entry in entries:
         distance_ms = distances_ms.get(entry.availability_zone, float("inf"))
-        scored = _Scored(key=entry.name.encode(), entry=entry)
+        scored = _ScoredEntry(key=entry.name.encode(), entry=entry)
         groups.setdefault(distance_ms, []).append(scored)
-    ordered: list[tuple[_Scored, ...]] = []
+    ordered: list[tuple[_ScoredEntry, ...]] = []
     for distance_ms in sorted(groups):
         ordered.append(tuple(groups[distance_ms]))
     return tuple(ordered)
 
 
-def _best(
-    *, group: tuple[_Scored, ...], bucket: int, count: int
+def _highest_scored(
+    *, group: tuple[_ScoredEntry, ...], bucket: int, count: int
 ) -> list[LookupEntry]:
     """Returns the highest scores of a group by rendezvous hashing."""
     digest = xxhash.xxh3_64_intdigest
     scores: list[tuple[int, int]] = []
     for position, scored in enumerate(group):
         scores.append((digest(scored.key, bucket), position))
-    best: list[LookupEntry] = []
+    highest: list[LookupEntry] = []
     for _, position in heapq.nlargest(count, scores):
-        best.append(group[position].entry)
-    return best
+        highest.append(group[position].entry)
+    return highest
--- a/almondstair/core/model.py
+++ b/almondstair/core/model.py
@@ -1,8 +1,8 @@
 """The deployment configuration as typed data.
 
-This is the document that operators edit and that the platform's service keeps.
-`almondstair.settings` reads it from TOML and validates it against these types;
-everything else receives them ready made.
+This is the document that operators edit and that the platform's service stores.
+`almondstair.settings` parses it from TOML and validates it against these types;
+all other code receives validated values.
 """
 
 import enum
@@ -13,12 +13,12 @@
 from annotated_types import Le
 
 Positive = Annotated[int, Gt(0)]
-NotNegative = Annotated[int, Ge(0)]
+NonNegative = Annotated[int, Ge(0)]
 Fraction = Annotated[float, Ge(0), Le(1)]
 
 
 class Priority(enum.StrEnum):
-    """Order in which work is refused last to first."""
+    """Priority of a request; the last member is refused first."""
 
     INTERACTIVE = "interactive"
     COMMIT = "commit"
@@ -27,7 +27,7 @@
 
 
 class PolicyName(enum.StrEnum):
-    """Ways of turning a profile into weights over regions."""
+    """Policies that compute the weights of regions."""
 
     LOCAL = "local"
     SPREAD = "spread"
@@ -40,11 +40,11 @@
     Attributes:
       name: name in metrics and reports.
       methods: HTTP methods that the class covers.
-      path: path below the service; a trailing `*` matches any rest.
-      idempotent: whether a repeat does no harm.
-      priority: who is refused last.
-      deadline_ms: longest time to a whole answer.
-      body_limit_bytes: largest request body.
+      path: path below the service; a trailing `*` matches any suffix.
+      idempotent: whether a request may safely be repeated.
+      priority: priority of the requests; the highest is refused last.
+      deadline_ms: maximum time to a complete answer.
+      body_limit_bytes: maximum size of a request body.
     """
 
     name: str
@@ -57,7 +57,7 @@
 
 
 class Service(NamedTuple):
-    """A service: its profile and its request classes, first match wins."""
+    """A service: its profile and its request classes; the first match wins."""
 
     profile: str
     classes: tuple[RequestClass, ...]
@@ -69,9 +69,9 @@
     Attributes:
       services: names of the services that it runs.
       address: `ip:port` of its HTTP listener.
-      availability_zone: where it runs.
-      slots: requests that it runs at once.
-      connections: connections that it accepts.
+      availability_zone: availability zone that it runs in.
+      slots: maximum number of concurrent requests.
+      connections: maximum number of connections.
       load_path: path of its load report as JSON; empty for none.
     """
 
@@ -95,7 +95,7 @@
     Attributes:
       availability_zone: the edge end.
       region: the data centre end.
-      cap_bytes_per_s: most bytes per second, each way.
+      cap_bytes_per_s: maximum bytes per second in each direction.
       latency_ms: one-way latency.
     """
 
@@ -109,11 +109,11 @@
     """A named steering profile.
 
     Attributes:
-      policy: how weights over regions come about.
-      headroom_fraction: part of a region's slots kept free of spilled work.
-      latency_bound_ms: farthest region, one way, that takes work.
-      ramp_fraction_per_s: most that a region's weight grows in a second.
-      retry_fraction: retries allowed as a fraction of first tries.
+      policy: policy that computes the weights of regions.
+      headroom_fraction: fraction of a region's slots kept free of spilled work.
+      latency_bound_ms: maximum one-way latency to a region that takes work.
+      ramp_fraction_per_s: maximum growth of a region's weight per second.
+      retry_fraction: allowed retries as a fraction of first attempts.
     """
 
     policy: PolicyName
@@ -124,7 +124,7 @@
 
 
 class Marks(NamedTuple):
-    """What operators said of single VMs.
+    """Marks that operators set on single VMs.
 
     Attributes:
       leaving: names of upstreams or entries that take no new work.
@@ -134,7 +134,7 @@
 
 
 class Configuration(NamedTuple):
-    """The whole document."""
+    """The whole deployment configuration."""
 
     regions: dict[str, Region]
     services: dict[str, Service]
