--- a/almondstair/core/blocks.py
+++ b/almondstair/core/blocks.py
@@ -148,17 +148,20 @@
       AlmondstairError: CONFIGURATION_INVALID if a block is neither 3 nor 6
         bytes, is listed with two sites, or a site is out of range.
     """
-    words: dict[int, list[int]] = {IPV4_BLOCK_BYTES: [], IPV6_BLOCK_BYTES: []}
+    rows_by_block_bytes: dict[int, list[int]] = {
+        IPV4_BLOCK_BYTES: [],
+        IPV6_BLOCK_BYTES: [],
+    }
     for row in rows:
-        if len(row.block) not in words:
+        if len(row.block) not in rows_by_block_bytes:
             raise _invalid(f"a block of {len(row.block)} bytes")
         if not 0 <= row.site <= _HIGHEST_SITE:
             raise _invalid(f"site number {row.site}")
         # Block and site share an integer, so that one sort orders both.
         packed_row = int.from_bytes(row.block) << _SITE_BITS | row.site
-        words[len(row.block)].append(packed_row)
+        rows_by_block_bytes[len(row.block)].append(packed_row)
     table = BlockTable(version=version)
-    for block_bytes, unsorted_rows in words.items():
+    for block_bytes, unsorted_rows in rows_by_block_bytes.items():
         family = table.family(block_bytes=block_bytes)
         previous = -1
         for packed_row in sorted(set(unsorted_rows)):
--- a/almondstair/core/heartbeat_words.py
+++ b/almondstair/core/heartbeat_words.py
@@ -163,14 +163,14 @@
     """
     ages = bytearray()
     versions_behind_bytes = bytearray()
-    for word in words:
+    for member in words:
         age_units = UNKNOWN_BYTE
-        if word.live and word.age_s < UNKNOWN_BYTE * AGE_UNIT_S:
+        if member.live and member.age_s < UNKNOWN_BYTE * AGE_UNIT_S:
             # Rounded up: a relayed report must never appear fresher than it
             # is.
-            age_units = min(UNKNOWN_BYTE, math.ceil(word.age_s / AGE_UNIT_S))
+            age_units = min(UNKNOWN_BYTE, math.ceil(member.age_s / AGE_UNIT_S))
         ages.append(age_units)
-        versions_behind_count = configuration_version - word.version
+        versions_behind_count = configuration_version - member.version
         versions_behind_bytes.append(
             min(UNKNOWN_BYTE, max(0, versions_behind_count))
         )
@@ -186,7 +186,7 @@
       view: a view of the epoch that is in force here.
       names: names of the group in the order of the view.
     """
-    words = []
+    members = []
     for name, age_units, versions_behind_count in zip(
         names, view.ages, view.versions_behind, strict=False
     ):
@@ -196,8 +196,8 @@
         if versions_behind_count != UNKNOWN_BYTE:
             version = view.configuration_version - versions_behind_count
         age_s = age_units * AGE_UNIT_S + RELAY_DELAY_S
-        words.append(MemberWord(name, True, age_s, version))
-    return words
+        members.append(MemberWord(name, True, age_s, version))
+    return members
 
 
 def make_digest(
@@ -220,11 +220,11 @@
     live = []
     has_version = []
     oldest_s = 0.0
-    for word in words:
-        live.append(word.live)
-        has_version.append(word.live and word.version >= version)
-        if word.live:
-            oldest_s = max(oldest_s, word.age_s)
+    for member in words:
+        live.append(member.live)
+        has_version.append(member.live and member.version >= version)
+        if member.live:
+            oldest_s = max(oldest_s, member.age_s)
     return ZoneDigest(
         availability_zone=availability_zone,
         epoch=epoch,
@@ -246,14 +246,14 @@
       names: names of the zone's entries in the order of the digest.
     """
     age_s = digest.age_ms / 1000 + RELAY_DELAY_S
-    words = []
+    members = []
     for place, name in enumerate(names):
         live = _is_bit_set(digest.live_bits, place)
         version = 0
         if _is_bit_set(digest.version_bits, place):
             version = digest.version
-        words.append(MemberWord(name, live, age_s, version))
-    return words
+        members.append(MemberWord(name, live, age_s, version))
+    return members
 
 
 def _pack_bits(flags: Sequence[bool]) -> bytes:
--- a/almondstair/core/policies.py
+++ b/almondstair/core/policies.py
@@ -1,7 +1,7 @@
-"""Policies: how a profile turns views of regions into target weights.
+"""Policies that compute target weights from views of regions.
 
-A policy says where work should go if it could be moved at once;
-`almondstair.core.steering` decides how fast it moves.
+A policy decides where work should go if it could be moved at once;
+`almondstair.core.steering` limits how fast it moves.
 """
 
 import abc
@@ -9,21 +9,23 @@
 
 from almondstair.core.model import PolicyName
 
-# Part of a link's cap below which work sent over it is reduced in proportion.
+# Unused fraction of a link's cap below which the work sent over the link is
+# reduced in proportion.
 LINK_RESERVE_FRACTION = 0.1
 
 
 class RegionView(NamedTuple):
-    """One region as a policy sees it.
+    """Input of a policy for one region.
 
     Attributes:
-      region: name.
-      latency_ms: one way from the caller's availability zone; 0 for the own.
+      region: name of the region.
+      latency_ms: one-way latency from the caller's availability zone; 0 within
+        its region.
       slots: slots of the service in the region.
-      free_slots: free ones, as claimed.
-      health: 0 to 1, from the sender's own requests; work is reduced by it
-        whatever is claimed.
-      link_headroom: unused part of the link's cap, 0 to 1.
+      free_slots: free slots as reported.
+      health: 0 to 1, from the sender's own requests; reduces the work whatever
+        the region reports.
+      link_headroom: unused fraction of the link's cap, 0 to 1.
     """
 
     region: str
@@ -35,20 +37,19 @@
 
 
 class RegionWeight(NamedTuple):
-    """Part of the work that goes to a region; all parts add up to one."""
+    """The fraction of work that goes to a region; weights sum to one."""
 
     region: str
     weight: float
 
 
 class SteeringInput(NamedTuple):
-    """What a policy decides on.
+    """Input of a policy.
 
     Attributes:
-      views: regions that are live and of which something is known, nearest
-        first.
-      headroom_fraction: part of a region's slots kept free of spilled work.
-      latency_bound_ms: farthest region, one way, that takes work.
+      views: views of the live regions with known load, nearest first.
+      headroom_fraction: fraction of a region's slots kept free of spilled work.
+      latency_bound_ms: maximum one-way latency to a region that takes work.
     """
 
     views: tuple[RegionView, ...]
@@ -57,7 +58,7 @@
 
 
 class Policy(abc.ABC):
-    """A way of spreading work over regions."""
+    """Computes how work is distributed over regions."""
 
     @property
     def follows_load(self) -> bool:
@@ -70,58 +71,58 @@
 
 
 class LocalPolicy(Policy):
-    """The nearest region until its headroom is spent, then the next.
+    """Uses the nearest region until its headroom is used up, then the next.
 
-    The nearest keeps everything while its free slots are above the headroom
-    and gives up work in proportion as they fall to none. A switch at a
-    threshold would send the whole load away and back with each lagging
-    report; the proportion settles instead.
+    The nearest region keeps all work while its free slots are above the
+    headroom, and a proportionally smaller part as they fall to zero. A switch
+    at a threshold would oscillate: each lagging report would send the whole
+    load away and back. The proportional part settles.
     """
 
     def weights(self, *, request: SteeringInput) -> tuple[RegionWeight, ...]:
         """Returns a weight for each view; empty if there is no view."""
-        left = 1.0
+        unassigned = 1.0
         weights: list[RegionWeight] = []
-        for position, view in enumerate(_within_bound(request=request)):
+        for position, view in enumerate(_views_within_bound(request=request)):
             if position == 0:
-                part = _part_kept(view=view, request=request)
+                fraction = _kept_fraction(view=view, request=request)
             else:
-                part = _part_of_spill(view=view, request=request)
-            weights.append(RegionWeight(view.region, left * part))
-            left -= left * part
+                fraction = _spill_fraction(view=view, request=request)
+            weights.append(RegionWeight(view.region, unassigned * fraction))
+            unassigned -= unassigned * fraction
         if not weights:
             return ()
-        # What nobody has room for stays near, where it is refused by priority
-        # without crossing a link first.
+        # Work that no region has capacity for stays in the nearest one, where
+        # it is refused by priority without crossing a link first.
         nearest = weights[0]
-        weights[0] = RegionWeight(nearest.region, nearest.weight + left)
+        weights[0] = RegionWeight(nearest.region, nearest.weight + unassigned)
         return tuple(weights)
 
 
 class SpreadPolicy(Policy):
-    """In proportion to free slots above the headroom, within the bound."""
+    """Weights regions within the bound by free slots above the headroom."""
 
     def weights(self, *, request: SteeringInput) -> tuple[RegionWeight, ...]:
         """Returns a weight for each view; empty if there is no view."""
         shares: list[RegionWeight] = []
-        for view in _within_bound(request=request):
+        for view in _views_within_bound(request=request):
             kept = view.slots * request.headroom_fraction
             spare = max(0.0, view.free_slots - kept)
-            spare *= view.health * _link_part(view=view)
+            spare *= view.health * _link_factor(view=view)
             shares.append(RegionWeight(view.region, spare))
         if _total(shares) > 0.0:
             return _normalized(shares)
         shares = []
-        for view in _within_bound(request=request):
+        for view in _views_within_bound(request=request):
             free = view.free_slots * view.health
             shares.append(RegionWeight(view.region, free))
         if _total(shares) > 0.0:
             return _normalized(shares)
-        return _by_slots(views=_within_bound(request=request))
+        return _weights_by_slots(views=_views_within_bound(request=request))
 
 
 class RoundRobinPolicy(Policy):
-    """In proportion to slots, whatever the load: the baseline."""
+    """Weights regions by slots, whatever their load; a baseline."""
 
     @property
     def follows_load(self) -> bool:
@@ -130,7 +131,7 @@
 
     def weights(self, *, request: SteeringInput) -> tuple[RegionWeight, ...]:
         """Returns a weight for each view; empty if there is no view."""
-        return _by_slots(views=request.views)
+        return _weights_by_slots(views=request.views)
 
 
 POLICIES: dict[PolicyName, Policy] = {
@@ -140,8 +141,8 @@
 }
 
 
-def _within_bound(*, request: SteeringInput) -> tuple[RegionView, ...]:
-    """Returns the views within the latency bound, or else the nearest one."""
+def _views_within_bound(*, request: SteeringInput) -> tuple[RegionView, ...]:
+    """Returns the views within the latency bound, else the nearest one."""
     near: list[RegionView] = []
     for view in request.views:
         if view.latency_ms > request.latency_bound_ms:
@@ -152,32 +153,34 @@
     return tuple(near)
 
 
-def _part_kept(*, view: RegionView, request: SteeringInput) -> float:
-    """Returns the part of its work that the nearest region keeps."""
+def _kept_fraction(*, view: RegionView, request: SteeringInput) -> float:
+    """Returns the fraction of its work that the nearest region keeps."""
     if view.free_slots <= 0.0 or view.slots <= 0.0:
         return 0.0
-    part = view.health * _link_part(view=view)
+    fraction = view.health * _link_factor(view=view)
     if request.headroom_fraction == 0.0:
-        return part
+        return fraction
     free = view.free_slots / view.slots
-    return min(1.0, free / request.headroom_fraction) * part
+    return min(1.0, free / request.headroom_fraction) * fraction
 
 
-def _part_of_spill(*, view: RegionView, request: SteeringInput) -> float:
-    """Returns the part of the spilled work that a farther region takes."""
+def _spill_fraction(*, view: RegionView, request: SteeringInput) -> float:
+    """Returns the fraction of the spilled work that another region takes."""
     kept = view.slots * request.headroom_fraction
     spare = view.free_slots - kept
     if spare <= 0.0:
         return 0.0
-    part = view.health * _link_part(view=view)
-    return min(1.0, spare / max(1.0, kept)) * part
+    fraction = view.health * _link_factor(view=view)
+    return min(1.0, spare / max(1.0, kept)) * fraction
 
 
-def _link_part(*, view: RegionView) -> float:
+def _link_factor(*, view: RegionView) -> float:
     return max(0.0, min(1.0, view.link_headroom / LINK_RESERVE_FRACTION))
 
 
-def _by_slots(*, views: tuple[RegionView, ...]) -> tuple[RegionWeight, ...]:
+def _weights_by_slots(
+    *, views: tuple[RegionView, ...]
+) -> tuple[RegionWeight, ...]:
     shares: list[RegionWeight] = []
     for view in views:
         shares.append(RegionWeight(view.region, view.slots))
--- a/almondstair/core/quarantine.py
+++ b/almondstair/core/quarantine.py
@@ -1,19 +1,20 @@
-"""Requests that crash the upstreams that run them.
-
-Symptom: an upstream dies mid-request; the caller, told nothing, sends the
-request again through another entry; the next upstream dies. Unchecked, one
-request takes down a region. A connection lost without an answer is therefore a
-strike against the request, known by its fingerprint. After one strike it runs
-only where nothing else runs; after strikes on two different upstreams no entry
-dispatches it for some minutes.
-
-Upstreams also die of something else, and take along whatever ran there. When a
-rack is lost, several die at once, each running the most asked for paths, which
-must not be refused for minutes on that ground. A request that is sent again
-starts after the strike before; what a rack took along had started already. So a
-strike counts only if its request started after the last one that counts. And
-one strike no longer keeps a request alone once it was answered whole; the
-strike itself stays, and the next one at another upstream counts.
+"""Quarantine of requests that crash the upstreams that run them.
+
+Symptom: an upstream crashes during a request; the caller gets no answer and
+resends the request through another entry; the next upstream crashes. Without a
+quarantine, one request can take down a region. A connection lost without an
+answer is therefore a strike against the request, identified by its fingerprint.
+After one strike, the request runs only on an upstream that runs nothing else;
+after strikes on two different upstreams, no entry dispatches it for some
+minutes.
+
+Upstreams also fail for other reasons, with whatever they run. When a rack is
+lost, several upstreams fail at once, all running the most popular paths, which
+must not be refused for minutes because of that. A resent request starts after
+the previous strike, while requests lost with a rack had all started before. So
+a strike counts only if its request started after the last counted strike. Once
+the request was answered completely, a single strike no longer makes it run
+alone; the strike itself stays, and the next one at another upstream counts.
 """
 
 import enum
@@ -25,19 +26,26 @@
 DEFAULT_CAPACITY = 1024
 DEFAULT_DIGEST_LIMIT = 16
 STRIKES_TO_QUARANTINE = 2
-# Strikes learned from a peer look later than they were by the transit time. A
-# request that started this much before a strike still counts as sent after it.
+# Strikes learned from a peer appear later than they were by the transit time.
+# A request that started up to this long before a strike still counts as started
+# after it.
 TRANSIT_S = 0.02
-# Losses at one upstream within this time have one cause, its end.
-SAME_END_S = 1.0
-# A mark on its last seconds is neither sent nor taken. Otherwise each entry
-# would learn it from a peer just after forgetting it, a little longer each
-# time by the transit time, and a mark could outlive its time without end.
+# Losses at one upstream within this time have one cause, its failure.
+SAME_LOSS_WINDOW_S = 1.0
+# Marks with less time left are neither sent nor accepted. Otherwise each entry
+# could learn a mark from a peer just after dropping its own, each time extended
+# by the transit time, and the mark would never expire.
 RELAY_MARGIN_S = 10.0
 
 
 class Verdict(enum.StrEnum):
-    """How a request may be dispatched."""
+    """How a request may be dispatched.
+
+    Attributes:
+      CLEAR: without restriction.
+      ALONE: only on an upstream that runs nothing else.
+      QUARANTINED: not at all.
+    """
 
     CLEAR = "clear"
     ALONE = "alone"
@@ -45,12 +53,12 @@
 
 
 class Mark(NamedTuple):
-    """One strike as heartbeats carry it.
+    """A strike as carried by heartbeats.
 
     Attributes:
       fingerprint: fingerprint of the request, 64 bits.
       upstream: hash of the upstream's name, 32 bits.
-      remaining_s: time left; a span, since entries share no clock.
+      remaining_s: time to expiry; a duration, since entries share no clock.
       ran_s: how long the request had run at the upstream.
     """
 
@@ -61,7 +69,7 @@
 
 
 class _Strike:
-    """A strike as this entry keeps it."""
+    """A strike as stored by this entry."""
 
     __slots__ = ("answered", "expires_s", "ran_s", "times_sent")
 
@@ -71,14 +79,18 @@
         self.answered = False
         self.times_sent = 0
 
-    def take_same_end(self, other: "_Strike") -> bool:
-        """Takes another loss at the upstream if the same end caused it.
+    def merge_same_loss(self, other: "_Strike") -> bool:
+        """Merges another loss at the upstream if it has the same cause.
+
+        The strike keeps the earliest start. Requests that had just started are
+        lost together with those that had run for long; with a late start alone,
+        the loss would seem to hit a request that was resent after the previous
+        strike.
 
-        What goes wrong if the last one stands alone: look-ups that had just
-        begun are lost with those that ran for long, and the end seems to have
-        come to a request that began after the strike before.
+        Returns:
+          Whether it was merged.
         """
-        if abs(other.expires_s - self.expires_s) > SAME_END_S:
+        if abs(other.expires_s - self.expires_s) > SAME_LOSS_WINDOW_S:
             return False
         began_s = other.expires_s - other.ran_s
         self.ran_s = max(self.ran_s, self.expires_s - began_s)
@@ -88,7 +100,7 @@
 def request_fingerprint(*, method: str, path: str, body_digest: bytes) -> int:
     """Returns the fingerprint of a request, 64 bits.
 
-    Headers stay out of it: a resend carries new deadlines and traces.
+    Headers are excluded: a resent request has other deadlines and traces.
     """
     digest = xxhash.xxh3_64()
     digest.update(method.encode())
@@ -100,12 +112,12 @@
 
 
 def body_digest(*, body: bytes) -> bytes:
-    """Returns the digest of a body, or of the part of it at hand."""
+    """Returns the digest of a body, or of the part received so far."""
     return xxhash.xxh3_64_digest(body)
 
 
 class Quarantine:
-    """Strikes by request, own and learned from peers."""
+    """Stores strikes by request, own ones and those learned from peers."""
 
     def __init__(
         self,
@@ -116,9 +128,9 @@
         """Makes an empty table.
 
         Args:
-          strike_life_s: how long a strike counts, and so how long a request
-            stays quarantined at most.
-          capacity: most requests kept; the oldest is dropped first.
+          strike_life_s: time in seconds after which a strike expires, and so
+            the maximum time that a request stays quarantined.
+          capacity: maximum number of requests; the oldest is dropped first.
         """
         self._strike_life_s = strike_life_s
         self._capacity = capacity
@@ -127,13 +139,13 @@
     def strike(
         self, *, fingerprint: int, upstream: str, ran_s: float, now_s: float
     ) -> None:
-        """Counts a connection to `upstream` lost without an answer.
+        """Records a connection to `upstream` that was lost without an answer.
 
         Args:
-          fingerprint: of the request.
+          fingerprint: fingerprint of the request.
           upstream: name of the upstream.
-          ran_s: how long it had run there.
-          now_s: the time.
+          ran_s: how long the request had run there, in seconds.
+          now_s: monotonic time.
         """
         self._add(
             fingerprint=fingerprint,
@@ -142,12 +154,12 @@
         )
 
     def answered(self, *, fingerprint: int) -> None:
-        """Takes a whole answer: the strikes so far need no running alone."""
+        """Records a complete answer: strikes so far no longer force `ALONE`."""
         for strike in self._strikes.get(fingerprint, {}).values():
             strike.answered = True
 
     def verdict(self, *, fingerprint: int, now_s: float) -> Verdict:
-        """Returns how a request may be dispatched now."""
+        """Returns how a request may be dispatched; drops expired strikes."""
         by_upstream = self._strikes.get(fingerprint)
         if by_upstream is None:
             return Verdict.CLEAR
@@ -155,7 +167,10 @@
         if not by_upstream:
             del self._strikes[fingerprint]
             return Verdict.CLEAR
-        if len(_counted(by_upstream=by_upstream)) >= STRIKES_TO_QUARANTINE:
+        if (
+            len(_counted_strikes(by_upstream=by_upstream))
+            >= STRIKES_TO_QUARANTINE
+        ):
             return Verdict.QUARANTINED
         for strike in by_upstream.values():
             if not strike.answered:
@@ -166,7 +181,7 @@
         """Returns how long a request stays quarantined, 0 if it is not."""
         by_upstream = self._strikes.get(fingerprint, {})
         ends: list[float] = []
-        for strike in _counted(by_upstream=by_upstream):
+        for strike in _counted_strikes(by_upstream=by_upstream):
             ends.append(strike.expires_s)
         if len(ends) < STRIKES_TO_QUARANTINE:
             return 0.0
@@ -178,17 +193,17 @@
     ) -> tuple[Mark, ...]:
         """Returns at most `limit` marks for the next heartbeat.
 
-        Marks sent least often come first, so that each gets its turn.
+        Marks sent least often come first, so that all are sent eventually.
         """
-        waiting: list[tuple[int, int, int]] = []
+        candidates: list[tuple[int, int, int]] = []
         for fingerprint, by_upstream in self._strikes.items():
             for upstream, strike in by_upstream.items():
                 if strike.expires_s - now_s <= RELAY_MARGIN_S:
                     continue
-                waiting.append((strike.times_sent, fingerprint, upstream))
-        waiting.sort()
+                candidates.append((strike.times_sent, fingerprint, upstream))
+        candidates.sort()
         marks: list[Mark] = []
-        for _, fingerprint, upstream in waiting[:limit]:
+        for _, fingerprint, upstream in candidates[:limit]:
             strike = self._strikes[fingerprint][upstream]
             strike.times_sent += 1
             remaining_s = round(strike.expires_s - now_s, 3)
@@ -196,15 +211,15 @@
         return tuple(marks)
 
     def merge(self, *, marks: tuple[Mark, ...], now_s: float) -> None:
-        """Takes in a peer's marks; taking them in again changes nothing."""
+        """Merges a peer's marks; idempotent."""
         for mark in marks:
             if mark.remaining_s <= RELAY_MARGIN_S:
                 continue
-            life_s = min(float(mark.remaining_s), self._strike_life_s)
-            strike = _Strike(expires_s=now_s + life_s, ran_s=mark.ran_s)
+            ttl_s = min(float(mark.remaining_s), self._strike_life_s)
+            strike = _Strike(expires_s=now_s + ttl_s, ran_s=mark.ran_s)
             known = self._strikes.get(mark.fingerprint, {}).get(mark.upstream)
             if known is not None:
-                known.take_same_end(strike)
+                known.merge_same_loss(strike)
                 continue
             self._add(
                 fingerprint=mark.fingerprint,
@@ -213,7 +228,7 @@
             )
 
     def expire(self, *, now_s: float) -> None:
-        """Forgets what has run out; called now and then."""
+        """Drops expired strikes; must be called periodically."""
         for fingerprint in list(self._strikes):
             self.verdict(fingerprint=fingerprint, now_s=now_s)
 
@@ -230,23 +245,26 @@
             by_upstream = {}
             self._strikes[fingerprint] = by_upstream
         known = by_upstream.get(upstream)
-        if known is None or not known.take_same_end(strike):
+        if known is None or not known.merge_same_loss(strike):
             by_upstream[upstream] = strike
 
 
-def _counted(*, by_upstream: dict[int, _Strike]) -> list[_Strike]:
+def _counted_strikes(*, by_upstream: dict[int, _Strike]) -> list[_Strike]:
     """Returns the strikes that count, oldest first."""
-    strikes = sorted(by_upstream.values(), key=_end)
-    counted: list[_Strike] = []
+    strikes = sorted(by_upstream.values(), key=_expires_s_of)
+    counted_strikes: list[_Strike] = []
     for strike in strikes:
         started_s = strike.expires_s - strike.ran_s
-        if counted and started_s < counted[-1].expires_s - TRANSIT_S:
+        if (
+            counted_strikes
+            and started_s < counted_strikes[-1].expires_s - TRANSIT_S
+        ):
             continue
-        counted.append(strike)
-    return counted
+        counted_strikes.append(strike)
+    return counted_strikes
 
 
-def _end(strike: _Strike) -> float:
+def _expires_s_of(strike: _Strike) -> float:
     return strike.expires_s
 
 
--- a/almondstair/core/ramps.py
+++ b/almondstair/core/ramps.py
@@ -1,6 +1,7 @@
-"""Movement of weights from where they are to where they should be.
+"""Gradual changes of weights towards a target.
 
-Weights are plain mappings from region to its part of the work, summing to one.
+Weights are plain mappings from region to its fraction of the work; they sum to
+one.
 """
 
 from almondstair.core.policies import RegionWeight
@@ -13,12 +14,12 @@
 def decayed(
     *, weight: float, floor: float, elapsed_s: float, half_life_s: float
 ) -> float:
-    """Returns the weight of a region not heard of, after some silence.
+    """Returns the decayed weight of a region without recent reports.
 
-    A region that stopped reporting looks as idle as at its last report. Work
-    sent to it on that ground meets a queue or nobody; one would see its weight
-    steady or growing while its answers fail or slow down. So the weight halves
-    down to the floor, and one at the floor or below it stays.
+    A region that stopped reporting still looks as idle as in its last report.
+    Work sent to it may be queued or lost; the symptom is a steady or growing
+    weight while its answers fail or slow down. So the weight halves repeatedly
+    down to the floor; a weight at or below the floor is unchanged.
     """
     if weight <= floor:
         return weight
@@ -26,7 +27,7 @@
 
 
 def kept(*, current: Weights, regions: list[str]) -> Weights:
-    """Returns the current weights of some regions, made to sum to one."""
+    """Returns the current weights of some regions, normalized to one."""
     total = 0.0
     for region in regions:
         total += current.get(region, 0.0)
@@ -42,77 +43,78 @@
 def abandoned(
     *, current: Weights, live: list[str], heirs: list[str], target: Weights
 ) -> Weights:
-    """Returns the weights after regions that are not live were left.
+    """Returns the weights without regions that are not live.
 
-    What they had goes to the heirs at once and not by the ramp: a ramp here
-    would go on sending work to a region that is known to be gone.
+    Their weight moves to the heirs at once and not by the ramp: a ramp would
+    continue to send work to a region that is known to be gone.
 
     Args:
-      current: weights in force, perhaps of regions that are not live, or cut.
+      current: weights in force; may include regions that are not live, and may
+        sum to less than one.
       live: regions that remain.
-      heirs: those among them that may take more work.
-      target: weights by which the heirs share.
+      heirs: live regions that may take more work.
+      target: weights by which the heirs share the released weight.
     """
     weights: Weights = {}
-    held = 0.0
+    retained = 0.0
     for region in live:
         weights[region] = current.get(region, 0.0)
-        held += weights[region]
-    freed = 1.0 - held
-    if freed <= NEGLIGIBLE:
+        retained += weights[region]
+    released = 1.0 - retained
+    if released <= NEGLIGIBLE:
         return weights
     if not heirs:
         return kept(current=weights, regions=live)
     shares = kept(current=target, regions=heirs)
     for region in heirs:
-        weights[region] += freed * shares[region]
+        weights[region] += released * shares[region]
     return weights
 
 
 def ramped(*, start: Weights, target: Weights, growth: float) -> Weights:
-    """Moves weights towards the target, each growing by at most `growth`.
+    """Returns weights moved to the target, each growing by at most `growth`.
 
     Weights shrink only as far as others may grow, so that they still sum to
-    one and no work is left without a region.
+    one.
     """
-    wanted = 0.0
-    allowed = 0.0
+    total_rise = 0.0
+    allowed_rise = 0.0
     for region, weight in start.items():
         rise = target.get(region, 0.0) - weight
         if rise <= 0.0:
             continue
-        wanted += rise
-        allowed += min(rise, growth)
-    if wanted <= NEGLIGIBLE:
+        total_rise += rise
+        allowed_rise += min(rise, growth)
+    if total_rise <= NEGLIGIBLE:
         return dict(start)
-    part = allowed / wanted
-    moved: Weights = {}
+    fraction = allowed_rise / total_rise
+    weights_after: Weights = {}
     for region, weight in start.items():
         change = target.get(region, 0.0) - weight
         if change > 0.0:
-            moved[region] = weight + min(change, growth)
+            weights_after[region] = weight + min(change, growth)
             continue
-        moved[region] = weight + change * part
-    return moved
+        weights_after[region] = weight + change * fraction
+    return weights_after
 
 
 def drawn(*, weights: list[RegionWeight], draw: float) -> str:
-    """Returns the region drawn by weight.
+    """Returns a region drawn at random in proportion to its weight.
 
     Args:
-      weights: regions, at least one; the first is drawn if all weigh nothing.
-      draw: uniform in [0, 1).
+      weights: regions, at least one; the first is drawn if all weights are 0.
+      draw: random number, uniform in [0, 1).
     """
     total = 0.0
     for weight in weights:
         total += weight.weight
-    mark = draw * total
+    remaining = draw * total
     chosen = weights[0]
     for weight in weights:
         if weight.weight <= 0.0:
             continue
         chosen = weight
-        mark -= weight.weight
-        if mark < 0.0:
+        remaining -= weight.weight
+        if remaining < 0.0:
             break
     return chosen.region
--- a/almondstair/core/steering.py
+++ b/almondstair/core/steering.py
@@ -1,14 +1,14 @@
 """Chooses the region that a request is sent to.
 
-Three rules stand between a policy's target and what is done:
+Three rules limit how the weights follow a policy's target:
 
-* a weight grows by at most the profile's ramp a second, since moved traffic
-  lands on cold caches;
-* a region whose reports are older than the limit is unknown: its weight halves
-  again and again down to a floor and never grows;
-* a region without live entries or upstreams, or whose answers nearly all
-  fail, is left at once; the others take over its weight, and each takes only
-  work for which it has free slots, low priority refused first.
+* A weight grows by at most the profile's ramp per second, since moved traffic
+  meets cold caches.
+* A region whose reports are older than the limit is unknown: its weight halves
+  repeatedly down to a floor and never grows.
+* A region without live entries or upstreams, or whose answers nearly all fail,
+  is abandoned at once. The others take over its weight, but each accepts only
+  work for which it has free slots and refuses low priorities first.
 """
 
 from almondstair.core import ramps
@@ -27,23 +27,23 @@
 from almondstair.core.steering_records import WeightsInForce
 
 STEP_INTERVAL_S = 0.05
-# A pause of this process is no licence to move much at once afterwards.
+# Limits how far weights move at once after a pause of this process.
 MAX_STEP_S = 1.0
-# A process that starts hears its regions one after another, and the first one
-# heard would get all the work and give it back by the ramp only: callers would
-# be served from far away for seconds after each start. Until a flow is this
-# old its weights follow their target at once; they have no history to keep.
+# After a start, reports of the regions arrive one after another. The first
+# region to report would get all work and return it only as fast as the ramp
+# allows, and callers would be served from remote regions for seconds. Until a
+# flow is this old, its weights follow the target without a ramp.
 SETTLING_S = 3.0
-# Work that is tried even where no slot is reported free: admission beside the
-# upstreams knows better than a report that lags.
-ALWAYS_TRIED = (Priority.INTERACTIVE, Priority.COMMIT)
+# Priorities that are tried even where no slot is reported free, since reports
+# lag and admission next to the upstreams has the current state.
+ALWAYS_TRIED_PRIORITIES = (Priority.INTERACTIVE, Priority.COMMIT)
 
 
 class Steering:
-    """The weights in force.
+    """Holds the weights in force and chooses regions by them.
 
     Attributes:
-      regions: what is known of the regions.
+      regions: state of the regions.
     """
 
     def __init__(
@@ -52,11 +52,11 @@
         configuration: Configuration,
         limits: SteeringLimits = DEFAULT_LIMITS,
     ) -> None:
-        """Makes steering that knows the configuration and no load yet.
+        """Starts without load reports.
 
         Args:
           configuration: regions, links, upstreams, services and profiles.
-          limits: constants.
+          limits: constants of steering.
         """
         self._limits = limits
         self._flows: dict[Flow, WeightsInForce] = {}
@@ -66,7 +66,7 @@
         )
 
     def configure(self, *, configuration: Configuration) -> None:
-        """Takes a new configuration; weights go on from where they are."""
+        """Applies a new configuration; weights in force are kept."""
         self._configuration = configuration
         self.regions.configure(configuration=configuration)
         for flow in list(self._flows):
@@ -87,14 +87,14 @@
         Args:
           service: a configured service.
           priority: priority of the request.
-          availability_zone: zone of the caller.
-          now_s: now.
-          draw: uniform in [0, 1).
+          availability_zone: availability zone of the caller.
+          now_s: monotonic time.
+          draw: random number, uniform in [0, 1).
 
         Returns:
-          The chosen region, then those with room for work of this priority.
-          Only the chosen one when it has no room for work that is not always
-          tried. Empty when no region is live.
+          The chosen region, then those with capacity for this priority. Only
+          the chosen one if it has no capacity and the priority is not always
+          tried. Empty if no region is live.
         """
         weights = self.weights(
             service=service,
@@ -104,22 +104,25 @@
         )
         if not weights:
             return ()
-        # Drawn from all regions and not only from those with room. Were the
-        # weight of a full region handed to the others here, all the work
-        # would land on their cold caches at once, past the ramp.
+        # Drawn from all regions, not only from those with capacity. Otherwise
+        # the weight of a full region would move to the others at once, onto
+        # cold caches, bypassing the ramp.
         chosen = ramps.drawn(weights=list(weights), draw=draw)
         order = [chosen]
-        room = self._with_room(
+        with_capacity = self._regions_with_capacity(
             flow=Flow(service, availability_zone, priority),
             weights=weights,
             now_s=now_s,
         )
-        if chosen not in room and priority not in ALWAYS_TRIED:
-            # Not refused here: a report is up to a heartbeat old, and slots
-            # come free meanwhile. Admission beside the upstreams holds the
-            # reserve back for what goes before, and queues for a moment.
+        if (
+            chosen not in with_capacity
+            and priority not in ALWAYS_TRIED_PRIORITIES
+        ):
+            # Not refused here: a report is up to a heartbeat interval old, and
+            # slots may have become free. Admission next to the upstreams
+            # reserves slots for higher priorities and queues briefly.
             return (chosen,)
-        for region in room:
+        for region in with_capacity:
             if region != chosen:
                 order.append(region)
         return tuple(order)
@@ -137,29 +140,32 @@
         in_force = self._flows.get(flow)
         if in_force is None:
             in_force = WeightsInForce(
-                weights=self._initial(flow=flow, now_s=now_s), started_s=now_s
+                weights=self._initial_weights(flow=flow, now_s=now_s),
+                started_s=now_s,
             )
             self._flows[flow] = in_force
         due = now_s - in_force.stepped_s >= STEP_INTERVAL_S
-        if due or self._holds_lost(flow=flow, in_force=in_force, now_s=now_s):
+        if due or self._has_weight_on_lost_region(
+            flow=flow, in_force=in_force, now_s=now_s
+        ):
             self._step(flow=flow, in_force=in_force, now_s=now_s)
         live: list[RegionWeight] = []
         for region, weight in in_force.weights.items():
             live.append(RegionWeight(region, weight))
-        live.sort(key=_by_weight, reverse=True)
+        live.sort(key=_weight_of, reverse=True)
         return tuple(live)
 
-    def _with_room(
+    def _regions_with_capacity(
         self, *, flow: Flow, weights: tuple[RegionWeight, ...], now_s: float
     ) -> list[str]:
-        """Returns the regions with room for the flow's work, heaviest first.
+        """Returns the regions with capacity for a flow, heaviest first.
 
-        A region that nothing is known of counts as having room; one without
+        A region without known load counts as having capacity; one without
         weight and beyond the latency bound does not.
         """
         profile = self._profile(service=flow.service)
         follows_load = POLICIES[profile.policy].follows_load
-        room: list[str] = []
+        with_capacity: list[str] = []
         for weight in weights:
             distance_ms = self.regions.distance_ms(
                 availability_zone=flow.availability_zone, region=weight.region
@@ -170,12 +176,12 @@
             totals = self.regions.totals(
                 region=weight.region, service=flow.service, now_s=now_s
             )
-            kept_free = totals.slots * KEPT_FRACTION[flow.priority]
+            reserved_slots = totals.slots * KEPT_FRACTION[flow.priority]
             if follows_load and totals.known:
-                if totals.free_slots <= kept_free:
+                if totals.free_slots <= reserved_slots:
                     continue
-            room.append(weight.region)
-        return room
+            with_capacity.append(weight.region)
+        return with_capacity
 
     def _profile(self, *, service: str) -> Profile:
         name = self._configuration.services[service].profile
@@ -197,11 +203,11 @@
             weights[row.region] = row.weight
         return weights
 
-    def _initial(self, *, flow: Flow, now_s: float) -> ramps.Weights:
-        """Returns the weights to start from: the policy on configured slots.
+    def _initial_weights(self, *, flow: Flow, now_s: float) -> ramps.Weights:
+        """Returns the initial weights: the policy on the configured slots.
 
-        Nothing has been heard yet, so this is a place to start and not a
-        claim that the regions are idle: until reports come, nothing grows.
+        The policy input assumes idle regions, but only for the start: no weight
+        grows until load reports arrive.
         """
         views: list[RegionView] = []
         for region in self.regions.live(flow=flow, now_s=now_s):
@@ -218,7 +224,7 @@
             views.append(view)
         return self._policy_weights(flow=flow, views=views)
 
-    def _holds_lost(
+    def _has_weight_on_lost_region(
         self, *, flow: Flow, in_force: WeightsInForce, now_s: float
     ) -> bool:
         """Returns whether a region that is not live still has weight."""
@@ -232,7 +238,7 @@
     def _step(
         self, *, flow: Flow, in_force: WeightsInForce, now_s: float
     ) -> None:
-        """Moves the weights of a flow on to now."""
+        """Advances the weights of a flow to the present."""
         elapsed_s = min(MAX_STEP_S, now_s - in_force.stepped_s)
         in_force.stepped_s = now_s
         live = self.regions.live(flow=flow, now_s=now_s)
@@ -241,10 +247,10 @@
             return
         profile = self._profile(service=flow.service)
         if not POLICIES[profile.policy].follows_load:
-            in_force.weights = self._initial(flow=flow, now_s=now_s)
+            in_force.weights = self._initial_weights(flow=flow, now_s=now_s)
             return
         trusted = self._trusted_regions(flow=flow, live=live, now_s=now_s)
-        target = self._target(
+        target = self._target_weights(
             flow=flow,
             live=live,
             trusted=trusted,
@@ -252,7 +258,7 @@
             elapsed_s=elapsed_s,
             now_s=now_s,
         )
-        start = self._left_at_once(
+        start = self._weights_without_lost_regions(
             flow=flow,
             live=live,
             trusted=trusted,
@@ -270,7 +276,7 @@
     def _trusted_regions(
         self, *, flow: Flow, live: list[str], now_s: float
     ) -> list[str]:
-        """Returns the live regions that are neither silent nor failing."""
+        """Returns the live regions with known load that are not failing."""
         trusted: list[str] = []
         for region in live:
             if self.regions.is_failing(
@@ -284,7 +290,7 @@
                 trusted.append(region)
         return trusted
 
-    def _target(
+    def _target_weights(
         self,
         *,
         flow: Flow,
@@ -294,11 +300,11 @@
         elapsed_s: float,
         now_s: float,
     ) -> ramps.Weights:
-        """Returns where the weights should go, summing to one."""
+        """Returns the target weights, which sum to one."""
         if not trusted:
             return ramps.kept(current=current, regions=live)
         target: ramps.Weights = {}
-        left = 1.0
+        unassigned = 1.0
         views: list[RegionView] = []
         for region in live:
             if region in trusted:
@@ -320,13 +326,13 @@
                 elapsed_s=elapsed_s,
                 half_life_s=self._limits.decay_half_life_s,
             )
-            left -= target[region]
+            unassigned -= target[region]
         weights = self._policy_weights(flow=flow, views=views)
         for region, weight in weights.items():
-            target[region] = weight * max(0.0, left)
+            target[region] = weight * max(0.0, unassigned)
         return target
 
-    def _left_at_once(
+    def _weights_without_lost_regions(
         self,
         *,
         flow: Flow,
@@ -336,24 +342,25 @@
         target: ramps.Weights,
         now_s: float,
     ) -> ramps.Weights:
-        """Returns the weights after lost and failing regions were left.
+        """Returns the weights after lost and failing regions are abandoned.
 
-        A failing region keeps the floor, so that its recovery is noticed.
-        While no region is trusted there is nowhere better to go.
+        A failing region keeps the floor weight, so that its recovery is
+        noticed. If no region is trusted, failing regions keep their weight,
+        since no other region is better.
         """
-        cut = dict(current)
+        reduced = dict(current)
         for region in live:
             if not trusted:
                 break
             if self.regions.is_failing(
                 region=region, service=flow.service, now_s=now_s
             ):
-                held = cut.get(region, 0.0)
-                cut[region] = min(held, self._limits.floor_weight)
+                held = reduced.get(region, 0.0)
+                reduced[region] = min(held, self._limits.floor_weight)
         return ramps.abandoned(
-            current=cut, live=live, heirs=trusted, target=target
+            current=reduced, live=live, heirs=trusted, target=target
         )
 
 
-def _by_weight(weight: RegionWeight) -> float:
+def _weight_of(weight: RegionWeight) -> float:
     return weight.weight
--- a/almondstair/core/steering_records.py
+++ b/almondstair/core/steering_records.py
@@ -1,4 +1,4 @@
-"""What steering works with: limits, flows, weights in force, statuses."""
+"""Data types of steering: limits, flows, weights in force and statuses."""
 
 from typing import NamedTuple
 
@@ -11,7 +11,7 @@
     """Constants of steering.
 
     Attributes:
-      report_limit_s: age at which a load report counts as unknown.
+      report_limit_s: age at which a load report expires.
       floor_weight: weight down to which an unknown region decays.
       decay_half_life_s: time in which the weight of an unknown region halves.
     """
@@ -25,16 +25,16 @@
 
 
 class RegionStatus(NamedTuple):
-    """One region of one service as steering sees it, for status pages.
+    """Status of a region for one service, for status pages.
 
     Attributes:
-      region: name.
-      live: whether it takes work at all.
-      known: whether a report within the limit exists.
-      age_s: age of the youngest report, None if there never was one.
-      slots: slots reported, else configured.
-      free_slots: free slots claimed, less what was sent since.
-      health: averages of the answers seen.
+      region: name of the region.
+      live: whether it can take work at all.
+      known: whether there is a load report within the age limit.
+      age_s: age of the newest report in seconds, None without reports.
+      slots: reported slots, else the configured ones.
+      free_slots: reported free slots less the requests sent since.
+      health: in-band health of the region.
     """
 
     region: str
@@ -47,10 +47,10 @@
 
 
 class Flow(NamedTuple):
-    """Work that shares weights.
+    """A class of work that shares weights.
 
-    Lower priorities have their own: they see a smaller region, so they are
-    moved away, or refused, before higher ones notice anything.
+    Each priority has its own weights. Lower priorities may use fewer slots of
+    a region, so they are moved or refused before higher ones are affected.
     """
 
     service: str
@@ -59,12 +59,23 @@
 
 
 class WeightsInForce:
-    """Weights in force for one flow."""
+    """The weights in force for one flow.
+
+    Attributes:
+      weights: weight by region.
+      started_s: monotonic time of the first use of the flow.
+      stepped_s: monotonic time of the last step of the weights.
+    """
 
     __slots__ = ("started_s", "stepped_s", "weights")
 
     def __init__(self, *, weights: ramps.Weights, started_s: float) -> None:
-        """Puts weights in force."""
+        """Starts with the given weights.
+
+        Args:
+          weights: weight by region.
+          started_s: monotonic time.
+        """
         self.weights = weights
         self.started_s = started_s
         self.stepped_s = started_s
--- a/almondstair/core/table_plans.py
+++ b/almondstair/core/table_plans.py
@@ -1,31 +1,31 @@
-"""How an entry would change the entry table: joining, leaving, dropping."""
+"""Planned changes of the entry table: joining, leaving and removal."""
 
 from almondstair.core.entry_table import EntryTable
 from almondstair.core.membership import Membership
 
 
 class TablePlans:
-    """Plans changes of the table by what one entry knows."""
+    """Plans changes of the entry table from the view of this entry."""
 
     def __init__(self, *, membership: Membership) -> None:
-        """Makes the plans of an entry.
+        """Makes the planner of this entry.
 
         Args:
-          membership: who is an entry and who is heard, as it sees it.
+          membership: this entry's view of the table and of the live entries.
         """
         self._membership = membership
 
     def registration(self, *, table: EntryTable) -> EntryTable | None:
-        """Returns the table with this process in it, None if it is in it.
+        """Returns the table with this process added, None if it is present.
 
         Args:
-          table: the table as the platform has it now.
+          table: the table currently stored by the platform.
 
         Raises:
-          ValueError: if the name belongs to an entry with other addresses,
-            which may still be alive; both would hold the same duties. With
-            the same addresses it is an earlier process of this VM, and dead:
-            this one has bound them.
+          ValueError: The name belongs to an entry with another address, which
+            may still be alive; both would hold the same duties. With the same
+            address it is an earlier process of this VM, and dead, since this
+            process has bound the address.
         """
         own = self._membership.own
         row = table.row(name=own.name)
@@ -36,63 +36,63 @@
                 f"entry {row.name} is registered from {row.peer_address}; "
                 "give this one another name, or wait until that VM is gone"
             )
-        return self._after_own(table).with_entry(row=own)
+        return self._with_own_epoch(table).with_entry(row=own)
 
     def leaving(self, *, table: EntryTable) -> EntryTable | None:
         """Returns the table with this entry marked as leaving, None if it is.
 
-        Its duties go to others from that epoch on, while it still answers for
-        what it has in flight.
+        From that epoch on its duties belong to others, while it still answers
+        for its requests in flight.
         """
         name = self._membership.own.name
         row = table.row(name=name)
         if row is None or row.leaving:
             return None
-        return self._after_own(table).with_leaving(name=name)
+        return self._with_own_epoch(table).with_leaving(name=name)
 
     def release(self, *, table: EntryTable) -> EntryTable | None:
         """Returns the table without this entry, None if it is not in it.
 
-        Only for an entry that has nothing left in flight: the others take its
-        word for it.
+        Must be called only if nothing is in flight any more: the other entries
+        do not verify that.
         """
         own = self._membership.own
         row = table.row(name=own.name)
         if row is None or row.incarnation != own.incarnation:
             return None
-        return self._after_own(table).without(name=row.name, released=True)
+        return self._with_own_epoch(table).without(name=row.name, released=True)
 
     def change(self, *, table: EntryTable) -> EntryTable | None:
         """Returns the table without the entries that are gone, None if none is.
 
-        Gone are the entries that `observe` found and those that said that
-        they finished leaving.
+        These are the entries absent from the VM list and those that reported
+        that they finished leaving.
 
         Args:
-          table: the table as the platform has it now.
+          table: the table currently stored by the platform.
         """
         planned = None
         released = self._membership.released_names()
         for name in sorted(self._membership.gone_names()):
             if table.row(name=name) is None:
                 continue
-            start = planned or self._after_own(table)
+            start = planned or self._with_own_epoch(table)
             planned = start.without(name=name, released=name in released)
         return planned
 
     def base(self, *, table: EntryTable, now_s: float) -> EntryTable | None:
-        """Returns the table that a change must start from.
+        """Returns the table that a change must be based on.
 
         A platform that was wiped or rolled back serves an older epoch. A
-        change made from its rows would drop entries that run and hold duties,
-        under an epoch that they follow. So a change starts from the table in
-        force here instead, and only when that is surely the latest: every
-        entry of it is heard or surely gone, and none acts on a higher epoch.
-        Otherwise a silent entry may know a later one, and two tables under one
-        epoch would give one duty to two entries.
+        change based on its rows would remove entries that run and hold duties,
+        under an epoch that they accept. So the change is based on the table in
+        force here instead, and only if that is certainly the latest: every
+        entry of it is heard or certainly gone, and none reported a higher
+        epoch. Otherwise a silent entry may have a later one, and two tables
+        with the same epoch would give one duty to two entries.
 
         Args:
-          table: the table as the platform has it now.
+          table: the table currently stored by the platform.
           now_s: monotonic time.
 
         Returns:
@@ -105,7 +105,10 @@
             return None
         return membership.table
 
-    def _after_own(self, table: EntryTable) -> EntryTable:
-        """Returns a table whose successor has an epoch never seen here."""
+    def _with_own_epoch(self, table: EntryTable) -> EntryTable:
+        """Returns a table with at least this entry's epoch.
+
+        The epoch of the next table is then above any epoch known here.
+        """
         own_epoch = self._membership.table.epoch
         return table._replace(epoch=max(table.epoch, own_epoch))
