--- a/almondstair/core/entry_table.py
+++ b/almondstair/core/entry_table.py
@@ -20,9 +20,9 @@
       operator_address: `ip:port` of its listener for operators.
       incarnation: random id of the process. A process that finds another
         incarnation in its own row must replace the row before it takes on any
-        duty, since its predecessor's work may still be running.
+        home role, since its predecessor's work may still be running.
       joined_epoch: epoch at which this incarnation was added to the table.
-      leaving: whether it is handing over its duties before its removal. It
+      leaving: whether it is handing over its home roles before its removal. It
         still acknowledges tables, but is home or successor of no upstream.
     """
 
@@ -45,8 +45,8 @@
       epoch: grows by one with each change; 0 is the empty table before any.
       entries: the rows, in any order.
       lost_epoch: the last epoch that removed an entry which had not released
-        its duties; 0 if there was none. No entry knows which of its requests
-        still run, so slots are held back after it.
+        its home roles; 0 if there was none. No entry knows which of its
+        requests still run, so slots are held back after it.
     """
 
     epoch: int = 0
--- a/almondstair/core/heartbeats.py
+++ b/almondstair/core/heartbeats.py
@@ -11,11 +11,11 @@
   `GroupView`, two bytes per member, so that what one member heard reaches the
   others in a few ticks instead of a full round.
 
-*Partners*, the entries that an entry shares a duty with, get a heartbeat every
-`PARTNER_PERIOD_S` wherever they are, because a duty needs acknowledgements from
-the partner itself. Availability zones outside of the group are known by
-`ZoneDigest`, two bits per entry. A far contact gets some digests every
-`FAR_PERIOD_S`, and every heartbeat within the group carries some.
+*Partners*, the entries that an entry shares a home role with, get a heartbeat
+every `PARTNER_PERIOD_S` wherever they are, because a home role needs
+acknowledgements from the partner itself. Availability zones outside of the
+group are known by `ZoneDigest`, two bits per entry. A far contact gets some
+digests every `FAR_PERIOD_S`, and every heartbeat within the group carries some.
 
 Results of `python -m benchmarks.heartbeats --target`, as sent by each entry,
 with packet headers and without partners:
@@ -137,7 +137,7 @@
 
     Attributes:
       near: members of the group; with a view if `with_view`.
-      partners: partners in a duty outside of the group.
+      partners: partners in a home role outside of the group.
       far: entries of other zones, with digests.
       with_view: whether near heartbeats carry a view and digests.
     """
@@ -182,7 +182,7 @@
 
         Args:
           table: the entry table.
-          partners: entries that share a duty with this one.
+          partners: entries that share a home role with this one.
         """
         near = []
         for row in near_group(own=self._own, table=table):
--- a/almondstair/core/lookup.py
+++ b/almondstair/core/lookup.py
@@ -1,4 +1,4 @@
-"""Look-up answers: which entries a caller should use, and in which order.
+"""Lookup answers: which entries a caller should use, and in which order.
 
 The order depends only on the caller's address block and on the live entries,
 so every entry gives the same answer and callers are spread evenly.
@@ -112,7 +112,7 @@
           ValueError: `limit` is below 2.
         """
         if limit < 2:
-            raise ValueError("the limit of a look-up must be at least 2")
+            raise ValueError("the limit of a lookup must be at least 2")
         self._limit = limit
         self._groups = _group_by_distance(
             entries=entries, distances_ms=distances_ms
--- a/almondstair/core/membership.py
+++ b/almondstair/core/membership.py
@@ -5,9 +5,9 @@
 * Which entries *exist* is defined by the entry table. It changes only because
   the platform's VM list shows that a VM is gone, or because the entry itself
   finished leaving. Silence never changes it: a suspended process resumes and
-  still assumes the duties that it had.
+  still assumes the home roles that it had.
 * Which entries are *heard* changes with every heartbeat. It decides which
-  entries look-ups return and where work goes, never which entry owns a duty.
+  entries lookups return and where work goes, never which entry has a home role.
 
 While the platform is unavailable, the table stays as it is and everything
 derived from it continues to work.
@@ -94,8 +94,8 @@
         """Applies a table if it is newer.
 
         A platform that was rolled back, or a peer that was suspended, serves an
-        older table. Following it would give duties back to entries that handed
-        them over, so a table that is not newer is ignored.
+        older table. Following it would give home roles back to entries that
+        handed them over, so a table that is not newer is ignored.
 
         Returns:
           Whether the table was newer and is now in force.
@@ -127,7 +127,9 @@
 
     @property
     def registered(self) -> bool:
-        """Whether this process is in the table, as every duty requires.
+        """Whether this process is in the table.
+
+        Without that it has no home role.
 
         A row of an earlier process of this VM does not count: no entry knows
         which of its requests still run, so its row must be replaced first.
@@ -136,7 +138,7 @@
         return row is not None and row.incarnation == self.own.incarnation
 
     def released_names(self) -> set[str]:
-        """Returns the entries that reported the release of every duty."""
+        """Returns the entries that reported the release of every home role."""
         names = set()
         for heartbeat in self._heartbeats.values():
             if heartbeat.finished and not self._is_from_replaced_process(
@@ -358,9 +360,9 @@
     def is_behind(self) -> bool:
         """Whether another entry reported a higher epoch.
 
-        An entry that is behind must not take on a duty before it has read the
-        newer table, from the platform or from that peer: a platform that was
-        rolled back may have served it a table that the others never had.
+        An entry that is behind must not take on a home role before it has read
+        the newer table, from the platform or from that peer: a platform that
+        was rolled back may have served it a table that the others never had.
         """
         for heartbeat in self._heartbeats.values():
             if heartbeat.epoch > self.table.epoch:
--- a/almondstair/core/membership_records.py
+++ b/almondstair/core/membership_records.py
@@ -28,7 +28,7 @@
       epoch: epoch of the entry table that it acts on.
       configuration_version: version that it has in force.
       leaving: whether it takes no new work.
-      finished: whether it has released every duty for good.
+      finished: whether it has released every home role for good.
       heard_s: when it was received, less any time spent on relays.
     """
 
--- a/almondstair/core/quarantine.py
+++ b/almondstair/core/quarantine.py
@@ -4,17 +4,17 @@
 resends the request through another entry; the next upstream crashes. Without a
 quarantine, one request can take down a region. A connection lost without an
 answer is therefore a strike against the request, identified by its fingerprint.
-After one strike, the request runs only on an upstream that runs nothing else;
-after strikes on two different upstreams, no entry dispatches it for some
-minutes.
+After one strike, the request is isolated: it runs only on an upstream that runs
+nothing else. After strikes on two different upstreams, no entry dispatches it
+for some minutes.
 
 Upstreams also fail for other reasons, with whatever they run. When a rack is
 lost, several upstreams fail at once, all running the most popular paths, which
 must not be refused for minutes because of that. A resent request starts after
 the previous strike, while requests lost with a rack had all started before. So
 a strike counts only if its request started after the last counted strike. Once
-the request was answered completely, a single strike no longer makes it run
-alone; the strike itself stays, and the next one at another upstream counts.
+the request was answered completely, a single strike no longer isolates it. The
+strike itself stays, and the next one at another upstream counts.
 """
 
 import enum
@@ -43,7 +43,7 @@
 
     Attributes:
       CLEAR: without restriction.
-      ALONE: only on an upstream that runs nothing else.
+      ALONE: isolated, only on an upstream that runs nothing else.
       QUARANTINED: not at all.
     """
 
--- a/almondstair/core/ramps.py
+++ b/almondstair/core/ramps.py
@@ -6,12 +6,12 @@
 
 from almondstair.core.policies import RegionWeight
 
-NEGLIGIBLE = 1e-9
+NEGLIGIBLE_WEIGHT = 1e-9
 
 Weights = dict[str, float]
 
 
-def decayed(
+def decay_weight(
     *, weight: float, floor: float, elapsed_s: float, half_life_s: float
 ) -> float:
     """Returns the decayed weight of a region without recent reports.
@@ -26,34 +26,34 @@
     return max(floor, weight * 0.5 ** (elapsed_s / half_life_s))
 
 
-def kept(*, current: Weights, regions: list[str]) -> Weights:
+def renormalize(*, current: Weights, regions: list[str]) -> Weights:
     """Returns the current weights of some regions, normalized to one."""
     total = 0.0
     for region in regions:
         total += current.get(region, 0.0)
     weights: Weights = {}
     for region in regions:
-        if total <= NEGLIGIBLE:
+        if total <= NEGLIGIBLE_WEIGHT:
             weights[region] = 1.0 / len(regions)
             continue
         weights[region] = current.get(region, 0.0) / total
     return weights
 
 
-def abandoned(
-    *, current: Weights, live: list[str], heirs: list[str], target: Weights
+def redistribute_lost_weight(
+    *, current: Weights, live: list[str], recipients: list[str], target: Weights
 ) -> Weights:
     """Returns the weights without regions that are not live.
 
-    Their weight moves to the heirs at once and not by the ramp: a ramp would
-    continue to send work to a region that is known to be gone.
+    Their weight moves to the recipients at once and not by the ramp, which
+    would continue to send work to a region that is known to be gone.
 
     Args:
       current: weights in force; may include regions that are not live, and may
         sum to less than one.
       live: regions that remain.
-      heirs: live regions that may take more work.
-      target: weights by which the heirs share the released weight.
+      recipients: live regions that may take more work.
+      target: weights by which the recipients share the released weight.
     """
     weights: Weights = {}
     retained = 0.0
@@ -61,17 +61,19 @@
         weights[region] = current.get(region, 0.0)
         retained += weights[region]
     released = 1.0 - retained
-    if released <= NEGLIGIBLE:
+    if released <= NEGLIGIBLE_WEIGHT:
         return weights
-    if not heirs:
-        return kept(current=weights, regions=live)
-    shares = kept(current=target, regions=heirs)
-    for region in heirs:
+    if not recipients:
+        return renormalize(current=weights, regions=live)
+    shares = renormalize(current=target, regions=recipients)
+    for region in recipients:
         weights[region] += released * shares[region]
     return weights
 
 
-def ramped(*, start: Weights, target: Weights, growth: float) -> Weights:
+def ramp_towards_target(
+    *, start: Weights, target: Weights, growth: float
+) -> Weights:
     """Returns weights moved to the target, each growing by at most `growth`.
 
     Weights shrink only as far as others may grow, so that they still sum to
@@ -85,7 +87,7 @@
             continue
         total_rise += rise
         allowed_rise += min(rise, growth)
-    if total_rise <= NEGLIGIBLE:
+    if total_rise <= NEGLIGIBLE_WEIGHT:
         return dict(start)
     fraction = allowed_rise / total_rise
     weights_after: Weights = {}
@@ -98,7 +100,7 @@
     return weights_after
 
 
-def drawn(*, weights: list[RegionWeight], draw: float) -> str:
+def draw_region(*, weights: list[RegionWeight], draw: float) -> str:
     """Returns a region drawn at random in proportion to its weight.
 
     Args:
--- a/almondstair/core/steering.py
+++ b/almondstair/core/steering.py
@@ -107,7 +107,7 @@
         # Drawn from all regions, not only from those with capacity. Otherwise
         # the weight of a full region would move to the others at once, onto
         # cold caches, bypassing the ramp.
-        chosen = ramps.drawn(weights=list(weights), draw=draw)
+        chosen = ramps.draw_region(weights=list(weights), draw=draw)
         order = [chosen]
         with_capacity = self._regions_with_capacity(
             flow=Flow(service, availability_zone, priority),
@@ -170,7 +170,7 @@
             distance_ms = self.regions.distance_ms(
                 availability_zone=flow.availability_zone, region=weight.region
             )
-            if weight.weight <= ramps.NEGLIGIBLE:
+            if weight.weight <= ramps.NEGLIGIBLE_WEIGHT:
                 if distance_ms > profile.latency_bound_ms:
                     continue
             totals = self.regions.totals(
@@ -269,7 +269,7 @@
         growth = profile.ramp_fraction_per_s * elapsed_s
         if now_s - in_force.started_s < SETTLING_S:
             growth = 1.0
-        in_force.weights = ramps.ramped(
+        in_force.weights = ramps.ramp_towards_target(
             start=start, target=target, growth=growth
         )
 
@@ -302,7 +302,7 @@
     ) -> ramps.Weights:
         """Returns the target weights, which sum to one."""
         if not trusted:
-            return ramps.kept(current=current, regions=live)
+            return ramps.renormalize(current=current, regions=live)
         target: ramps.Weights = {}
         unassigned = 1.0
         views: list[RegionView] = []
@@ -320,7 +320,7 @@
                 )
                 views.append(view)
                 continue
-            target[region] = ramps.decayed(
+            target[region] = ramps.decay_weight(
                 weight=current.get(region, 0.0),
                 floor=self._limits.floor_weight,
                 elapsed_s=elapsed_s,
@@ -357,8 +357,8 @@
             ):
                 held = reduced.get(region, 0.0)
                 reduced[region] = min(held, self._limits.floor_weight)
-        return ramps.abandoned(
-            current=reduced, live=live, heirs=trusted, target=target
+        return ramps.redistribute_lost_weight(
+            current=reduced, live=live, recipients=trusted, target=target
         )
 
 
--- a/almondstair/core/table_plans.py
+++ b/almondstair/core/table_plans.py
@@ -23,9 +23,9 @@
 
         Raises:
           ValueError: The name belongs to an entry with another address, which
-            may still be alive; both would hold the same duties. With the same
-            address it is an earlier process of this VM, and dead, since this
-            process has bound the address.
+            may still be alive; both would hold the same home roles. With the
+            same address it is an earlier process of this VM, and dead, since
+            this process has bound the address.
         """
         own = self._membership.own
         row = table.row(name=own.name)
@@ -41,8 +41,8 @@
     def leaving(self, *, table: EntryTable) -> EntryTable | None:
         """Returns the table with this entry marked as leaving, None if it is.
 
-        From that epoch on its duties belong to others, while it still answers
-        for its requests in flight.
+        From that epoch on its home roles belong to others, while it still
+        answers for its requests in flight.
         """
         name = self._membership.own.name
         row = table.row(name=name)
@@ -84,12 +84,12 @@
         """Returns the table that a change must be based on.
 
         A platform that was wiped or rolled back serves an older epoch. A
-        change based on its rows would remove entries that run and hold duties,
-        under an epoch that they accept. So the change is based on the table in
-        force here instead, and only if that is certainly the latest: every
-        entry of it is heard or certainly gone, and none reported a higher
-        epoch. Otherwise a silent entry may have a later one, and two tables
-        with the same epoch would give one duty to two entries.
+        change based on its rows would remove entries that run and have home
+        roles, under an epoch that they accept. So the change is based on the
+        table in force here instead, and only if that is certainly the latest:
+        every entry of it is heard or certainly gone, and none reported a
+        higher epoch. Otherwise a silent entry may have a later one, and two
+        tables with the same epoch would give one home role to two entries.
 
         Args:
           table: the table currently stored by the platform.
