--- a/almondstair/core/__init__.py
+++ b/almondstair/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions without input or output: time and randomness are arguments."""
+"""Decision logic without I/O; time and randomness are passed as arguments."""
--- a/almondstair/core/heartbeats.py
+++ b/almondstair/core/heartbeats.py
@@ -100,9 +100,9 @@
             _rank_by_hash(own.name, zones[zone])[:FAR_CONTACTS_PER_ZONE]
         )
     contacts = []
-    for place in range(FAR_CONTACTS_PER_ZONE):
+    for position in range(FAR_CONTACTS_PER_ZONE):
         for chosen in contacts_by_zone:
-            contacts.extend(chosen[place : place + 1])
+            contacts.extend(chosen[position : position + 1])
     return tuple(contacts)
 
 
@@ -268,8 +268,8 @@
         self._far_ticks += 1
         ticks = max(1, round(FAR_PERIOD_S / self._interval_s))
         if self._far and self._far_ticks % ticks == 0:
-            place = self._far_ticks // ticks
-            far = (self._far[place % len(self._far)],)
+            position = self._far_ticks // ticks
+            far = (self._far[position % len(self._far)],)
         return Sending(near, partners, far, self._with_view)
 
     def _count_per_tick(self, count: int, period_s: float) -> int:
--- a/almondstair/core/known_regions.py
+++ b/almondstair/core/known_regions.py
@@ -219,9 +219,9 @@
     def distance_ms(self, *, availability_zone: str, region: str) -> float:
         """Returns the latency to a region, infinite without a link to it."""
         key = (availability_zone, region)
-        known_ms = self._distances_ms.get(key)
-        if known_ms is not None:
-            return known_ms
+        cached_ms = self._distances_ms.get(key)
+        if cached_ms is not None:
+            return cached_ms
         distance_ms = float("inf")
         link = self._configuration.link(
             availability_zone=availability_zone, region=region
@@ -251,15 +251,15 @@
             name=_refusals_key(region, flow.service, flow.priority),
             now_s=now_s,
         )
-        kept_free = slots * KEPT_FRACTION[flow.priority]
+        reserved_slots = slots * KEPT_FRACTION[flow.priority]
         link_key = (flow.availability_zone, region)
         return RegionView(
             region=region,
             latency_ms=self.distance_ms(
                 availability_zone=flow.availability_zone, region=region
             ),
-            slots=slots - kept_free,
-            free_slots=max(0.0, free_slots - kept_free),
+            slots=slots - reserved_slots,
+            free_slots=max(0.0, free_slots - reserved_slots),
             health=answers.factor * refusals.factor,
             link_headroom=self._link_headroom.get(link_key, 1.0),
         )
--- a/almondstair/core/membership.py
+++ b/almondstair/core/membership.py
@@ -208,8 +208,8 @@
     def _record_listed_leaving(self, listing: VmObservation) -> None:
         # Only a newer listing of the VM clears its mark. Absence from the list
         # does not.
-        kept = self._listed_leaving - listing.listed
-        self._listed_leaving = kept | listing.leaving
+        retained = self._listed_leaving - listing.listed
+        self._listed_leaving = retained | listing.leaving
         self._live_cache = _LiveCache()
 
     def planner_rank(self, *, now_s: float) -> int:
@@ -418,13 +418,13 @@
 
     def live(self, *, now_s: float) -> tuple[EntryRow, ...]:
         """Returns the entries that accept new work: not silent, not leaving."""
-        kept = self._live_cache
-        cache_age_s = now_s - kept.computed_s
+        cached = self._live_cache
+        cache_age_s = now_s - cached.computed_s
         if (
             0 <= cache_age_s < LIVE_KEPT_S
-            and kept.own_accepts_work == self.takes_work
+            and cached.own_accepts_work == self.takes_work
         ):
-            return kept.rows
+            return cached.rows
         rows = self._live_rows(now_s=now_s)
         names = frozenset(row.name for row in rows)
         self._live_cache = _LiveCache(rows, names, now_s, self.takes_work)
--- a/almondstair/core/policies.py
+++ b/almondstair/core/policies.py
@@ -43,7 +43,7 @@
     weight: float
 
 
-class SteeringInput(NamedTuple):
+class PolicyInput(NamedTuple):
     """Input of a policy.
 
     Attributes:
@@ -66,7 +66,7 @@
         return True
 
     @abc.abstractmethod
-    def weights(self, *, request: SteeringInput) -> tuple[RegionWeight, ...]:
+    def weights(self, *, policy_input: PolicyInput) -> tuple[RegionWeight, ...]:
         """Returns a weight for each view; empty if there is no view."""
 
 
@@ -79,15 +79,17 @@
     load away and back. The proportional part settles.
     """
 
-    def weights(self, *, request: SteeringInput) -> tuple[RegionWeight, ...]:
+    def weights(self, *, policy_input: PolicyInput) -> tuple[RegionWeight, ...]:
         """Returns a weight for each view; empty if there is no view."""
         unassigned = 1.0
         weights: list[RegionWeight] = []
-        for position, view in enumerate(_views_within_bound(request=request)):
+        for position, view in enumerate(
+            _views_within_bound(policy_input=policy_input)
+        ):
             if position == 0:
-                fraction = _kept_fraction(view=view, request=request)
+                fraction = _kept_fraction(view=view, policy_input=policy_input)
             else:
-                fraction = _spill_fraction(view=view, request=request)
+                fraction = _spill_fraction(view=view, policy_input=policy_input)
             weights.append(RegionWeight(view.region, unassigned * fraction))
             unassigned -= unassigned * fraction
         if not weights:
@@ -102,23 +104,25 @@
 class SpreadPolicy(Policy):
     """Weights regions within the bound by free slots above the headroom."""
 
-    def weights(self, *, request: SteeringInput) -> tuple[RegionWeight, ...]:
+    def weights(self, *, policy_input: PolicyInput) -> tuple[RegionWeight, ...]:
         """Returns a weight for each view; empty if there is no view."""
         shares: list[RegionWeight] = []
-        for view in _views_within_bound(request=request):
-            kept = view.slots * request.headroom_fraction
-            spare = max(0.0, view.free_slots - kept)
-            spare *= view.health * _link_factor(view=view)
-            shares.append(RegionWeight(view.region, spare))
+        for view in _views_within_bound(policy_input=policy_input):
+            reserved_slots = view.slots * policy_input.headroom_fraction
+            spare_slots = max(0.0, view.free_slots - reserved_slots)
+            spare_slots *= view.health * _link_factor(view=view)
+            shares.append(RegionWeight(view.region, spare_slots))
         if _total(shares) > 0.0:
             return _normalized(shares)
         shares = []
-        for view in _views_within_bound(request=request):
+        for view in _views_within_bound(policy_input=policy_input):
             free = view.free_slots * view.health
             shares.append(RegionWeight(view.region, free))
         if _total(shares) > 0.0:
             return _normalized(shares)
-        return _weights_by_slots(views=_views_within_bound(request=request))
+        return _weights_by_slots(
+            views=_views_within_bound(policy_input=policy_input)
+        )
 
 
 class RoundRobinPolicy(Policy):
@@ -129,9 +133,9 @@
         """Whether load reports and in-band evidence count."""
         return False
 
-    def weights(self, *, request: SteeringInput) -> tuple[RegionWeight, ...]:
+    def weights(self, *, policy_input: PolicyInput) -> tuple[RegionWeight, ...]:
         """Returns a weight for each view; empty if there is no view."""
-        return _weights_by_slots(views=request.views)
+        return _weights_by_slots(views=policy_input.views)
 
 
 POLICIES: dict[PolicyName, Policy] = {
@@ -141,37 +145,37 @@
 }
 
 
-def _views_within_bound(*, request: SteeringInput) -> tuple[RegionView, ...]:
+def _views_within_bound(*, policy_input: PolicyInput) -> tuple[RegionView, ...]:
     """Returns the views within the latency bound, else the nearest one."""
     near: list[RegionView] = []
-    for view in request.views:
-        if view.latency_ms > request.latency_bound_ms:
+    for view in policy_input.views:
+        if view.latency_ms > policy_input.latency_bound_ms:
             continue
         near.append(view)
     if not near:
-        return request.views[:1]
+        return policy_input.views[:1]
     return tuple(near)
 
 
-def _kept_fraction(*, view: RegionView, request: SteeringInput) -> float:
+def _kept_fraction(*, view: RegionView, policy_input: PolicyInput) -> float:
     """Returns the fraction of its work that the nearest region keeps."""
     if view.free_slots <= 0.0 or view.slots <= 0.0:
         return 0.0
     fraction = view.health * _link_factor(view=view)
-    if request.headroom_fraction == 0.0:
+    if policy_input.headroom_fraction == 0.0:
         return fraction
     free = view.free_slots / view.slots
-    return min(1.0, free / request.headroom_fraction) * fraction
+    return min(1.0, free / policy_input.headroom_fraction) * fraction
 
 
-def _spill_fraction(*, view: RegionView, request: SteeringInput) -> float:
+def _spill_fraction(*, view: RegionView, policy_input: PolicyInput) -> float:
     """Returns the fraction of the spilled work that another region takes."""
-    kept = view.slots * request.headroom_fraction
-    spare = view.free_slots - kept
-    if spare <= 0.0:
+    reserved_slots = view.slots * policy_input.headroom_fraction
+    spare_slots = view.free_slots - reserved_slots
+    if spare_slots <= 0.0:
         return 0.0
     fraction = view.health * _link_factor(view=view)
-    return min(1.0, spare / max(1.0, kept)) * fraction
+    return min(1.0, spare_slots / max(1.0, reserved_slots)) * fraction
 
 
 def _link_factor(*, view: RegionView) -> float:
--- a/almondstair/core/quarantine.py
+++ b/almondstair/core/quarantine.py
@@ -251,7 +251,7 @@
 
 def _counted_strikes(*, by_upstream: dict[int, _Strike]) -> list[_Strike]:
     """Returns the strikes that count, oldest first."""
-    strikes = sorted(by_upstream.values(), key=_expires_s_of)
+    strikes = sorted(by_upstream.values(), key=_expiry_s)
     counted_strikes: list[_Strike] = []
     for strike in strikes:
         started_s = strike.expires_s - strike.ran_s
@@ -264,7 +264,7 @@
     return counted_strikes
 
 
-def _expires_s_of(strike: _Strike) -> float:
+def _expiry_s(strike: _Strike) -> float:
     return strike.expires_s
 
 
--- a/almondstair/core/steering.py
+++ b/almondstair/core/steering.py
@@ -18,9 +18,9 @@
 from almondstair.core.model import Priority
 from almondstair.core.model import Profile
 from almondstair.core.policies import POLICIES
+from almondstair.core.policies import PolicyInput
 from almondstair.core.policies import RegionView
 from almondstair.core.policies import RegionWeight
-from almondstair.core.policies import SteeringInput
 from almondstair.core.steering_records import DEFAULT_LIMITS
 from almondstair.core.steering_records import Flow
 from almondstair.core.steering_records import SteeringLimits
@@ -192,7 +192,7 @@
     ) -> ramps.Weights:
         profile = self._profile(service=flow.service)
         rows = POLICIES[profile.policy].weights(
-            request=SteeringInput(
+            policy_input=PolicyInput(
                 views=tuple(views),
                 headroom_fraction=profile.headroom_fraction,
                 latency_bound_ms=profile.latency_bound_ms,
@@ -355,8 +355,8 @@
             if self.regions.is_failing(
                 region=region, service=flow.service, now_s=now_s
             ):
-                held = reduced.get(region, 0.0)
-                reduced[region] = min(held, self._limits.floor_weight)
+                weight = reduced.get(region, 0.0)
+                reduced[region] = min(weight, self._limits.floor_weight)
         return ramps.redistribute_lost_weight(
             current=reduced, live=live, recipients=trusted, target=target
         )
