--- a/almondstair/core/health.py
+++ b/almondstair/core/health.py
@@ -18,7 +18,7 @@
 BASELINE_DOWN_HALF_LIFE_S = 20.0
 BASELINE_LEARNING_SAMPLES = 20
 MIN_BASELINE_MS = 0.001
-# Weight of one sample, whatever the request rate. The upper limit keeps a
+# Bounds of the weight of a sample at any request rate. The upper one keeps a
 # single lost request after a pause from deciding the average.
 MIN_SAMPLE_WEIGHT = 0.02
 MAX_SAMPLE_WEIGHT = 0.5
