--- a/almondstair/core/admission.py
+++ b/almondstair/core/admission.py
@@ -35,12 +35,12 @@
     Priority.BATCH: 0.3,
 }
 SERVICE_TIME_WEIGHT = 0.1
-FIRST_SERVICE_TIME_S = 0.2
+INITIAL_SERVICE_TIME_S = 0.2
 LEAST_RETRY_MS = 100
-MOST_RETRY_MS = 30_000
+MAX_RETRY_MS = 30_000
 
 
-class _Room(NamedTuple):
+class _Capacity(NamedTuple):
     """What one upstream can take now.
 
     Attributes:
@@ -86,15 +86,15 @@
         self.standstill = standstill or Standstill()
         self._health = health or HealthTable()
         self._homes = homes
-        self._book = book
+        self._tracker = book
         self._limits = limits
-        self._kept_fraction = kept_fraction or KEPT_FRACTION
+        self._held_back_fraction = kept_fraction or KEPT_FRACTION
         self._states: dict[str, UpstreamSlots] = {}
         self._by_service: dict[str, list[str]] = {}
         self._leaving: frozenset[str] = frozenset()
-        self._usual = UsualLatency()
-        self._turn = 0
-        self._turns: dict[str, int] = {}
+        self._usual_latency = UsualLatency()
+        self._choices = 0
+        self._last_choice: dict[str, int] = {}
         self._service_time_s: dict[str, float] = {}
 
     def set_configuration(self, *, configuration: Configuration) -> None:
@@ -122,7 +122,7 @@
         state = self._states.get(upstream)
         if state is None:
             return
-        in_flight = len(self._book.running(upstream=upstream))
+        in_flight = len(self._tracker.running(upstream=upstream))
         state.take_report(report=report, in_flight=in_flight, now_s=now_s)
 
     def choose(
@@ -144,15 +144,17 @@
           avoid: upstreams that this request must not go to.
         """
         is_long = deadline_s - now_s > self._homes.reserve_deadline_s
-        rooms = self._rooms(service=service, now_s=now_s)
+        rooms = self._capacities(service=service, now_s=now_s)
         best = self._best(rooms, is_long=is_long, avoid=avoid, now_s=now_s)
         if deadline_s <= now_s:
             return Refusal(ErrorKind.DEADLINE_PASSED, LEAST_RETRY_MS)
-        if best is None or not self._may_take(best, rooms, priority):
+        if best is None or not self._leaves_held_back_slots(
+            best, rooms, priority
+        ):
             return self.refusal(service=service, now_s=now_s)
-        self._turn += 1
-        self._turns[best.upstream] = self._turn
-        ticket = self._book.start(
+        self._choices += 1
+        self._last_choice[best.upstream] = self._choices
+        ticket = self._tracker.start(
             upstream=best.upstream,
             service=service,
             now_s=now_s,
@@ -189,18 +191,18 @@
 
     def _best(
         self,
-        rooms: list[_Room],
+        rooms: list[_Capacity],
         *,
         is_long: bool,
         avoid: frozenset[str],
         now_s: float,
-    ) -> _Room | None:
+    ) -> _Capacity | None:
         """Returns the upstream with most free slots, weighed by its answers.
 
         Equals take turns. Else the first by name would get all work at little
         load, and the others would be cold when they are needed.
         """
-        best: _Room | None = None
+        best: _Capacity | None = None
         best_worth = 0.0
         best_turn = 0
         for room in rooms:
@@ -210,7 +212,7 @@
             if not free:
                 continue
             worth = free * self._health.factor(name=room.upstream, now_s=now_s)
-            turn = self._turns.get(room.upstream, 0)
+            turn = self._last_choice.get(room.upstream, 0)
             if worth < best_worth:
                 continue
             if worth == best_worth and turn > best_turn:
@@ -220,8 +222,8 @@
             best_turn = turn
         return best
 
-    def _may_take(
-        self, best: _Room, rooms: list[_Room], priority: Priority
+    def _leaves_held_back_slots(
+        self, best: _Capacity, rooms: list[_Capacity], priority: Priority
     ) -> bool:
         """Says whether a priority leaves enough to the ones above it."""
         if best.duty.reserve_only:
@@ -231,7 +233,7 @@
         for room in rooms:
             usable += room.usable
             free += room.free
-        kept = math.ceil(self._kept_fraction[priority] * usable)
+        kept = math.ceil(self._held_back_fraction[priority] * usable)
         return free > max(0, min(kept, usable - 1))
 
     def release(
@@ -256,7 +258,7 @@
           work: kind of work, whose latency is compared with its like.
         """
         if connection_closed:
-            self._book.end(ticket=admission.ticket)
+            self._tracker.end(ticket=admission.ticket)
         state = self._states.get(admission.upstream)
         if state is None or outcome is Outcome.CANCELLED:
             return
@@ -264,13 +266,15 @@
             state.ramp.refused(now_s=now_s)
             return
         latency_s = now_s - admission.admitted_s
-        ratio = self._usual.ratio(
+        ratio = self._usual_latency.ratio(
             work=f"{admission.service}/{work}", latency_s=latency_s
         )
         still_s = self.standstill.total_s(now_s=now_s) - admission.still_s
         ratio = judged_ratio(ratio=ratio, latency_s=latency_s, still_s=still_s)
         state.ramp.answered(ratio=ratio, now_s=now_s)
-        self._note_service_time(service=admission.service, latency_s=latency_s)
+        self._update_service_time(
+            service=admission.service, latency_s=latency_s
+        )
 
     def still_mine(self, *, admission: Admission, now_s: float) -> bool:
         """Says whether a request may still be running at its upstream.
@@ -279,7 +283,7 @@
         entry that was frozen in between finds that its duty has moved, and
         closes the connection.
         """
-        if admission.ticket.until_s - self._book.margin_s <= now_s:
+        if admission.ticket.until_s - self._tracker.margin_s <= now_s:
             return False
         duty = self._homes.duty(upstream=admission.upstream, now_s=now_s)
         if duty.allowed_slots < 1:
@@ -293,7 +297,7 @@
         """Returns the slots of a service that this entry may fill."""
         usable = 0
         free = 0
-        for room in self._rooms(service=service, now_s=now_s):
+        for room in self._capacities(service=service, now_s=now_s):
             usable += room.usable
             free += room.free
         return ServiceRoom(usable, free)
@@ -308,7 +312,7 @@
 
     def service_time_s(self, *, service: str) -> float:
         """Returns the measured mean time that a request holds a slot."""
-        return self._service_time_s.get(service, FIRST_SERVICE_TIME_S)
+        return self._service_time_s.get(service, INITIAL_SERVICE_TIME_S)
 
     def refusal(
         self, *, service: str, now_s: float, waiting: int = 0
@@ -317,28 +321,32 @@
         usable = self.usable_slots(service=service, now_s=now_s)
         if usable < 1:
             return Refusal(
-                self._kind_without_slots(service=service),
-                self._bounded_ms(wait_s=self._wait_for_duty_s(now_s=now_s)),
+                self._error_without_slots(service=service),
+                self._retry_after_ms(
+                    wait_s=self._wait_for_slots_s(now_s=now_s)
+                ),
             )
         wait_s = self.service_time_s(service=service) * (waiting + 1) / usable
-        return Refusal(ErrorKind.NO_SLOT, self._bounded_ms(wait_s=wait_s))
+        return Refusal(ErrorKind.NO_SLOT, self._retry_after_ms(wait_s=wait_s))
 
     def status(self, *, now_s: float) -> tuple[UpstreamStatus, ...]:
         """Returns the upstreams that this entry has a duty at."""
         rows = []
-        for name in self._concerned():
+        for name in self._relevant_upstreams():
             state = self._states.get(name)
             if state is None:
                 continue
             duty = self._homes.duty(upstream=name, now_s=now_s)
-            in_flight = len(self._book.running(upstream=name))
+            in_flight = len(self._tracker.running(upstream=name))
             if duty.allowed_slots < 1 and in_flight == 0:
                 continue
             rows.append(
                 UpstreamStatus(
                     name=name,
                     allowed_slots=duty.allowed_slots,
-                    usable_slots=self._opened(upstream=name, now_s=now_s),
+                    usable_slots=self._slow_start_slots(
+                        upstream=name, now_s=now_s
+                    ),
                     in_flight=in_flight,
                     busy_elsewhere=len(duty.busy_until_s),
                     leaving=self._is_leaving(upstream=name),
@@ -347,35 +355,35 @@
             )
         return tuple(rows)
 
-    def _concerned(self) -> list[str]:
+    def _relevant_upstreams(self) -> list[str]:
         """Returns the upstreams with a duty, or a request in flight, here."""
         names = dict.fromkeys(self._homes.mine())
-        names.update(dict.fromkeys(self._book.upstreams()))
+        names.update(dict.fromkeys(self._tracker.upstreams()))
         return list(names)
 
     def _is_leaving(self, *, upstream: str) -> bool:
         return upstream in self._leaving or self._states[upstream].draining
 
-    def _rooms(self, *, service: str, now_s: float) -> list[_Room]:
+    def _capacities(self, *, service: str, now_s: float) -> list[_Capacity]:
         """Returns what the upstreams of a service can take from here."""
         rooms = []
         for name in self._homes.mine():
             state = self._states.get(name)
             if state is None or service not in state.services:
                 continue
-            rooms.append(self._room(upstream=name, now_s=now_s))
+            rooms.append(self._capacity(upstream=name, now_s=now_s))
         return rooms
 
-    def _room(self, *, upstream: str, now_s: float) -> _Room:
-        self._book.expire(upstream=upstream, now_s=now_s)
+    def _capacity(self, *, upstream: str, now_s: float) -> _Capacity:
+        self._tracker.expire(upstream=upstream, now_s=now_s)
         duty = self._homes.duty(upstream=upstream, now_s=now_s)
         limit = self._limit(upstream=upstream, duty=duty, now_s=now_s)
         if limit < 1:
-            return _Room(upstream, duty, 0, 0, 0)
+            return _Capacity(upstream, duty, 0, 0, 0)
         used = self._used(upstream=upstream, duty=duty, now_s=now_s)
         long_used = self._long_used(upstream=upstream, duty=duty, now_s=now_s)
         free = max(0, limit - used)
-        return _Room(
+        return _Capacity(
             upstream=upstream,
             duty=duty,
             usable=max(0, limit - len(duty.busy_until_s)),
@@ -390,7 +398,7 @@
         if self._is_leaving(upstream=upstream):
             return 0
         usable = min(
-            self._opened(upstream=upstream, now_s=now_s),
+            self._slow_start_slots(upstream=upstream, now_s=now_s),
             self._health.usable_slots(
                 name=upstream, slots=state.slots, now_s=now_s
             ),
@@ -401,13 +409,13 @@
         usable += len(duty.busy_until_s)
         return min(usable, duty.allowed_slots, state.reported(now_s=now_s))
 
-    def _opened(self, *, upstream: str, now_s: float) -> int:
+    def _slow_start_slots(self, *, upstream: str, now_s: float) -> int:
         state = self._states[upstream]
         usual_s = 0.0
         for service in state.services:
             usual_s = max(usual_s, self.service_time_s(service=service))
         return state.opened(
-            running=self._book.running(upstream=upstream),
+            running=self._tracker.running(upstream=upstream),
             long_s=max(
                 self._limits.long_run_s, self._limits.slow_ratio * usual_s
             ),
@@ -415,7 +423,7 @@
         )
 
     def _used(self, *, upstream: str, duty: Duty, now_s: float) -> int:
-        running = self._book.running(upstream=upstream)
+        running = self._tracker.running(upstream=upstream)
         if not duty.reserve_only:
             return len(running) + len(duty.busy_until_s)
         used = 0
@@ -430,12 +438,12 @@
         for until_s in duty.busy_until_s:
             if until_s > short_until_s:
                 used += 1
-        for ticket in self._book.running(upstream=upstream):
-            if ticket.until_s - self._book.margin_s > short_until_s:
+        for ticket in self._tracker.running(upstream=upstream):
+            if ticket.until_s - self._tracker.margin_s > short_until_s:
                 used += 1
         return used
 
-    def _note_service_time(self, *, service: str, latency_s: float) -> None:
+    def _update_service_time(self, *, service: str, latency_s: float) -> None:
         known_s = self._service_time_s.get(service)
         if known_s is None:
             self._service_time_s[service] = latency_s
@@ -443,21 +451,21 @@
         known_s += SERVICE_TIME_WEIGHT * (latency_s - known_s)
         self._service_time_s[service] = known_s
 
-    def _kind_without_slots(self, *, service: str) -> ErrorKind:
+    def _error_without_slots(self, *, service: str) -> ErrorKind:
         for name in self._by_service.get(service, []):
             if not self._is_leaving(upstream=name):
                 return ErrorKind.NO_SLOT
         return ErrorKind.NO_UPSTREAM
 
-    def _wait_for_duty_s(self, *, now_s: float) -> float:
+    def _wait_for_slots_s(self, *, now_s: float) -> float:
         """Returns the time until the first slot held for others is free."""
-        soonest_s = now_s + FIRST_SERVICE_TIME_S * 5
+        soonest_s = now_s + INITIAL_SERVICE_TIME_S * 5
         for name in self._homes.mine():
             duty = self._homes.duty(upstream=name, now_s=now_s)
             for until_s in duty.busy_until_s:
                 soonest_s = min(soonest_s, until_s)
         return soonest_s - now_s
 
-    def _bounded_ms(self, *, wait_s: float) -> int:
+    def _retry_after_ms(self, *, wait_s: float) -> int:
         wait_ms = math.ceil(wait_s * 1000)
-        return max(LEAST_RETRY_MS, min(MOST_RETRY_MS, wait_ms))
+        return max(LEAST_RETRY_MS, min(MAX_RETRY_MS, wait_ms))
--- a/almondstair/core/admission_queue.py
+++ b/almondstair/core/admission_queue.py
@@ -106,7 +106,7 @@
                 return result
             if result.kind is not ErrorKind.NO_SLOT:
                 return result
-        if not self._can_be_met(
+        if not self._can_be_served(
             priority=priority, deadline_s=deadline_s, now_s=now_s
         ):
             return self._refusal(now_s=now_s)
@@ -180,7 +180,7 @@
                 ahead += 1
         return ahead
 
-    def _can_be_met(
+    def _can_be_served(
         self, *, priority: Priority, deadline_s: float, now_s: float
     ) -> bool:
         ahead = self._ahead_of(priority=priority)
--- a/almondstair/core/duty_records.py
+++ b/almondstair/core/duty_records.py
@@ -1,4 +1,4 @@
-"""What an entry remembers of duties: its own, offered ones, and its peers'."""
+"""Records of home roles: held here, offered for handover, and by peer."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class DutySource(NamedTuple):
-    """The process, and its record, that a duty was taken over from."""
+    """Identifies the process, and its epoch, that a role is taken over from."""
 
     entry: str
     incarnation: str
@@ -19,12 +19,14 @@
 
 
 class HeldDuty(NamedTuple):
-    """The duty of one upstream as this entry holds or last held it.
+    """Holds the home role of one upstream as this entry has or last had it.
 
     Attributes:
-      held_epoch: last epoch in which this entry held it.
-      busy_until_s: one time for each slot taken by another's work.
-      source: whose word may free those slots sooner; None for nobody's.
+      held_epoch: last epoch in which this entry held the role.
+      busy_until_s: one monotonic time for each slot that another entry's work
+        takes.
+      source: process whose reports may free those slots earlier, None if no
+        report may.
     """
 
     held_epoch: int
@@ -33,27 +35,27 @@
 
 
 class DutyOffer(NamedTuple):
-    """A record received under the current epoch, in this entry's time."""
+    """Holds a record received in the current epoch, in this entry's time."""
 
     source: DutySource
     busy_until_s: tuple[float, ...]
 
     @property
     def held_epoch(self) -> int:
-        """Last epoch in which the sender held the duty."""
+        """Last epoch in which the sender held the role."""
         return self.source.held_epoch
 
 
 class HomePeer(NamedTuple):
-    """What was last heard of one entry.
+    """Holds the last reports of one peer; times are monotonic, in seconds.
 
     Attributes:
       report: its newest report by its own clock.
-      report_s: when that came.
-      heard_s: when anything came from it.
-      settled_s: when it was first heard settled under the report's epoch.
+      report_s: when that report arrived.
+      heard_s: when the last report of any age arrived.
+      settled_s: when it first reported settled under the report's epoch.
       echo_epoch: epoch of the newest echo.
-      echo_sent_s: this entry's own clock at the report that was echoed.
+      echo_sent_s: when this entry sent the report that was echoed.
     """
 
     report: HomesReport
@@ -76,17 +78,17 @@
 def next_peer(
     *, known: HomePeer | None, report: HomesReport, now_s: float
 ) -> HomePeer:
-    """Returns what is known of a sender, the report's word included.
+    """Returns the record of a sender, updated with its report.
 
-    What a report says of settling and its records are kept together, also
-    when it is of an epoch that this entry has yet to apply. Were the one
-    remembered and the other dropped, the last holder would look like an
-    entry that never held anything, and its work would not be counted.
+    The settled flag and the records of a report are kept together, even if the
+    report is of an epoch that this entry has yet to apply. If only the flag
+    were kept, the previous home would look like an entry that never held a
+    role, and its work would not be counted.
 
     Args:
-      known: what was known of the sender.
-      report: its report.
-      now_s: monotonic time.
+      known: the record so far, None if there is none.
+      report: the sender's report.
+      now_s: monotonic time in seconds.
     """
     if known is None or known.report.incarnation != report.incarnation:
         return HomePeer(report, now_s, now_s, now_s)
--- a/almondstair/core/home_records.py
+++ b/almondstair/core/home_records.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of homes, and what a duty allows."""
+"""Records of the home protocol: reports between entries and slot rights."""
 
 from typing import NamedTuple
 
@@ -6,13 +6,13 @@
 
 
 class HomedUpstream(NamedTuple):
-    """What the home protocol needs to know of an upstream.
+    """Holds the properties of an upstream that the home protocol uses.
 
     Attributes:
       name: its name.
       region: its region.
-      slots: requests that it runs at once.
-      longest_deadline_s: longest deadline of any class that it runs.
+      slots: how many requests it runs at once.
+      longest_deadline_s: longest deadline of any request class that it runs.
     """
 
     name: str
@@ -22,15 +22,16 @@
 
 
 class Duty(NamedTuple):
-    """What this entry may do at an upstream now.
+    """Holds which slots of an upstream this entry may use now.
 
     Attributes:
-      allowed_slots: most requests at once, `busy_until_s` included; 0 when
-        this entry may not dispatch to it at all.
-      long_slots: most of them that may last longer than the reserve allows.
+      allowed_slots: maximum of requests at once, `busy_until_s` included; 0 if
+        this entry may not dispatch to the upstream at all.
+      long_slots: how many of them may last longer than the reserve allows.
       reserve_only: whether this entry acts as successor, with short work only;
-        then just its own reserve requests count against `allowed_slots`.
-      busy_until_s: one time for each slot taken by another entry's work.
+        then only its own reserve requests count against `allowed_slots`.
+      busy_until_s: one monotonic time for each slot that another entry's work
+        takes.
     """
 
     allowed_slots: int
@@ -43,13 +44,13 @@
 
 
 class HeldRecord(NamedTuple):
-    """What a former holder tells the home of the epoch about one upstream.
+    """Hands one upstream over from a former home to the home of the epoch.
 
     Attributes:
-      upstream: its name.
-      held_epoch: last epoch in which the sender held the duty.
+      upstream: name of the upstream.
+      held_epoch: last epoch in which the sender held the role.
       busy_left_s: for each slot that may still be taken, the seconds until it
-        is surely free.
+        is certainly free.
     """
 
     upstream: str
@@ -58,18 +59,21 @@
 
 
 class HomesReport(NamedTuple):
-    """What one entry tells another of its region with each heartbeat.
+    """Holds the report that an entry sends a peer of its region.
+
+    It goes out with each heartbeat.
 
     Attributes:
       entry: the sender.
-      incarnation: its incarnation.
-      epoch: epoch of the table that it has applied.
-      sent_s: its own clock at sending; only the sender ever compares it.
-      settled: whether it has nothing left of reserve duties of older epochs.
+      incarnation: the sender's incarnation.
+      epoch: epoch of the table that the sender has applied.
+      sent_s: monotonic time of sending by the sender's clock; receivers use it
+        only to order and to echo the sender's reports.
+      settled: whether the sender has no reserve work of older epochs left.
       echo_incarnation: incarnation of the receiver whose report is echoed.
       echo_sent_s: `sent_s` of the receiver's last report, or None while the
         sender has work in a reserve slot of the receiver.
-      records: duties that the sender held and whose home is the receiver.
+      records: roles that the sender held and whose home is now the receiver.
     """
 
     entry: str
@@ -85,7 +89,7 @@
 def homed_upstreams(
     *, configuration: Configuration
 ) -> tuple[HomedUpstream, ...]:
-    """Returns the upstreams of a configuration as the protocol needs them."""
+    """Returns a configuration's upstreams in the form the protocol uses."""
     homed = []
     for name, upstream in configuration.upstreams.items():
         region = configuration.region_of(
--- a/almondstair/core/homes.py
+++ b/almondstair/core/homes.py
@@ -1,23 +1,25 @@
-"""Homes: which entry dispatches to which upstream, and how that moves.
+"""Assignment of upstreams to home entries, and the handover between them.
 
 Each upstream has one home among the entries of its region, so its slots are
-counted in one place. A duty moves with the entry table, under these rules:
-
-* The home of an epoch starts when the entry that held the duty before has
-  applied the same epoch and says which slots its work still takes. It knows the
-  last holder because it held the epoch just before, or because every entry of
-  the region has applied this epoch and none held a later one.
-* When an entry was lost since, the last holder may have been that one. Every
-  slot then counts as taken until the longest deadline has passed.
+counted in one place. The home role moves with the entry table, under these
+rules:
+
+* The home of an epoch starts when the previous home has applied the same epoch
+  and has reported which slots its work still takes. The previous home is known
+  if it held the role in the epoch just before, or if every entry of the region
+  has applied this epoch and none held the role in a later one.
+* If an entry was lost since, it may have been the previous home. Every slot
+  then counts as taken until the longest deadline has passed.
 * One slot of each upstream is a reserve for short work. The home uses it only
   while its successor, the next entry in rank, has acknowledged it within T1.
-  The successor uses it once it has not heard the home for T2 = T1 + the longest
-  deadline of work allowed in the reserve, and says nothing to the home while it
-  has work there. So a frozen home, which wakes up believing in its duty, and
-  its successor never take more than the slots together.
-
-Nothing here needs the platform's service or a vote: without either, the duties
-of the last table go on.
+  The successor uses it after it has received nothing from the home for T2 = T1
+  + the longest deadline of work allowed in the reserve + a margin, and does not
+  acknowledge the home while it has work there. So a home that resumes after a
+  freeze and still assumes its role never exceeds the slots together with its
+  successor.
+
+None of this needs the platform's service or a vote: without them, the home
+roles of the last table stay in force.
 """
 
 from almondstair.core.duty_records import NEVER_S
@@ -38,11 +40,11 @@
 from almondstair.core.slot_book import SlotBook
 
 RESERVE_SLOTS = 1
-LEAST_SLOTS_WITH_RESERVE = 2
+MIN_SLOTS_WITH_RESERVE = 2
 
 
 class Homes:
-    """This entry's view of the duties, and the rules by which they move."""
+    """This entry's view of the home roles, and the rules of their handover."""
 
     def __init__(
         self,
@@ -54,15 +56,17 @@
         margin_s: float,
         book: SlotBook,
     ) -> None:
-        """Makes the view of an entry that holds nothing yet.
+        """Creates the view of an entry that holds no role yet.
 
         Args:
           entry_name: this entry.
-          incarnation: drawn anew at each start of the process.
-          t1_s: how long an acknowledgement lets the home use the reserve.
-          reserve_deadline_s: longest deadline of work in the reserve.
-          margin_s: allowance for clock drift and late cancellation.
-          book: requests that this entry has in flight.
+          incarnation: identifier of this process, new at each start.
+          t1_s: seconds for which an acknowledgement lets the home use the
+            reserve.
+          reserve_deadline_s: longest deadline of work in the reserve, in
+            seconds.
+          margin_s: seconds added for clock drift and late cancellation.
+          book: the requests that this entry has in flight.
         """
         self._name = entry_name
         self._incarnation = incarnation
@@ -70,18 +74,18 @@
         self._reserve_deadline_s = reserve_deadline_s
         self._margin_s = margin_s
         self._t2_s = t1_s + reserve_deadline_s + margin_s
-        self._book = book
+        self._tracker = book
         self._upstreams: dict[str, HomedUpstream] = {}
         self._table = EntryTable()
         self._applied_s = NEVER_S
-        self._lost_s = NEVER_S
+        self._last_loss_s = NEVER_S
         self._ranks = Ranks()
-        self._tokens: dict[str, HeldDuty] = {}
+        self._roles: dict[str, HeldDuty] = {}
         self._peers: dict[str, HomePeer] = {}
         self._pending: set[str] = set()
         self._rows: dict[str, EntryRow] = {}
         self._settled_cache: dict[str, float | None] = {}
-        self._mine: tuple[str, ...] | None = None
+        self._assigned_cache: tuple[str, ...] | None = None
 
     @property
     def epoch(self) -> int:
@@ -94,37 +98,37 @@
         return self._reserve_deadline_s
 
     def set_upstreams(self, *, upstreams: tuple[HomedUpstream, ...]) -> None:
-        """Takes the upstreams of the configuration in force."""
+        """Sets the upstreams of the configuration in force."""
         self._upstreams = {}
         regions = {}
         for upstream in upstreams:
             self._upstreams[upstream.name] = upstream
             regions[upstream.name] = upstream.region
         self._ranks.set_regions(regions=regions)
-        self._mine = None
-        self._list_pending()
+        self._assigned_cache = None
+        self._update_pending()
 
     def home_of(self, *, upstream: str) -> str | None:
-        """Returns the home of an upstream, None when there is none."""
+        """Returns the home of an upstream, or None if it has none."""
         rank = self._rank(upstream=upstream)
         if not rank:
             return None
         return rank[0]
 
     def successor_of(self, *, upstream: str) -> str | None:
-        """Returns the successor, None in a region of one entry."""
+        """Returns the successor, or None in a region of one entry."""
         rank = self._rank(upstream=upstream)
         if len(rank) < 2:
             return None
         return rank[1]
 
     def update_table(self, *, table: EntryTable, now_s: float) -> None:
-        """Applies a table; one that is not newer changes nothing."""
+        """Applies a table unless it is not newer than the one in use."""
         if table.epoch <= self._table.epoch:
             return
         old_epoch = self._table.epoch
         if table.lost_epoch > self._table.lost_epoch:
-            self._lost_s = now_s
+            self._last_loss_s = now_s
         self._table = table
         self._applied_s = now_s
         self._rows = {}
@@ -132,22 +136,22 @@
             self._rows[row.name] = row
         self._ranks.set_table(table=table)
         self._settled_cache.clear()
-        self._mine = None
+        self._assigned_cache = None
         if self._was_dropped(since_epoch=old_epoch):
-            # The others counted this process as lost and others hold its
-            # duties by now; keeping them would run two homes at once.
-            self._tokens.clear()
+            # The other entries treated this process as lost and have taken
+            # over its roles. Keeping them would run two homes at once.
+            self._roles.clear()
         else:
-            self._keep_duties(old_epoch=old_epoch)
-        self._list_pending()
+            self._carry_over_roles(old_epoch=old_epoch)
+        self._update_pending()
         self._take_over_all(now_s=now_s)
 
     def heard(self, *, report: HomesReport, now_s: float) -> None:
-        """Takes a report of another entry, in any order and however late."""
+        """Processes a peer's report, which may be late or out of order."""
         row = self._rows.get(report.entry)
         if row is None or row.incarnation != report.incarnation:
-            # An old process of the same name, or one whose row is not yet
-            # replaced: its word would stand for work nobody accounts for.
+            # The sender is an earlier process of that name, or its row is not
+            # yet replaced. Its report doesn't cover all work of that name.
             return
         known = self._peers.get(report.entry)
         peer = next_peer(known=known, report=report, now_s=now_s)
@@ -160,11 +164,11 @@
             self._take_over_all(now_s=now_s)
 
     def report_to(self, *, peer: str, now_s: float) -> HomesReport:
-        """Returns what this entry tells a peer now."""
+        """Returns the report to send to a peer now."""
         echo_incarnation = ""
         echo_sent_s = None
         known = self._peers.get(peer)
-        if known is not None and not self._in_reserve_of(home=peer):
+        if known is not None and not self._uses_reserve_of(home=peer):
             echo_incarnation = known.report.incarnation
             echo_sent_s = known.report.sent_s
         return HomesReport(
@@ -179,46 +183,47 @@
         )
 
     def mine(self) -> tuple[str, ...]:
-        """Returns the upstreams that this entry is home or successor of."""
-        if self._mine is None:
+        """Returns the upstreams of which this entry is home or successor."""
+        if self._assigned_cache is None:
             names = []
             for name in self._upstreams:
                 if self._name in self._rank(upstream=name)[:2]:
                     names.append(name)
-            self._mine = tuple(names)
-        return self._mine
+            self._assigned_cache = tuple(names)
+        return self._assigned_cache
 
     def duty(self, *, upstream: str, now_s: float) -> Duty:
-        """Returns what this entry may do at an upstream now."""
+        """Returns which slots of an upstream this entry may use now."""
         known = self._upstreams.get(upstream)
         if known is None or not self._in_table():
             return NO_DUTY
         if self.home_of(upstream=upstream) == self._name:
-            return self._home_duty(upstream=known, now_s=now_s)
+            return self._home_rights(upstream=known, now_s=now_s)
         if self.successor_of(upstream=upstream) == self._name:
-            return self._successor_duty(upstream=known, now_s=now_s)
+            return self._successor_rights(upstream=known, now_s=now_s)
         return NO_DUTY
 
     def idle(self, *, now_s: float) -> bool:
-        """Says whether a leaving entry has released everything it held."""
+        """Returns whether a leaving entry has released everything it held."""
         row = self._rows.get(self._name)
         if row is not None and not row.leaving:
             return False
         return self.nothing_held(now_s=now_s)
 
     def nothing_held(self, *, now_s: float) -> bool:
-        """Says whether no slot is taken by this entry's doing or knowledge.
+        """Returns whether this entry uses no slot and holds none for others.
 
-        An entry that takes no work any more and holds nothing may say that it
-        is finished even while the platform is out and its row is not marked.
+        An entry that accepts no more work and holds nothing may report that it
+        is finished, even if its row is not marked as leaving because the
+        platform is unavailable.
         """
-        for token in self._tokens.values():
-            if any(until_s > now_s for until_s in token.busy_until_s):
-                # Slots held for a lost entry are known to this one alone.
+        for role in self._roles.values():
+            if any(until_s > now_s for until_s in role.busy_until_s):
+                # Only this entry knows of the slots held for a lost entry.
                 return False
-        for name in self._book.upstreams():
-            self._book.expire(upstream=name, now_s=now_s)
-        return not self._book.upstreams()
+        for name in self._tracker.upstreams():
+            self._tracker.expire(upstream=name, now_s=now_s)
+        return not self._tracker.upstreams()
 
     def _in_table(self) -> bool:
         row = self._rows.get(self._name)
@@ -230,22 +235,22 @@
             return True
         return row.joined_epoch > since_epoch
 
-    def _keep_duties(self, *, old_epoch: int) -> None:
-        for name, token in self._tokens.items():
-            if token.held_epoch != old_epoch:
+    def _carry_over_roles(self, *, old_epoch: int) -> None:
+        for name, role in self._roles.items():
+            if role.held_epoch != old_epoch:
                 continue
             if self.home_of(upstream=name) != self._name:
                 continue
-            self._tokens[name] = token._replace(held_epoch=self._table.epoch)
+            self._roles[name] = role._replace(held_epoch=self._table.epoch)
 
     def _rank(self, *, upstream: str) -> tuple[str, ...]:
         return self._ranks.first(upstream=upstream)
 
     def _offers(self, *, upstream: str) -> tuple[DutyOffer, ...]:
-        """Returns what others reported of an upstream under this epoch."""
+        """Returns the handovers that peers reported under this epoch."""
         offers = []
         for peer in self._peers.values():
-            if not self._counts(peer=peer):
+            if not self._is_current(peer=peer):
                 continue
             for record in peer.report.records:
                 if record.upstream == upstream:
@@ -261,11 +266,11 @@
         )
         return DutyOffer(source, tuple(until))
 
-    def _counts(self, *, peer: HomePeer) -> bool:
-        """Says whether a report is of a member and of the table in use.
+    def _is_current(self, *, peer: HomePeer) -> bool:
+        """Returns whether a report is from a member and of the table in use.
 
-        Only the very epoch counts: an entry that is ahead may be home under a
-        table that this entry has not seen.
+        The epochs must be equal: an entry that is ahead may be home under a
+        table that this entry has not received.
         """
         row = self._rows.get(peer.report.entry)
         if row is None or row.incarnation != peer.report.incarnation:
@@ -273,16 +278,16 @@
         return peer.report.epoch == self._table.epoch
 
     def _free_ended_work(self, *, peer: HomePeer) -> None:
-        """Frees slots as the work of the former holder ends."""
-        if not self._counts(peer=peer):
+        """Frees slots as the work of the previous home ends."""
+        if not self._is_current(peer=peer):
             return
         for record in peer.report.records:
             offer = self._offer(peer=peer, record=record)
-            token = self._tokens.get(record.upstream)
-            if token is None or token.source != offer.source:
+            role = self._roles.get(record.upstream)
+            if role is None or role.source != offer.source:
                 continue
-            if token.held_epoch == self._table.epoch:
-                self._tokens[record.upstream] = token._replace(
+            if role.held_epoch == self._table.epoch:
+                self._roles[record.upstream] = role._replace(
                     busy_until_s=offer.busy_until_s
                 )
 
@@ -290,30 +295,30 @@
         self, *, home: str, now_s: float
     ) -> tuple[HeldRecord, ...]:
         records = []
-        for name, token in self._tokens.items():
-            if token.held_epoch == self._table.epoch:
+        for name, role in self._roles.items():
+            if role.held_epoch == self._table.epoch:
                 continue
             if self.home_of(upstream=name) not in (home, None):
                 continue
-            left = self._busy_left_s(upstream=name, token=token, now_s=now_s)
-            records.append(HeldRecord(name, token.held_epoch, left))
+            left = self._busy_remaining_s(upstream=name, role=role, now_s=now_s)
+            records.append(HeldRecord(name, role.held_epoch, left))
         return tuple(records)
 
-    def _busy_left_s(
-        self, *, upstream: str, token: HeldDuty, now_s: float
+    def _busy_remaining_s(
+        self, *, upstream: str, role: HeldDuty, now_s: float
     ) -> tuple[float, ...]:
         left = []
-        for until_s in token.busy_until_s:
+        for until_s in role.busy_until_s:
             if until_s > now_s:
                 left.append(until_s - now_s)
-        for ticket in self._book.running(upstream=upstream):
+        for ticket in self._tracker.running(upstream=upstream):
             if not ticket.reserve:
                 left.append(max(0.0, ticket.until_s - now_s))
         return tuple(left)
 
-    def _in_reserve_of(self, *, home: str) -> bool:
-        """Says whether this entry has work in a reserve slot of a home."""
-        for name in self._book.upstreams():
+    def _uses_reserve_of(self, *, home: str) -> bool:
+        """Returns whether this entry has work in a reserve slot of a home."""
+        for name in self._tracker.upstreams():
             if self.home_of(upstream=name) != home:
                 continue
             if self._has_reserve_work(upstream=name):
@@ -321,18 +326,19 @@
         return False
 
     def _has_reserve_work(self, *, upstream: str) -> bool:
-        for ticket in self._book.running(upstream=upstream):
+        for ticket in self._tracker.running(upstream=upstream):
             if ticket.reserve:
                 return True
         return False
 
     def _settled_itself(self) -> bool:
-        """Says whether no reserve work of an older epoch is left.
+        """Returns whether no reserve work of an older epoch is left.
 
-        Without this an old successor's request and the home's, which a new
-        successor lets use the reserve again, would take one slot too many.
+        Otherwise a request of the old successor, and one of the home after the
+        new successor has acknowledged it, would together take one slot too
+        many.
         """
-        for name in self._book.upstreams():
+        for name in self._tracker.upstreams():
             rank = self._rank(upstream=name)[:2]
             if self._name in rank:
                 continue
@@ -341,7 +347,7 @@
         return True
 
     def _settled_s(self, *, region: str) -> float | None:
-        """Returns when the last of the region settled, None if not all."""
+        """Returns when the region's last entry settled, None if not all have."""
         if region not in self._settled_cache:
             self._settled_cache[region] = self._last_settled_s(region=region)
         return self._settled_cache[region]
@@ -352,23 +358,23 @@
             if row.region != region or row.name == self._name:
                 continue
             peer = self._peers.get(row.name)
-            if peer is None or not self._counts(peer=peer):
+            if peer is None or not self._is_current(peer=peer):
                 return None
             if not peer.report.settled:
                 return None
             latest_s = max(latest_s, peer.settled_s)
         return latest_s
 
-    def _home_duty(self, *, upstream: HomedUpstream, now_s: float) -> Duty:
+    def _home_rights(self, *, upstream: HomedUpstream, now_s: float) -> Duty:
         self._take_over(upstream=upstream, now_s=now_s)
-        token = self._tokens.get(upstream.name)
-        if token is None or token.held_epoch != self._table.epoch:
+        role = self._roles.get(upstream.name)
+        if role is None or role.held_epoch != self._table.epoch:
             return NO_DUTY
         busy = []
-        for until_s in token.busy_until_s:
+        for until_s in role.busy_until_s:
             if until_s > now_s:
                 busy.append(until_s)
-        if upstream.slots < LEAST_SLOTS_WITH_RESERVE:
+        if upstream.slots < MIN_SLOTS_WITH_RESERVE:
             return Duty(
                 allowed_slots=upstream.slots,
                 long_slots=upstream.slots,
@@ -384,16 +390,16 @@
             busy_until_s=tuple(busy),
         )
 
-    def _list_pending(self) -> None:
-        """Lists the duties that are this entry's but not yet taken over."""
+    def _update_pending(self) -> None:
+        """Recomputes which home roles this entry has yet to take over."""
         self._pending.clear()
         if not self._in_table():
             return
         for name in self._upstreams:
             if self.home_of(upstream=name) != self._name:
                 continue
-            token = self._tokens.get(name)
-            if token is not None and token.held_epoch == self._table.epoch:
+            role = self._roles.get(name)
+            if role is not None and role.held_epoch == self._table.epoch:
                 continue
             self._pending.add(name)
 
@@ -402,49 +408,49 @@
             self._take_over(upstream=self._upstreams[name], now_s=now_s)
 
     def _take_over(self, *, upstream: HomedUpstream, now_s: float) -> None:
-        """Starts a pending duty if its last holder is accounted for."""
+        """Takes over a pending home role if the previous home is known."""
         if upstream.name not in self._pending:
             return
         best = self._last_holder(upstream=upstream)
         if best is None:
             return
-        token = HeldDuty(self._table.epoch, best.busy_until_s, best.source)
+        role = HeldDuty(self._table.epoch, best.busy_until_s, best.source)
         if not self._accounts_for_lost(holder=best):
-            # The slots are held for the lost entry, so no report of another
-            # may free them: the token has no source.
+            # The slots are held for the lost entry, so no peer's report may
+            # free them: the role has no source.
             busy = self._all_busy(upstream=upstream, now_s=now_s)
-            token = HeldDuty(self._table.epoch, busy)
-        self._tokens[upstream.name] = token
+            role = HeldDuty(self._table.epoch, busy)
+        self._roles[upstream.name] = role
         self._pending.discard(upstream.name)
 
     def _last_holder(self, *, upstream: HomedUpstream) -> DutyOffer | None:
-        """Returns the last holder's record, None while it is not known.
+        """Returns the previous home's handover, None while it is not known.
 
-        An epoch has one home, so a record of the epoch just before is the last.
-        Otherwise every entry must have settled under this epoch, lest one that
-        is frozen, or whose report was lost, still dispatches.
+        An epoch has one home, so a record of the epoch just before is the
+        latest. Otherwise every entry must have settled under this epoch, since
+        one that is frozen, or whose report was lost, may still dispatch.
         """
         best = DutyOffer(NOBODY, ())
-        own = self._tokens.get(upstream.name)
+        own = self._roles.get(upstream.name)
         if own is not None:
             source = DutySource(self._name, self._incarnation, own.held_epoch)
             best = DutyOffer(source, own.busy_until_s)
         for offer in self._offers(upstream=upstream.name):
             if offer.held_epoch > best.held_epoch:
                 best = offer
-        if self._held_just_before(holder=best):
+        if self._held_previous_epoch(holder=best):
             return best
         if self._settled_s(region=upstream.region) is None:
             return None
         return best
 
     def _accounts_for_lost(self, *, holder: DutyOffer) -> bool:
-        """Says whether no entry can have been lost holding the duty."""
+        """Returns whether no entry can have been lost while it was home."""
         if holder.held_epoch >= self._table.lost_epoch:
             return True
-        return self._held_just_before(holder=holder)
+        return self._held_previous_epoch(holder=holder)
 
-    def _held_just_before(self, *, holder: DutyOffer) -> bool:
+    def _held_previous_epoch(self, *, holder: DutyOffer) -> bool:
         if holder.source == NOBODY:
             return False
         return holder.held_epoch == self._table.epoch - 1
@@ -452,22 +458,24 @@
     def _all_busy(
         self, *, upstream: HomedUpstream, now_s: float
     ) -> tuple[float, ...]:
-        """Holds every slot until a lost entry's work is surely over."""
+        """Returns when a lost entry's work is certainly over, for each slot."""
         longest_s = now_s + upstream.longest_deadline_s + self._margin_s
         busy = [longest_s] * upstream.slots
-        if upstream.slots >= LEAST_SLOTS_WITH_RESERVE:
+        if upstream.slots >= MIN_SLOTS_WITH_RESERVE:
             busy[0] = min(longest_s, now_s + self._t2_s)
         return tuple(busy)
 
     def _reserve_is_mine(
         self, *, upstream: HomedUpstream, now_s: float
     ) -> bool:
-        """Says whether the home may use the reserve slot."""
+        """Returns whether the home may use the reserve slot."""
         if self._settled_s(region=upstream.region) is None:
             return False
-        lost_work_s = self._lost_s + self._reserve_deadline_s + self._margin_s
+        lost_work_s = (
+            self._last_loss_s + self._reserve_deadline_s + self._margin_s
+        )
         if now_s < lost_work_s:
-            # A lost successor may have left a request in the reserve.
+            # A lost successor may still have a request in the reserve.
             return False
         successor = self.successor_of(upstream=upstream.name)
         if successor is None:
@@ -477,8 +485,10 @@
             return False
         return now_s - peer.echo_sent_s <= self._t1_s
 
-    def _successor_duty(self, *, upstream: HomedUpstream, now_s: float) -> Duty:
-        if upstream.slots < LEAST_SLOTS_WITH_RESERVE:
+    def _successor_rights(
+        self, *, upstream: HomedUpstream, now_s: float
+    ) -> Duty:
+        if upstream.slots < MIN_SLOTS_WITH_RESERVE:
             return NO_DUTY
         settled_s = self._settled_s(region=upstream.region)
         home = self.home_of(upstream=upstream.name)
--- a/almondstair/core/hops.py
+++ b/almondstair/core/hops.py
@@ -12,7 +12,7 @@
 from almondstair.core.entry_table import EntryRow
 
 # An entry that refused is not asked again before its next report, or this.
-REFUSAL_MEMORY_S = 0.25
+REFUSAL_HOLD_S = 0.25
 
 
 class _Load:
@@ -99,10 +99,10 @@
         for position, row in enumerate(rows):
             if row.name in tried:
                 continue
-            free_slots = self._free(row.name, service, now_s)
+            free_slots = self._free_slots(row.name, service, now_s)
             turn = (position + int(draw * count)) % count
             ranked.append((-free_slots, turn, row))
-        ranked.sort(key=_place)
+        ranked.sort(key=_sort_key)
         ordered = []
         for negative, _, row in ranked:
             ordered.append(RankedEntry(row, -negative))
@@ -141,11 +141,11 @@
                 best_rank = rank
         return best
 
-    def _free(self, entry: str, service: str, now_s: float) -> int:
+    def _free_slots(self, entry: str, service: str, now_s: float) -> int:
         load = self._loads.get((entry, service))
         if load is None or now_s - load.heard_s > self._report_limit_s:
             return 0
-        if now_s - load.refused_s < REFUSAL_MEMORY_S:
+        if now_s - load.refused_s < REFUSAL_HOLD_S:
             return 0
         return max(0, load.free_slots - load.outstanding)
 
@@ -153,5 +153,5 @@
         return self._loads.setdefault((entry, service), _Load())
 
 
-def _place(item: tuple[int, int, EntryRow]) -> tuple[int, int]:
+def _sort_key(item: tuple[int, int, EntryRow]) -> tuple[int, int]:
     return item[:2]
--- a/almondstair/core/ledger.py
+++ b/almondstair/core/ledger.py
@@ -1,12 +1,12 @@
-"""Claims of idempotency keys: what runs at most once, and what a repeat gets.
+"""Claims of idempotency keys, for requests that must run at most once.
 
 A key is claimed in the platform's key-value service before its request is
-dispatched, and its outcome is recorded after. This module holds the records and
-the decisions; `almondstair.claims` carries them out.
+dispatched, and the outcome is recorded afterwards. This module holds the
+records and the decisions; `almondstair.claims` makes the calls.
 
-    Claiming     makes one claim out of answered, failed and lost calls
-    Claim        the claim while its request is under way
-    Settlement   brings the outcome of a claim into the service, however late
+    Claiming     makes a claim, despite failed calls and lost answers
+    Claim        the claim while its request is in flight
+    Settlement   records the outcome of a claim in the service
 """
 
 from collections.abc import Callable
@@ -24,9 +24,9 @@
 
 KEY_PREFIX = "almondstair/claims/"
 RECORD_FORMAT = 1
-MAX_KEPT_BODY_BYTES = 64 << 10
+MAX_RECORDED_BODY_BYTES = 64 << 10
 MAX_WRITES_PER_CLAIM = 3
-KEPT_HEADERS = (
+RECORDED_HEADERS = (
     "content-type",
     "content-encoding",
     "content-language",
@@ -37,13 +37,13 @@
 
 
 class RecordState(enum.StrEnum):
-    """What the service knows of a key.
+    """State of a key in the service.
 
     Attributes:
-      CLAIMED: claimed; it may be dispatched, or have been.
+      CLAIMED: claimed; the request may have been dispatched or still be.
       DONE: answered by an upstream.
-      UNKNOWN: dispatched, and no whole answer came.
-      RELEASED: certainly not run, now and later; may be claimed again.
+      UNKNOWN: dispatched, but no complete answer arrived.
+      RELEASED: certainly has not run and never will; may be claimed again.
     """
 
     CLAIMED = "claimed"
@@ -53,12 +53,12 @@
 
 
 class RecordedAnswer(NamedTuple):
-    """An upstream's answer as a repeat gets it.
+    """Holds an upstream's answer as a repeated request gets it.
 
     Attributes:
       status: HTTP status.
-      headers: those of `KEPT_HEADERS` that it had.
-      body: the whole body; None when it was too large to keep.
+      headers: the headers of the answer that are in `RECORDED_HEADERS`.
+      body: the whole body; None if it was too large to record.
     """
 
     status: int
@@ -67,17 +67,17 @@
 
 
 class ClaimRecord(NamedTuple):
-    """Value of a key in the service.
+    """Holds the value of a key in the service.
 
     Attributes:
       format: `RECORD_FORMAT`.
-      nonce: random name of the claim.
+      nonce: random identifier of the claim.
       print: digest over the key and the request's fingerprint.
       entry: entry that made the claim.
-      incarnation: random name of that entry's process.
-      time_left_ms: time to the request's deadline when it was claimed.
-      state: what is known.
-      answer: the answer when done.
+      incarnation: random identifier of that entry's process.
+      time_left_ms: time from the claim to the request's deadline.
+      state: state of the key.
+      answer: the answer, if the state is `DONE`.
     """
 
     format: int
@@ -91,20 +91,20 @@
 
 
 def service_key(*, service: str, key: str) -> str:
-    """Returns where the service keeps an idempotency key."""
+    """Returns the key in the service for an idempotency key."""
     return f"{KEY_PREFIX}{service}/{xxhash.xxh3_128_hexdigest(key.encode())}"
 
 
 def request_fingerprint(*, method: str, path: str, body_digest: bytes) -> bytes:
-    """Returns the digest that tells a repeat from another request."""
+    """Returns the digest by which a repeated request is recognised."""
     return _digest(method.encode(), path.encode(), body_digest)
 
 
 def claim_print(*, key: str, fingerprint: bytes) -> bytes:
     """Returns the digest over an idempotency key and its request.
 
-    Two keys may share a place in the service, since their hash there is a short
-    and public one. Were only the request compared, a caller with another key
+    Two idempotency keys may share a key in the service, since the hash is short
+    and public. If only the request were compared, a caller with another key
     and an equal request would get an answer that is not its own.
     """
     return _digest(key.encode(), fingerprint)
@@ -119,12 +119,12 @@
 
 
 def encode_record(record: ClaimRecord) -> bytes:
-    """Returns a record as the service keeps it."""
+    """Returns a record as it is stored in the service."""
     return msgspec.msgpack.encode(record)
 
 
 def decode_record(value: bytes) -> ClaimRecord | None:
-    """Returns a record, None when it is not one that this version reads."""
+    """Returns a record, or None if this version cannot read it."""
     try:
         record = msgspec.msgpack.decode(value, type=ClaimRecord)
     except msgspec.MsgspecError:
@@ -137,24 +137,24 @@
 def keep_answer(
     *, status: int, headers: list[tuple[str, str]], body: bytes | None
 ) -> RecordedAnswer:
-    """Returns an answer cut to what is kept for repeats.
+    """Returns the part of an answer that is recorded for repeated requests.
 
     Args:
       status: HTTP status.
       headers: all headers of the answer.
-      body: the whole body, or None when it was not collected.
+      body: the whole body, or None if it was not collected.
     """
     kept = []
     for name, value in headers:
-        if name.lower() in KEPT_HEADERS:
+        if name.lower() in RECORDED_HEADERS:
             kept.append((name, value))
-    if body is not None and len(body) > MAX_KEPT_BODY_BYTES:
+    if body is not None and len(body) > MAX_RECORDED_BODY_BYTES:
         body = None
     return RecordedAnswer(status=status, headers=tuple(kept), body=body)
 
 
 class Verdict(enum.Enum):
-    """What a record found under the key means for who wants to claim it."""
+    """What a record found under a key means for an attempt to claim it."""
 
     OURS = enum.auto()
     CLAIMABLE = enum.auto()
@@ -165,13 +165,13 @@
 
 
 class Bystander(NamedTuple):
-    """What an entry knows beside the record of somebody's claim.
+    """Holds what an entry knows of a claim apart from its record.
 
     Attributes:
-      holder_live: the claiming process is live.
-      deadline_passed: the claim's deadline is past for sure.
-      never_dispatched: the claim is this process's own, and this process gave
-        it up before any dispatch.
+      holder_live: whether the claiming process is live.
+      deadline_passed: whether the claim's deadline has certainly passed.
+      never_dispatched: whether this process made the claim and gave it up
+        before any dispatch.
     """
 
     holder_live: bool
@@ -182,10 +182,10 @@
 def judge(
     *, record: ClaimRecord | None, wanted: ClaimRecord, seen: Bystander
 ) -> Verdict:
-    """Says what a record under the key means for a claim.
+    """Returns what a record under the key means for a claim.
 
     Args:
-      record: what is under the key; None when it cannot be read.
+      record: the record under the key; None if it cannot be read.
       wanted: the claim to be made.
       seen: what else is known of the record's claim.
     """
@@ -199,12 +199,12 @@
         return Verdict.REUSED
     if record.state is RecordState.DONE:
         return Verdict.ANSWERED
-    return _judge_open(record, seen)
+    return _classify_open(record, seen)
 
 
-def _judge_open(record: ClaimRecord, seen: Bystander) -> Verdict:
-    # A claim whose holder died is never taken over: whether it had dispatched
-    # is known to nobody, and a second run is worse than none.
+def _classify_open(record: ClaimRecord, seen: Bystander) -> Verdict:
+    # A claim whose holder died is never taken over: nobody knows whether the
+    # holder had dispatched the request, and a second run is worse than none.
     if record.state is RecordState.UNKNOWN:
         return Verdict.UNKNOWN
     if seen.deadline_passed or not seen.holder_live:
@@ -213,7 +213,7 @@
 
 
 def verdict_error(verdict: Verdict) -> AlmondstairError:
-    """Returns what a repeat is told, unless it gets the recorded answer."""
+    """Returns the error for a repeated request without a recorded answer."""
     if verdict is Verdict.REUSED:
         return AlmondstairError(kind=ErrorKind.KEY_REUSED)
     if verdict is Verdict.IN_FLIGHT:
@@ -225,20 +225,22 @@
 
 
 def answer_not_kept(answer: RecordedAnswer) -> AlmondstairError:
-    """Returns what a repeat is told when the answer was too large to keep.
+    """Returns the error for a repeated request whose answer was too large.
 
-    The closed list has no kind of its own for this. `outcome_unknown` has the
-    status and the meaning "do not send again"; `ran` says that it did run.
+    The closed list of error kinds has none for this case. `outcome_unknown` has
+    the right status and means "do not send again"; `ran` reports that the
+    request did run.
     """
     return AlmondstairError(
         kind=ErrorKind.OUTCOME_UNKNOWN,
-        detail=f"it ran and was answered {answer.status}; too large to keep",
+        detail=f"the request ran with status {answer.status}; "
+        "its answer is too large to keep",
         ran=Ran.YES,
     )
 
 
 class ClaimAction(enum.Enum):
-    """What a claim needs next."""
+    """The next step of an attempt to claim a key."""
 
     WRITE = enum.auto()
     READ_BACK = enum.auto()
@@ -246,22 +248,23 @@
 
 
 class Claiming:
-    """Makes one claim: decides the next call from how the last one went.
+    """Makes one claim: decides on each call from the result of the last one.
 
-    A write whose answer was lost may be applied now, later or never. Taking it
-    as failed would leave a claim that nobody releases; taking it as applied
-    would let two entries dispatch. So the key is read back and one's own nonce
-    looked for. While nothing of the write is seen it is written again, which
+    A write whose answer was lost may be applied now, later or never. Treating
+    it as failed would leave a claim that nobody releases; treating it as
+    applied would let two entries dispatch. So the key is read back to look for
+    the nonce of this claim. If the write is not visible it is repeated, which
     is harmless since each write is conditional.
 
     Attributes:
-      wanted: the record to be written.
-      action: what to do next.
+      wanted: the record to write.
+      action: the next step.
       base_revision: revision that the next write is conditional on.
       mod_revision: revision of the claim once it is held, else 0.
-      found: record that stood in the way, None when none did.
-      verdict: outcome once stopped; None when the service failed.
-      may_be_written: a write is out that may be applied, now or later.
+      found: the last record that was found under the key, if any.
+      verdict: the outcome once stopped; None if the service failed.
+      may_be_written: whether a write was lost that may be applied, now or
+        later.
       failure: the last failure of the service, if any.
     """
 
@@ -271,11 +274,11 @@
         wanted: ClaimRecord,
         look: Callable[[ClaimRecord], Bystander],
     ) -> None:
-        """Starts a claim.
+        """Starts an attempt.
 
         Args:
-          wanted: the record to be written.
-          look: tells what is known beside a record found under the key.
+          wanted: the record to write.
+          look: returns what else is known of a claim found under the key.
         """
         self.wanted = wanted
         self.action = ClaimAction.WRITE
@@ -285,11 +288,11 @@
         self.verdict: Verdict | None = None
         self.may_be_written = False
         self.failure: base.PlatformError | None = None
-        self._look = look
+        self._find_context = look
         self._writes = 0
 
     def on_write(self, result: base.CasResult) -> None:
-        """Takes the answer to a write."""
+        """Processes the answer to a write."""
         self._writes += 1
         if result.succeeded:
             self._hold(result.revision)
@@ -297,11 +300,11 @@
         self._on_current(result.current)
 
     def on_read(self, current: base.Record | None) -> None:
-        """Takes the answer to a read back."""
+        """Processes the answer to a read back."""
         self._on_current(current)
 
     def on_failure(self, error: base.PlatformError) -> None:
-        """Takes the failure of either."""
+        """Processes the failure of a write or a read back."""
         self.failure = error
         if self.action is ClaimAction.READ_BACK:
             self._stop(None)
@@ -312,31 +315,31 @@
             self.action = ClaimAction.READ_BACK
             return
         if error.failure is base.PlatformFailure.REFUSED:
-            self._write_again()
+            self._retry_write()
             return
         self._stop(None)
 
     def _on_current(self, current: base.Record | None) -> None:
         if current is None:
             self.base_revision = 0
-            self._write_again()
+            self._retry_write()
             return
         record = decode_record(current.value)
         self.found = record
-        seen = Bystander(False, False, False)
+        context = Bystander(False, False, False)
         if record is not None:
-            seen = self._look(record)
-        verdict = judge(record=record, wanted=self.wanted, seen=seen)
+            context = self._find_context(record)
+        verdict = judge(record=record, wanted=self.wanted, seen=context)
         if verdict is Verdict.OURS:
             self._hold(current.mod_revision)
             return
         if verdict is Verdict.CLAIMABLE:
             self.base_revision = current.mod_revision
-            self._write_again()
+            self._retry_write()
             return
         self._stop(verdict)
 
-    def _write_again(self) -> None:
+    def _retry_write(self) -> None:
         if self._writes >= MAX_WRITES_PER_CLAIM:
             self._stop(None)
             return
@@ -352,7 +355,7 @@
 
 
 class ClaimPhase(enum.Enum):
-    """Where the request of a claim is."""
+    """How far the request of a claim has come."""
 
     HELD = enum.auto()
     DISPATCHED = enum.auto()
@@ -364,16 +367,16 @@
 class Claim:
     """A claim that this process holds.
 
-    The phase is the one place that says whether the request may go to an
-    upstream: once released, no dispatch is let through, so a request that a
-    caller was told is not run cannot run after all.
+    The phase alone decides whether the request may go to an upstream. A
+    released claim permits no dispatch, so a request that was reported to its
+    caller as not run cannot run later.
 
     Attributes:
-      place: where the service keeps the key.
+      place: key in the service.
       record: the record as claimed.
-      mod_revision: its revision.
+      mod_revision: revision of the record.
       deadline_s: the request's deadline, in monotonic seconds.
-      phase: where the request is.
+      phase: how far the request has come.
     """
 
     def __init__(
@@ -394,17 +397,17 @@
     def dispatch(self, *, now_s: float) -> None:
         """Marks the request as dispatched; call it right before the first byte.
 
-        It may be called again for another upstream, after one refused the
-        request for sure.
+        It may be called again for another upstream, after one certainly did
+        not run the request.
 
         Raises:
-          AlmondstairError: the deadline passed, for example because this
+          AlmondstairError: the deadline has passed, for example because this
             process was frozen after the claim; or the claim is closed.
         """
         if self.phase not in (ClaimPhase.HELD, ClaimPhase.DISPATCHED):
             raise AlmondstairError(
                 kind=ErrorKind.INTERNAL,
-                detail=f"dispatch of a claim that is {self.phase.name}",
+                detail=f"cannot dispatch: the claim is {self.phase.name}",
                 ran=Ran.NO,
             )
         if now_s >= self.deadline_s:
@@ -412,17 +415,17 @@
         self.phase = ClaimPhase.DISPATCHED
 
     def close(self, phase: ClaimPhase) -> None:
-        """Ends the claim as released, done or unknown."""
+        """Closes the claim as released, done or unknown."""
         if self.phase not in (ClaimPhase.HELD, ClaimPhase.DISPATCHED):
             raise AlmondstairError(
                 kind=ErrorKind.INTERNAL,
-                detail=f"claim is {self.phase.name} already",
+                detail=f"the claim is already {self.phase.name}",
             )
         self.phase = phase
 
 
 class SettlementState(enum.Enum):
-    """How far a settlement is."""
+    """Result of a write of an outcome."""
 
     AGAIN = enum.auto()
     SETTLED = enum.auto()
@@ -430,23 +433,23 @@
 
 
 class Settlement:
-    """Brings the outcome of one claim into the service by compare-and-swap.
+    """Records the outcome of one claim in the service by compare-and-swap.
 
-    It is also how a claim is given up whose write may still be applied: the
-    released record is written on the revision that the claim was conditional
-    on, so a claim that arrives later finds its condition broken. Deleting the
-    key would let it appear after all, held by nobody.
+    It also gives up a claim whose write may still be applied: the released
+    record is written on the revision that the claim was conditional on, so the
+    condition of a write that arrives later fails. If the key were deleted
+    instead, that write would create a claim that nobody holds.
 
     Attributes:
-      place: where the service keeps the key.
-      record: the record to be brought in.
+      place: key in the service.
+      record: the record to write.
       mod_revision: revision that the next write is conditional on.
     """
 
     def __init__(
         self, *, place: str, record: ClaimRecord, mod_revision: int
     ) -> None:
-        """Starts a settlement."""
+        """Starts with nothing written."""
         self.place = place
         self.record = record
         self.mod_revision = mod_revision
@@ -461,7 +464,7 @@
         )
 
     def on_write(self, result: base.CasResult) -> SettlementState:
-        """Takes the answer to a write."""
+        """Processes the answer to a write."""
         if result.succeeded:
             return SettlementState.SETTLED
         if result.current is None:
@@ -476,7 +479,7 @@
 
     def _on_absent(self) -> SettlementState:
         if self.record.state is RecordState.RELEASED:
-            # The record went with its lease: there is nothing left to release.
+            # The record expired with its lease, so nothing is left to release.
             return SettlementState.SETTLED
         self.mod_revision = 0
         return SettlementState.AGAIN
--- a/almondstair/core/links.py
+++ b/almondstair/core/links.py
@@ -36,15 +36,15 @@
 # Part of its allowance that a lender keeps for requests of its own.
 KEPT_FRACTION = 0.05
 # Room above its measured use that an entry wants before it lends or asks.
-ROOM_FACTOR = 1.25
+HEADROOM_FACTOR = 1.25
 # Peers asked in one round; bounds the messages in a zone of many entries.
-ASKED_PEERS = 4
+PEERS_PER_ROUND = 4
 # Longest wait that is returned, since a loan may arrive meanwhile.
-LONGEST_WAIT_S = 0.05
-SHORTEST_WAIT_S = 0.001
+MAX_WAIT_S = 0.05
+MIN_WAIT_S = 0.001
 # A use that is measured over a shorter time than this says little.
 METER_INTERVAL_S = 0.1
-METER_MEMORY_S = 1.0
+METER_SMOOTHING_S = 1.0
 
 
 class Part(NamedTuple):
@@ -99,7 +99,7 @@
         if elapsed_s < METER_INTERVAL_S:
             return self._used_bytes_per_s
         latest = self._moved_bytes / elapsed_s
-        weight = min(1.0, elapsed_s / METER_MEMORY_S)
+        weight = min(1.0, elapsed_s / METER_SMOOTHING_S)
         self._used_bytes_per_s += (latest - self._used_bytes_per_s) * weight
         self._moved_bytes = 0
         self._since_s = now_s
@@ -140,22 +140,22 @@
         # An earlier process under this name may have lent its allowance and
         # died. Its borrowers use it until their terms end, so a new process
         # that used it at once would be the second user of the same bytes.
-        self._quiet_until_s = now_s + self._timing.lender_term_s
+        self._no_allowance_until_s = now_s + self._timing.lender_term_s
         self._epoch = 0
         self._entries: tuple[str, ...] = ()
-        self._table_is_fresh = False
+        self._has_platform_table = False
         self._released = False
-        self._heard_epochs: dict[str, int] = {}
+        self._peer_epochs: dict[str, int] = {}
         self._acknowledged_epoch = 0
         self._allowance_bytes_per_s = 0
         self._lent = LentBook(timing=self._timing)
         self._borrowed = BorrowedBook(timing=self._timing)
         self._bucket = TokenBucket(now_s=now_s)
         self._meter = _Meter(now_s=now_s)
-        self._refused_s = float("-inf")
-        self._asked_s = float("-inf")
+        self._last_wait_s = float("-inf")
+        self._last_round_s = float("-inf")
         self._next_peer = 0
-        self._next_change_s = self._quiet_until_s
+        self._next_change_s = self._no_allowance_until_s
 
     @property
     def link(self) -> str:
@@ -181,11 +181,11 @@
           wait before asking again. A piece above `largest_take_bytes` waits
           for ever; use `take_part` for those.
         """
-        self._settle(now_s=now_s)
+        self._advance(now_s=now_s)
         if self._bucket.take(size_bytes=size_bytes, now_s=now_s):
             self._meter.add(size_bytes)
             return 0.0
-        self._refused_s = now_s
+        self._last_wait_s = now_s
         return self._wait_s(size_bytes=size_bytes)
 
     def take_part(self, *, size_bytes: int, now_s: float) -> Part:
@@ -199,7 +199,7 @@
           How much may move now and was paid for. To spare tiny writes this is
           nothing until half a bucket, or the whole piece, is there.
         """
-        self._settle(now_s=now_s)
+        self._advance(now_s=now_s)
         least_bytes = min(size_bytes, int(self._bucket.depth_bytes / 2) + 1)
         self._bucket.fill(now_s=now_s)
         wait_s = self._wait_s(size_bytes=least_bytes)
@@ -210,7 +210,7 @@
             )
             wait_s = 0.0
         if taken_bytes < size_bytes:
-            self._refused_s = now_s
+            self._last_wait_s = now_s
         self._meter.add(taken_bytes)
         return Part(taken_bytes, wait_s)
 
@@ -235,25 +235,25 @@
             acknowledged before, while a new entry counts on that.
           now_s: monotonic time in seconds.
         """
-        self._settle(now_s=now_s)
+        self._advance(now_s=now_s)
         if epoch < self._epoch:
             return
         if from_platform:
-            self._table_is_fresh = True
+            self._has_platform_table = True
         if epoch > self._epoch:
             self._epoch = epoch
             self._entries = entries
             self._borrowed.drop_all()
             self._lent.forget_except(entries=entries)
-        self._apply(now_s=now_s)
+        self._recompute(now_s=now_s)
 
     def on_acknowledged(self, *, entry: str, epoch: int, now_s: float) -> None:
         """Notes that `entry` acknowledged `epoch` for this link."""
-        if epoch <= self._heard_epochs.get(entry, 0):
+        if epoch <= self._peer_epochs.get(entry, 0):
             return
-        self._heard_epochs[entry] = epoch
-        self._settle(now_s=now_s)
-        self._apply(now_s=now_s)
+        self._peer_epochs[entry] = epoch
+        self._advance(now_s=now_s)
+        self._recompute(now_s=now_s)
 
     def acknowledged_epoch(self, *, now_s: float) -> int:
         """Returns the epoch that peers may count on.
@@ -261,7 +261,7 @@
         It lags behind the epoch in use while more is lent than the new
         allowance: borrowers may use that until their terms end.
         """
-        self._settle(now_s=now_s)
+        self._advance(now_s=now_s)
         return self._acknowledged_epoch
 
     def on_cap(self, *, cap_bytes_per_s: int, now_s: float) -> None:
@@ -270,16 +270,16 @@
         The sum of use is at or under the new cap once the configuration is in
         force on every entry and the loans of before have ended.
         """
-        self._settle(now_s=now_s)
+        self._advance(now_s=now_s)
         self._cap_bytes_per_s = cap_bytes_per_s
-        self._apply(now_s=now_s)
+        self._recompute(now_s=now_s)
 
     def release(self, *, now_s: float) -> None:
         """Gives up the allowance and all loans for good, before leaving."""
-        self._settle(now_s=now_s)
+        self._advance(now_s=now_s)
         self._released = True
         self._borrowed.drop_all()
-        self._apply(now_s=now_s)
+        self._recompute(now_s=now_s)
 
     # Loans.
 
@@ -290,15 +290,15 @@
         many of them only from half of the term on, which renews those loans
         before they end.
         """
-        self._settle(now_s=now_s)
+        self._advance(now_s=now_s)
         if self._released or self._entry_name not in self._entries:
             return ()
-        if now_s - self._asked_s < self._timing.ask_interval_s:
+        if now_s - self._last_round_s < self._timing.ask_interval_s:
             return ()
         wanted_bytes_per_s = self._wanted_bytes_per_s(now_s=now_s)
         if wanted_bytes_per_s <= 0:
             return ()
-        self._asked_s = now_s
+        self._last_round_s = now_s
         requests = []
         for lender in self._peers_to_ask(now_s=now_s):
             sequence = self._borrowed.next_sequence(lender=lender, now_s=now_s)
@@ -324,7 +324,7 @@
         Returns:
           The loan to send, or None when nothing is lent.
         """
-        self._settle(now_s=now_s)
+        self._advance(now_s=now_s)
         if not self._may_answer(request):
             return None
         repeated = self._lent.repeated(request=request)
@@ -345,12 +345,12 @@
             share_bytes_per_s=share_bytes_per_s,
         )
         self._lent.add(loan=loan, now_s=now_s)
-        self._apply(now_s=now_s)
+        self._recompute(now_s=now_s)
         return loan
 
     def accept(self, *, loan: Loan, now_s: float) -> bool:
         """Takes up a loan; one that is late or unasked for is refused."""
-        self._settle(now_s=now_s)
+        self._advance(now_s=now_s)
         if self._released or loan.borrower != self._entry_name:
             return False
         if loan.incarnation != self._incarnation:
@@ -359,12 +359,12 @@
             return False
         if not self._borrowed.accept(loan=loan, now_s=now_s):
             return False
-        self._apply(now_s=now_s)
+        self._recompute(now_s=now_s)
         return True
 
     def status(self, *, now_s: float) -> LinkStatus:
         """Returns what is known of the share."""
-        self._settle(now_s=now_s)
+        self._advance(now_s=now_s)
         used_bytes_per_s = self._meter.used_bytes_per_s(now_s=now_s)
         return LinkStatus(
             epoch=self._epoch,
@@ -378,7 +378,7 @@
 
     # Inner parts.
 
-    def _settle(self, *, now_s: float) -> None:
+    def _advance(self, *, now_s: float) -> None:
         """Applies, in order of time, all that ended by `now_s`.
 
         The order matters after a freeze: tokens flow in at the rate of a loan
@@ -388,9 +388,9 @@
             change_s = self._next_change_s
             self._lent.expire(now_s=change_s)
             self._borrowed.expire(now_s=change_s)
-            self._apply(now_s=change_s)
+            self._recompute(now_s=change_s)
 
-    def _apply(self, *, now_s: float) -> None:
+    def _recompute(self, *, now_s: float) -> None:
         """Computes allowance and bucket from the present state."""
         self._update_allowance(now_s=now_s)
         own = self._allowance_bytes_per_s - self._lent.share_bytes_per_s
@@ -407,8 +407,10 @@
         self._next_change_s = min(
             self._lent.next_end_s, self._borrowed.next_end_s
         )
-        if now_s < self._quiet_until_s:
-            self._next_change_s = min(self._next_change_s, self._quiet_until_s)
+        if now_s < self._no_allowance_until_s:
+            self._next_change_s = min(
+                self._next_change_s, self._no_allowance_until_s
+            )
 
     def _update_allowance(self, *, now_s: float) -> None:
         if self._released or self._entry_name not in self._entries:
@@ -421,13 +423,13 @@
         self._allowance_bytes_per_s = min(self._allowance_bytes_per_s, target)
 
     def _may_grow(self, *, now_s: float) -> bool:
-        if not self._table_is_fresh or now_s < self._quiet_until_s:
+        if not self._has_platform_table or now_s < self._no_allowance_until_s:
             return False
         for entry in self._entries:
             if entry == self._entry_name:
                 continue
             # An entry of an older epoch still uses the share of that epoch.
-            if self._heard_epochs.get(entry, 0) < self._epoch:
+            if self._peer_epochs.get(entry, 0) < self._epoch:
                 return False
         return True
 
@@ -446,7 +448,7 @@
         # would let two entries feed each other's demand.
         if self._borrowed.share_bytes_per_s or self._is_busy(now_s=now_s):
             return 0
-        used = self._meter.used_bytes_per_s(now_s=now_s) * ROOM_FACTOR
+        used = self._meter.used_bytes_per_s(now_s=now_s) * HEADROOM_FACTOR
         kept = self._allowance_bytes_per_s * KEPT_FRACTION
         idle = int(self._allowance_bytes_per_s - max(used, kept))
         lent_to_others = self._lent.share_bytes_per_s
@@ -460,7 +462,7 @@
         if self._is_busy(now_s=now_s):
             return self._cap_bytes_per_s - max(0, own)
         used = self._meter.used_bytes_per_s(now_s=now_s)
-        return int(used * ROOM_FACTOR) - max(0, own)
+        return int(used * HEADROOM_FACTOR) - max(0, own)
 
     def _peers_to_ask(self, *, now_s: float) -> tuple[str, ...]:
         """Returns present lenders, then others in turn."""
@@ -470,18 +472,18 @@
             if entry != self._entry_name and entry not in lenders:
                 others.append(entry)
         chosen = list(lenders)
-        if len(lenders) > ASKED_PEERS:
+        if len(lenders) > PEERS_PER_ROUND:
             chosen = list(self._borrowed.due_lenders(now_s=now_s))
-        for step in range(min(ASKED_PEERS, len(others))):
+        for step in range(min(PEERS_PER_ROUND, len(others))):
             chosen.append(others[(self._next_peer + step) % len(others)])
-        self._next_peer += ASKED_PEERS
+        self._next_peer += PEERS_PER_ROUND
         return tuple(chosen)
 
     def _is_busy(self, *, now_s: float) -> bool:
-        return now_s - self._refused_s < self._timing.term_s
+        return now_s - self._last_wait_s < self._timing.term_s
 
     def _wait_s(self, *, size_bytes: int) -> float:
         wait_s = self._bucket.wait_s(
-            size_bytes=size_bytes, longest_s=LONGEST_WAIT_S
+            size_bytes=size_bytes, longest_s=MAX_WAIT_S
         )
-        return max(wait_s, SHORTEST_WAIT_S)
+        return max(wait_s, MIN_WAIT_S)
--- a/almondstair/core/loans.py
+++ b/almondstair/core/loans.py
@@ -79,18 +79,18 @@
     share_bytes_per_s: int
 
 
-class _Term(NamedTuple):
+class _LentTerm(NamedTuple):
     """One loan as its lender counts it."""
 
     share_bytes_per_s: int
     until_s: float
 
 
-class _Account:
+class _Borrower:
     """What a lender knows of one borrower."""
 
     def __init__(self) -> None:
-        self.terms: list[_Term] = []
+        self.terms: list[_LentTerm] = []
         self.last_loan: Loan | None = None
         self.asked_s = 0.0
 
@@ -106,7 +106,7 @@
         return largest
 
 
-class _Book:
+class _LoanTable:
     """Loans of one link on one side, and their sum."""
 
     def __init__(self, *, timing: LoanTiming) -> None:
@@ -126,17 +126,17 @@
         return self._next_end_s
 
 
-class LentBook(_Book):
+class LentBook(_LoanTable):
     """What one entry has lent on one link."""
 
     def __init__(self, *, timing: LoanTiming) -> None:
         """Makes an empty book."""
         super().__init__(timing=timing)
-        self._accounts: dict[str, _Account] = {}
+        self._borrowers: dict[str, _Borrower] = {}
 
     def share_of(self, *, borrower: str) -> int:
         """Returns what `borrower` may be using, in bytes per second."""
-        account = self._accounts.get(borrower)
+        account = self._borrowers.get(borrower)
         if account is None:
             return 0
         return account.share_bytes_per_s()
@@ -145,7 +145,7 @@
         """Forgets the terms that ended by `now_s`."""
         if now_s < self._next_end_s:
             return
-        for account in self._accounts.values():
+        for account in self._borrowers.values():
             kept = []
             for term in account.terms:
                 if term.until_s > now_s:
@@ -155,14 +155,14 @@
 
     def forget_except(self, *, entries: tuple[str, ...]) -> None:
         """Forgets entries that are gone, once their terms have ended."""
-        for borrower, account in tuple(self._accounts.items()):
+        for borrower, account in tuple(self._borrowers.items()):
             if account.terms or borrower in entries:
                 continue
-            del self._accounts[borrower]
+            del self._borrowers[borrower]
 
     def repeated(self, *, request: LoanRequest) -> Loan | None:
         """Returns the loan already sent for this request, if there is one."""
-        account = self._accounts.get(request.borrower)
+        account = self._borrowers.get(request.borrower)
         if account is None or account.last_loan is None:
             return None
         if _same_request(account.last_loan, request):
@@ -171,7 +171,7 @@
 
     def is_late(self, *, request: LoanRequest) -> bool:
         """Whether a newer request of the same process was answered."""
-        account = self._accounts.get(request.borrower)
+        account = self._borrowers.get(request.borrower)
         if account is None or account.last_loan is None:
             return False
         if account.last_loan.incarnation != request.incarnation:
@@ -180,28 +180,28 @@
 
     def note_asked(self, *, borrower: str, now_s: float) -> int:
         """Notes a request and returns how many borrowers asked of late."""
-        self._account(borrower).asked_s = now_s
+        self._borrower(borrower).asked_s = now_s
         asking = 0
-        for account in self._accounts.values():
+        for account in self._borrowers.values():
             if now_s - account.asked_s <= self._timing.term_s:
                 asking += 1
         return asking
 
     def add(self, *, loan: Loan, now_s: float) -> None:
         """Counts a loan from `now_s` on; called before the loan is sent."""
-        account = self._account(loan.borrower)
+        account = self._borrower(loan.borrower)
         account.last_loan = loan
         until_s = now_s + self._timing.lender_term_s
-        account.terms.append(_Term(loan.share_bytes_per_s, until_s))
+        account.terms.append(_LentTerm(loan.share_bytes_per_s, until_s))
         self._recount()
 
-    def _account(self, borrower: str) -> _Account:
-        return self._accounts.setdefault(borrower, _Account())
+    def _borrower(self, borrower: str) -> _Borrower:
+        return self._borrowers.setdefault(borrower, _Borrower())
 
     def _recount(self) -> None:
         self._share_bytes_per_s = 0
         self._next_end_s = float("inf")
-        for account in self._accounts.values():
+        for account in self._borrowers.values():
             self._share_bytes_per_s += account.share_bytes_per_s()
             for term in account.terms:
                 self._next_end_s = min(self._next_end_s, term.until_s)
@@ -214,7 +214,7 @@
     asked_s: float
 
 
-class _Held(NamedTuple):
+class _BorrowedTerm(NamedTuple):
     """A loan as its borrower counts it."""
 
     sequence: int
@@ -222,7 +222,7 @@
     until_s: float
 
 
-class BorrowedBook(_Book):
+class BorrowedBook(_LoanTable):
     """What one entry has borrowed on one link, at its present epoch."""
 
     def __init__(self, *, timing: LoanTiming) -> None:
@@ -230,7 +230,7 @@
         super().__init__(timing=timing)
         self._sequence = 0
         self._requests: dict[str, list[_Request]] = {}
-        self._held: dict[str, _Held] = {}
+        self._held: dict[str, _BorrowedTerm] = {}
 
     @property
     def lenders(self) -> tuple[str, ...]:
@@ -278,7 +278,7 @@
           False when no request waits for it, when a newer one is held
           already, or when its term, counted from the request, has passed.
         """
-        asked_s = self._withdraw(lender=loan.lender, sequence=loan.sequence)
+        asked_s = self._pop_request(lender=loan.lender, sequence=loan.sequence)
         if asked_s is None:
             return False
         until_s = asked_s + self._timing.term_s
@@ -287,7 +287,7 @@
         held = self._held.get(loan.lender)
         if held is not None and held.sequence > loan.sequence:
             return False
-        self._held[loan.lender] = _Held(
+        self._held[loan.lender] = _BorrowedTerm(
             loan.sequence, loan.share_bytes_per_s, until_s
         )
         self._recount()
@@ -302,7 +302,7 @@
                 del self._held[lender]
         self._recount()
 
-    def _withdraw(self, *, lender: str, sequence: int) -> float | None:
+    def _pop_request(self, *, lender: str, sequence: int) -> float | None:
         """Returns when the request was made, and stops waiting for it."""
         waiting = self._requests.get(lender, [])
         for request in waiting:
--- a/almondstair/core/retries.py
+++ b/almondstair/core/retries.py
@@ -59,7 +59,7 @@
         self._minimum_per_s = minimum_per_s
         self._depth_s = depth_s
         self._tokens = minimum_per_s * WINDOW_S
-        self._in_advance = self._tokens
+        self._unearned_tokens = self._tokens
         self._earned_in_window = 0.0
         self._rate_per_s = 0.0
         self._window_start_s: float | None = None
@@ -69,14 +69,14 @@
 
     def first_try(self, *, now_s: float) -> None:
         """Counts a first try."""
-        self._turn_window(now_s=now_s)
+        self._roll_window(now_s=now_s)
         self._first_tries += 1
         self._earned_in_window += self._fraction
         self._earn(self._fraction)
 
     def may_retry(self, *, now_s: float) -> bool:
         """Spends a token if there is one; returns whether there was."""
-        self._turn_window(now_s=now_s)
+        self._roll_window(now_s=now_s)
         if self._tokens < 1.0:
             self._withheld += 1
             return False
@@ -98,7 +98,7 @@
             withheld=self._withheld,
         )
 
-    def _turn_window(self, *, now_s: float) -> None:
+    def _roll_window(self, *, now_s: float) -> None:
         if self._window_start_s is None:
             self._window_start_s = now_s
         windows = int((now_s - self._window_start_s) / WINDOW_S)
@@ -113,8 +113,8 @@
         self._window_start_s += windows * WINDOW_S
 
     def _earn(self, tokens: float) -> None:
-        repaid = min(self._in_advance, tokens)
-        self._in_advance -= repaid
+        repaid = min(self._unearned_tokens, tokens)
+        self._unearned_tokens -= repaid
         self._tokens += tokens - repaid
 
     def _depth(self) -> float:
--- a/almondstair/core/upstream_slots.py
+++ b/almondstair/core/upstream_slots.py
@@ -35,7 +35,7 @@
         self.draining = False
         self._report: UpstreamReport | None = None
         self._report_s = float("-inf")
-        self._foreign_busy = 0
+        self._busy_for_others = 0
 
     def configure(self, *, upstream: Upstream) -> None:
         """Takes a changed configuration, keeping what is known."""
@@ -58,7 +58,7 @@
         """
         self._report = report
         self._report_s = now_s
-        self._foreign_busy = max(0, report.busy - in_flight)
+        self._busy_for_others = max(0, report.busy - in_flight)
         self.draining = report.draining
 
     def report_age_s(self, *, now_s: float) -> float | None:
@@ -75,7 +75,7 @@
         """
         if self._report is None or now_s - self._report_s > REPORT_LIMIT_S:
             return self.slots
-        left = min(self.slots, self._report.slots) - self._foreign_busy
+        left = min(self.slots, self._report.slots) - self._busy_for_others
         return max(1, left)
 
     def opened(
