--- a/almondstair/core/admission.py
+++ b/almondstair/core/admission.py
@@ -1,8 +1,8 @@
-"""Admission: which request may take which slot of which upstream.
+"""Admission of requests to the slots of upstreams.
 
-Slots are counted exactly by the home of each upstream, so an upstream never has
-more in flight than its slots. What an upstream reports of itself can only lower
-what is used, and only for a short time, since such reports lag or lie.
+The home of each upstream counts its slots exactly, so an upstream never has
+more requests in flight than slots. An upstream's own load report can only lower
+what is used, and only for a short time, since such reports lag or are wrong.
 """
 
 import math
@@ -41,25 +41,25 @@
 
 
 class _Capacity(NamedTuple):
-    """What one upstream can take now.
+    """Holds the slots of one upstream that this entry may use now.
 
     Attributes:
-      upstream: its name.
-      duty: what this entry may do at it.
+      upstream: name of the upstream.
+      rights: which of its slots the home protocol allows this entry.
       usable: slots that this entry may fill.
-      free: slots open to short work.
-      free_long: slots open to work too long for the reserve.
+      free: free slots for short work.
+      free_long: free slots for work too long for the reserve.
     """
 
     upstream: str
-    duty: Duty
+    rights: Duty
     usable: int
     free: int
     free_long: int
 
 
 class SlotTable:
-    """Slots of the upstreams that this entry is home or successor of."""
+    """Slots of the upstreams of which this entry is home or successor."""
 
     def __init__(
         self,
@@ -71,17 +71,17 @@
         health: HealthTable | None = None,
         standstill: Standstill | None = None,
     ) -> None:
-        """Makes a table without upstreams.
+        """Creates a table without upstreams.
 
         Args:
-          homes: what this entry may do at each upstream.
-          book: the same book that `homes` reads.
+          homes: decides which slots this entry may use at each upstream.
+          book: the requests in flight; the same object that `homes` reads.
           limits: constants of slow start.
-          kept_fraction: part of a service's slots that work of each priority
-            leaves to the ones above it.
-          health: what answers tell of each upstream, which goes before what
-            it reports of itself.
-          standstill: time for which this entry stood still.
+          kept_fraction: fraction of a service's slots that work of each
+            priority leaves free for higher priorities.
+          health: health of each upstream by its answers, which takes
+            precedence over its own reports.
+          standstill: measures for how long this entry's event loop stalled.
         """
         self.standstill = standstill or Standstill()
         self._health = health or HealthTable()
@@ -92,13 +92,13 @@
         self._states: dict[str, UpstreamSlots] = {}
         self._by_service: dict[str, list[str]] = {}
         self._leaving: frozenset[str] = frozenset()
-        self._usual_latency = UsualLatency()
+        self._baseline_latency = UsualLatency()
         self._choices = 0
         self._last_choice: dict[str, int] = {}
         self._service_time_s: dict[str, float] = {}
 
     def set_configuration(self, *, configuration: Configuration) -> None:
-        """Takes the upstreams of a configuration, keeping what is known."""
+        """Sets the upstreams, keeping the state of those already known."""
         states: dict[str, UpstreamSlots] = {}
         self._by_service = {}
         for name, upstream in configuration.upstreams.items():
@@ -112,13 +112,13 @@
         self._states = states
 
     def set_leaving(self, *, names: frozenset[str]) -> None:
-        """Takes the upstreams that operators or the VM list call leaving."""
+        """Sets the upstreams marked as leaving by operators or the VM list."""
         self._leaving = names
 
     def heard_upstream(
         self, *, upstream: str, report: UpstreamReport, now_s: float
     ) -> None:
-        """Takes an upstream's report of itself."""
+        """Records an upstream's load report."""
         state = self._states.get(upstream)
         if state is None:
             return
@@ -137,19 +137,22 @@
         """Takes a slot at the best upstream of a service.
 
         Args:
-          service: the service.
-          priority: of the request's class.
-          deadline_s: when the request is given up.
-          now_s: the time.
+          service: name of the service.
+          priority: priority of the request's class.
+          deadline_s: monotonic deadline of the request, in seconds.
+          now_s: monotonic time in seconds.
           avoid: upstreams that this request must not go to.
+
+        Returns:
+          The slot, or a refusal with the reason and a time to retry.
         """
         is_long = deadline_s - now_s > self._homes.reserve_deadline_s
-        rooms = self._capacities(service=service, now_s=now_s)
-        best = self._best(rooms, is_long=is_long, avoid=avoid, now_s=now_s)
+        capacities = self._capacities(service=service, now_s=now_s)
+        best = self._best(capacities, is_long=is_long, avoid=avoid, now_s=now_s)
         if deadline_s <= now_s:
             return Refusal(ErrorKind.DEADLINE_PASSED, LEAST_RETRY_MS)
         if best is None or not self._leaves_held_back_slots(
-            best, rooms, priority
+            best, capacities, priority
         ):
             return self.refusal(service=service, now_s=now_s)
         self._choices += 1
@@ -159,7 +162,7 @@
             service=service,
             now_s=now_s,
             deadline_s=deadline_s,
-            reserve=best.duty.reserve_only,
+            reserve=best.rights.reserve_only,
         )
         return Admission(
             ticket=ticket,
@@ -178,7 +181,7 @@
         deadline_s: float,
         now_s: float,
     ) -> Admission | Refusal:
-        """Takes a slot at one upstream, or says why not."""
+        """Takes a slot at one upstream, or returns why it cannot."""
         others = set(self._by_service.get(service, []))
         others.discard(upstream)
         return self.choose(
@@ -191,48 +194,51 @@
 
     def _best(
         self,
-        rooms: list[_Capacity],
+        capacities: list[_Capacity],
         *,
         is_long: bool,
         avoid: frozenset[str],
         now_s: float,
     ) -> _Capacity | None:
-        """Returns the upstream with most free slots, weighed by its answers.
+        """Returns the upstream with the most free slots, weighted by health.
 
-        Equals take turns. Else the first by name would get all work at little
-        load, and the others would be cold when they are needed.
+        Among equals the least recently chosen wins. Otherwise the first by name
+        would get all work at low load, and the others would be cold when they
+        are needed.
         """
         best: _Capacity | None = None
-        best_worth = 0.0
-        best_turn = 0
-        for room in rooms:
-            if room.upstream in avoid:
+        best_weight = 0.0
+        best_choice = 0
+        for capacity in capacities:
+            if capacity.upstream in avoid:
                 continue
-            free = room.free_long if is_long else room.free
+            free = capacity.free_long if is_long else capacity.free
             if not free:
                 continue
-            worth = free * self._health.factor(name=room.upstream, now_s=now_s)
-            turn = self._last_choice.get(room.upstream, 0)
-            if worth < best_worth:
+            weight = free * self._health.factor(
+                name=capacity.upstream, now_s=now_s
+            )
+            last_choice = self._last_choice.get(capacity.upstream, 0)
+            if weight < best_weight:
                 continue
-            if worth == best_worth and turn > best_turn:
+            if weight == best_weight and last_choice > best_choice:
                 continue
-            best = room
-            best_worth = worth
-            best_turn = turn
+            best = capacity
+            best_weight = weight
+            best_choice = last_choice
         return best
 
     def _leaves_held_back_slots(
-        self, best: _Capacity, rooms: list[_Capacity], priority: Priority
+        self, best: _Capacity, capacities: list[_Capacity], priority: Priority
     ) -> bool:
-        """Says whether a priority leaves enough to the ones above it."""
-        if best.duty.reserve_only:
+        """Returns whether enough slots remain for higher priorities."""
+        if best.rights.reserve_only:
             return True
         usable = 0
         free = 0
-        for room in rooms:
-            usable += room.usable
-            free += room.free
+        for capacity in capacities:
+            usable += capacity.usable
+            free += capacity.free
         kept = math.ceil(self._held_back_fraction[priority] * usable)
         return free > max(0, min(kept, usable - 1))
 
@@ -245,17 +251,19 @@
         connection_closed: bool = True,
         work: str = "",
     ) -> None:
-        """Gives a slot back.
+        """Releases a slot and records how the request ended.
 
         Args:
-          admission: what `admit` returned.
-          outcome: how it ended.
-          now_s: the time.
-          connection_closed: whether the upstream's work is surely over, by a
-            whole answer, a refusal or a closed connection. Otherwise the slot
-            stays taken until the deadline, since the upstream may still run
-            the request and the next one would be one too many.
-          work: kind of work, whose latency is compared with its like.
+          admission: the slot, as returned by `choose` or `admit`.
+          outcome: how the request ended.
+          now_s: monotonic time in seconds.
+          connection_closed: whether the upstream's work is certainly over,
+            because of a complete answer, a refusal or a closed connection.
+            Otherwise the slot stays taken until the deadline, since the
+            upstream may still run the request and another one would exceed its
+            slots.
+          work: kind of work; its latency is compared with that of the same
+            kind.
         """
         if connection_closed:
             self._tracker.end(ticket=admission.ticket)
@@ -266,7 +274,7 @@
             state.ramp.refused(now_s=now_s)
             return
         latency_s = now_s - admission.admitted_s
-        ratio = self._usual_latency.ratio(
+        ratio = self._baseline_latency.ratio(
             work=f"{admission.service}/{work}", latency_s=latency_s
         )
         still_s = self.standstill.total_s(now_s=now_s) - admission.still_s
@@ -277,47 +285,49 @@
         )
 
     def still_mine(self, *, admission: Admission, now_s: float) -> bool:
-        """Says whether a request may still be running at its upstream.
+        """Returns whether a request may still use its slot.
 
-        To be asked just before and just after the first byte is written: an
-        entry that was frozen in between finds that its duty has moved, and
+        Call it right before and right after writing the first byte: an entry
+        that was frozen in between finds that the home role has moved, and
         closes the connection.
         """
         if admission.ticket.until_s - self._tracker.margin_s <= now_s:
             return False
-        duty = self._homes.duty(upstream=admission.upstream, now_s=now_s)
-        if duty.allowed_slots < 1:
+        rights = self._homes.duty(upstream=admission.upstream, now_s=now_s)
+        if rights.allowed_slots < 1:
             return False
-        if duty.reserve_only != admission.ticket.reserve:
-            return not duty.reserve_only
-        used = self._used(upstream=admission.upstream, duty=duty, now_s=now_s)
-        return used <= duty.allowed_slots
+        if rights.reserve_only != admission.ticket.reserve:
+            return not rights.reserve_only
+        used = self._used(
+            upstream=admission.upstream, rights=rights, now_s=now_s
+        )
+        return used <= rights.allowed_slots
 
     def room(self, *, service: str, now_s: float) -> ServiceRoom:
-        """Returns the slots of a service that this entry may fill."""
+        """Returns the usable and the free slots of a service."""
         usable = 0
         free = 0
-        for room in self._capacities(service=service, now_s=now_s):
-            usable += room.usable
-            free += room.free
+        for capacity in self._capacities(service=service, now_s=now_s):
+            usable += capacity.usable
+            free += capacity.free
         return ServiceRoom(usable, free)
 
     def free_slots(self, *, service: str, now_s: float) -> int:
-        """Returns the slots that interactive work could take now."""
+        """Returns how many slots interactive work could take now."""
         return self.room(service=service, now_s=now_s).free
 
     def usable_slots(self, *, service: str, now_s: float) -> int:
-        """Returns the slots of a service that this entry may fill."""
+        """Returns how many slots of a service this entry may fill."""
         return self.room(service=service, now_s=now_s).usable
 
     def service_time_s(self, *, service: str) -> float:
-        """Returns the measured mean time that a request holds a slot."""
+        """Returns the mean time in seconds that a request holds a slot."""
         return self._service_time_s.get(service, INITIAL_SERVICE_TIME_S)
 
     def refusal(
         self, *, service: str, now_s: float, waiting: int = 0
     ) -> Refusal:
-        """Returns the refusal of a request with a time to come back."""
+        """Returns the refusal of a request, with a time to retry."""
         usable = self.usable_slots(service=service, now_s=now_s)
         if usable < 1:
             return Refusal(
@@ -330,25 +340,25 @@
         return Refusal(ErrorKind.NO_SLOT, self._retry_after_ms(wait_s=wait_s))
 
     def status(self, *, now_s: float) -> tuple[UpstreamStatus, ...]:
-        """Returns the upstreams that this entry has a duty at."""
+        """Returns the upstreams at which this entry has slots or requests."""
         rows = []
         for name in self._relevant_upstreams():
             state = self._states.get(name)
             if state is None:
                 continue
-            duty = self._homes.duty(upstream=name, now_s=now_s)
+            rights = self._homes.duty(upstream=name, now_s=now_s)
             in_flight = len(self._tracker.running(upstream=name))
-            if duty.allowed_slots < 1 and in_flight == 0:
+            if rights.allowed_slots < 1 and in_flight == 0:
                 continue
             rows.append(
                 UpstreamStatus(
                     name=name,
-                    allowed_slots=duty.allowed_slots,
+                    allowed_slots=rights.allowed_slots,
                     usable_slots=self._slow_start_slots(
                         upstream=name, now_s=now_s
                     ),
                     in_flight=in_flight,
-                    busy_elsewhere=len(duty.busy_until_s),
+                    busy_elsewhere=len(rights.busy_until_s),
                     leaving=self._is_leaving(upstream=name),
                     report_age_s=state.report_age_s(now_s=now_s),
                 )
@@ -356,7 +366,7 @@
         return tuple(rows)
 
     def _relevant_upstreams(self) -> list[str]:
-        """Returns the upstreams with a duty, or a request in flight, here."""
+        """Returns upstreams of this entry's roles or requests in flight."""
         names = dict.fromkeys(self._homes.mine())
         names.update(dict.fromkeys(self._tracker.upstreams()))
         return list(names)
@@ -365,35 +375,37 @@
         return upstream in self._leaving or self._states[upstream].draining
 
     def _capacities(self, *, service: str, now_s: float) -> list[_Capacity]:
-        """Returns what the upstreams of a service can take from here."""
-        rooms = []
+        """Returns the capacity of each upstream of a service for this entry."""
+        capacities = []
         for name in self._homes.mine():
             state = self._states.get(name)
             if state is None or service not in state.services:
                 continue
-            rooms.append(self._capacity(upstream=name, now_s=now_s))
-        return rooms
+            capacities.append(self._capacity(upstream=name, now_s=now_s))
+        return capacities
 
     def _capacity(self, *, upstream: str, now_s: float) -> _Capacity:
         self._tracker.expire(upstream=upstream, now_s=now_s)
-        duty = self._homes.duty(upstream=upstream, now_s=now_s)
-        limit = self._limit(upstream=upstream, duty=duty, now_s=now_s)
+        rights = self._homes.duty(upstream=upstream, now_s=now_s)
+        limit = self._limit(upstream=upstream, rights=rights, now_s=now_s)
         if limit < 1:
-            return _Capacity(upstream, duty, 0, 0, 0)
-        used = self._used(upstream=upstream, duty=duty, now_s=now_s)
-        long_used = self._long_used(upstream=upstream, duty=duty, now_s=now_s)
+            return _Capacity(upstream, rights, 0, 0, 0)
+        used = self._used(upstream=upstream, rights=rights, now_s=now_s)
+        long_used = self._long_used(
+            upstream=upstream, rights=rights, now_s=now_s
+        )
         free = max(0, limit - used)
         return _Capacity(
             upstream=upstream,
-            duty=duty,
-            usable=max(0, limit - len(duty.busy_until_s)),
+            rights=rights,
+            usable=max(0, limit - len(rights.busy_until_s)),
             free=free,
-            free_long=max(0, min(free, duty.long_slots - long_used)),
+            free_long=max(0, min(free, rights.long_slots - long_used)),
         )
 
-    def _limit(self, *, upstream: str, duty: Duty, now_s: float) -> int:
+    def _limit(self, *, upstream: str, rights: Duty, now_s: float) -> int:
         state = self._states.get(upstream)
-        if state is None or duty.allowed_slots < 1:
+        if state is None or rights.allowed_slots < 1:
             return 0
         if self._is_leaving(upstream=upstream):
             return 0
@@ -403,11 +415,12 @@
                 name=upstream, slots=state.slots, now_s=now_s
             ),
         )
-        if duty.reserve_only:
-            return min(usable, duty.allowed_slots)
-        # What others hold is counted as used, and is not cold start's matter.
-        usable += len(duty.busy_until_s)
-        return min(usable, duty.allowed_slots, state.reported(now_s=now_s))
+        if rights.reserve_only:
+            return min(usable, rights.allowed_slots)
+        # Slots held for other entries count as used, and slow start does not
+        # apply to them.
+        usable += len(rights.busy_until_s)
+        return min(usable, rights.allowed_slots, state.reported(now_s=now_s))
 
     def _slow_start_slots(self, *, upstream: str, now_s: float) -> int:
         state = self._states[upstream]
@@ -422,20 +435,20 @@
             now_s=now_s,
         )
 
-    def _used(self, *, upstream: str, duty: Duty, now_s: float) -> int:
+    def _used(self, *, upstream: str, rights: Duty, now_s: float) -> int:
         running = self._tracker.running(upstream=upstream)
-        if not duty.reserve_only:
-            return len(running) + len(duty.busy_until_s)
+        if not rights.reserve_only:
+            return len(running) + len(rights.busy_until_s)
         used = 0
         for ticket in running:
             if ticket.reserve:
                 used += 1
         return used
 
-    def _long_used(self, *, upstream: str, duty: Duty, now_s: float) -> int:
+    def _long_used(self, *, upstream: str, rights: Duty, now_s: float) -> int:
         short_until_s = now_s + self._homes.reserve_deadline_s
         used = 0
-        for until_s in duty.busy_until_s:
+        for until_s in rights.busy_until_s:
             if until_s > short_until_s:
                 used += 1
         for ticket in self._tracker.running(upstream=upstream):
@@ -458,11 +471,11 @@
         return ErrorKind.NO_UPSTREAM
 
     def _wait_for_slots_s(self, *, now_s: float) -> float:
-        """Returns the time until the first slot held for others is free."""
+        """Returns the seconds until a slot held for others comes free."""
         soonest_s = now_s + INITIAL_SERVICE_TIME_S * 5
         for name in self._homes.mine():
-            duty = self._homes.duty(upstream=name, now_s=now_s)
-            for until_s in duty.busy_until_s:
+            rights = self._homes.duty(upstream=name, now_s=now_s)
+            for until_s in rights.busy_until_s:
                 soonest_s = min(soonest_s, until_s)
         return soonest_s - now_s
 
--- a/almondstair/core/admission_queue.py
+++ b/almondstair/core/admission_queue.py
@@ -1,7 +1,8 @@
-"""A short, bounded queue before the slots of one service at one entry.
+"""A short, bounded queue for the slots of one service at one entry.
 
-A burst of some milliseconds at a home would otherwise become refusals, although
-a slot is free a moment later. What cannot be met in time is refused at once.
+Without it a burst of a few milliseconds at a home would cause refusals although
+a slot is free a moment later. A request that cannot be served in time is
+refused at once.
 """
 
 from typing import NamedTuple
@@ -24,8 +25,8 @@
     """Bounds of the queue.
 
     Attributes:
-      length: most requests that wait.
-      wait_s: longest time that one waits.
+      length: maximum of queued requests.
+      wait_s: longest time in the queue.
     """
 
     length: int = 32
@@ -36,13 +37,13 @@
 
 
 class Waiting(NamedTuple):
-    """A request in the queue.
+    """Holds a request in the queue; times are monotonic, in seconds.
 
     Attributes:
-      number: unique within the queue.
-      priority: of its class.
-      deadline_s: its deadline.
-      give_up_s: when it is refused if no slot came free.
+      number: identifier, unique within the queue.
+      priority: priority of the request's class.
+      deadline_s: deadline of the request.
+      give_up_s: when the request is refused if no slot has come free.
       avoid: upstreams that it must not go to.
     """
 
@@ -54,14 +55,14 @@
 
 
 class Decision(NamedTuple):
-    """What became of a request that waited."""
+    """Holds the outcome of a queued request."""
 
     number: int
     result: Admission | Refusal
 
 
 class AdmissionQueue:
-    """Requests of one service that wait for a slot, by priority."""
+    """Queues the requests of one service for a slot, by priority."""
 
     def __init__(
         self,
@@ -70,7 +71,7 @@
         slots: SlotTable,
         limits: QueueLimits = DEFAULT_LIMITS,
     ) -> None:
-        """Makes an empty queue."""
+        """Creates an empty queue."""
         self._service = service
         self._slots = slots
         self._limits = limits
@@ -78,7 +79,7 @@
         self._next_number = 0
 
     def __len__(self) -> int:
-        """Returns how many requests wait."""
+        """Returns how many requests are queued."""
         return len(self._waiting)
 
     def request(
@@ -89,10 +90,10 @@
         now_s: float,
         avoid: frozenset[str] = frozenset(),
     ) -> Admission | Waiting | Refusal:
-        """Takes a request in: a slot, a place in the queue, or a refusal.
+        """Admits, queues or refuses a request.
 
-        A waiting request that gives way to this one is decided by the next
-        `advance`, which is to be called at once when this returns `Waiting`.
+        If this returns `Waiting`, call `advance` at once: it refuses a queued
+        request that this one has displaced.
         """
         if not self._ahead_of(priority=priority):
             result = self._slots.choose(
@@ -122,7 +123,7 @@
         return waiting
 
     def advance(self, *, now_s: float) -> tuple[Decision, ...]:
-        """Decides what can be decided now; call it after each release."""
+        """Admits or refuses queued requests; call it after each release."""
         decisions: list[Decision] = []
         kept: list[Waiting] = []
         for waiting in self._waiting:
@@ -139,7 +140,7 @@
         return tuple(decisions)
 
     def cancel(self, *, number: int) -> None:
-        """Takes out a request whose caller has left."""
+        """Removes a request whose caller has disconnected."""
         kept = []
         for waiting in self._waiting:
             if waiting.number != number:
@@ -147,7 +148,7 @@
         self._waiting = kept
 
     def next_due_s(self) -> float | None:
-        """Returns when `advance` must be called at the latest."""
+        """Returns when `advance` must next be called, None if queue is empty."""
         soonest_s = None
         for waiting in self._waiting:
             if soonest_s is None or waiting.give_up_s < soonest_s:
@@ -173,7 +174,7 @@
         return result
 
     def _ahead_of(self, *, priority: Priority) -> int:
-        """Returns how many requests wait that go before a new one."""
+        """Returns how many queued requests go before a new one."""
         ahead = 0
         for waiting in self._waiting:
             if RANKS[waiting.priority] <= RANKS[priority]:
--- a/almondstair/core/admission_records.py
+++ b/almondstair/core/admission_records.py
@@ -1,4 +1,4 @@
-"""What admission says of requests, upstreams and services."""
+"""Results of admission, and reports on upstreams and services."""
 
 import enum
 from typing import NamedTuple
@@ -17,14 +17,15 @@
 
 
 class Admission(NamedTuple):
-    """A slot taken for one request.
+    """Holds a slot taken for one request.
 
     Attributes:
-      ticket: in the book of slots.
-      upstream: where it is.
-      service: what the request is for.
-      admitted_s: when it was taken.
-      still_s: time for which this entry had stood still by then.
+      ticket: the request's ticket among those in flight.
+      upstream: name of the upstream.
+      service: name of the service.
+      admitted_s: monotonic time at which the slot was taken, in seconds.
+      still_s: total time for which this entry's event loop had stalled by then,
+        in seconds.
     """
 
     ticket: Ticket
@@ -35,11 +36,11 @@
 
 
 class Refusal(NamedTuple):
-    """No slot now.
+    """Refuses a slot.
 
     Attributes:
-      kind: why.
-      retry_after_ms: when coming back helps.
+      kind: the reason.
+      retry_after_ms: milliseconds after which a retry may succeed.
     """
 
     kind: ErrorKind
@@ -47,7 +48,7 @@
 
 
 class UpstreamReport(NamedTuple):
-    """What an upstream says of itself, on an answer or to a probe."""
+    """Holds an upstream's load report, from an answer or a probe."""
 
     slots: int
     busy: int
@@ -55,16 +56,17 @@
 
 
 class UpstreamStatus(NamedTuple):
-    """One upstream as operators see it.
+    """Holds the state of one upstream as shown to operators.
 
     Attributes:
-      name: its name.
-      allowed_slots: what the home protocol allows this entry.
-      usable_slots: what slow start allows.
-      in_flight: requests of this entry.
+      name: name of the upstream.
+      allowed_slots: slots that the home protocol allows this entry.
+      usable_slots: slots that slow start allows.
+      in_flight: requests of this entry in flight.
       busy_elsewhere: slots held for other entries' work.
-      leaving: whether it gets new work.
-      report_age_s: age of its last report, None if there was none.
+      leaving: whether it is leaving and gets no new work.
+      report_age_s: age of its last load report in seconds, None if it sent
+        none.
     """
 
     name: str
@@ -77,11 +79,11 @@
 
 
 class ServiceRoom(NamedTuple):
-    """Slots of one service at the upstreams that this entry has a duty at.
+    """Counts the slots of one service that this entry may use.
 
     Attributes:
       usable: slots that this entry may fill.
-      free: those of them that interactive work could take now.
+      free: how many of them interactive work could take now.
     """
 
     usable: int
--- a/almondstair/core/homes.py
+++ b/almondstair/core/homes.py
@@ -347,7 +347,7 @@
         return True
 
     def _settled_s(self, *, region: str) -> float | None:
-        """Returns when the region's last entry settled, None if not all have."""
+        """Returns when all of a region had settled, None if not all have."""
         if region not in self._settled_cache:
             self._settled_cache[region] = self._last_settled_s(region=region)
         return self._settled_cache[region]
--- a/almondstair/core/slot_book.py
+++ b/almondstair/core/slot_book.py
@@ -1,22 +1,22 @@
-"""The book of requests that this entry has running at upstreams.
+"""Tracking of the requests that this entry has in flight at upstreams.
 
-The admission writes it; the home protocol reads it, to tell another entry how
-many slots are still taken and for how long.
+Admission writes the records; the home protocol reads them to report to other
+entries how many slots are still taken and for how long.
 """
 
 from typing import NamedTuple
 
 
 class Ticket(NamedTuple):
-    """One request in flight.
+    """Holds one request in flight; times are monotonic, in seconds.
 
     Attributes:
-      number: unique within the process.
-      upstream: where it runs.
-      service: the service that it is for.
+      number: identifier, unique within the process.
+      upstream: name of the upstream that runs it.
+      service: name of the service.
       started_s: when it took its slot.
-      until_s: when its slot is surely free, with the margin added.
-      reserve: whether it was started as successor, in the reserve slot.
+      until_s: when its slot is certainly free, margin included.
+      reserve: whether this entry started it as successor, in the reserve slot.
     """
 
     number: int
@@ -28,14 +28,14 @@
 
 
 class SlotBook:
-    """Exact account of the slots that this entry's requests take."""
+    """Counts exactly the slots that this entry's requests take."""
 
     def __init__(self, *, margin_s: float) -> None:
-        """Makes an empty book.
+        """Starts without requests.
 
         Args:
-          margin_s: how long after its deadline an upstream may take to free
-            the slot of a request.
+          margin_s: how long after a request's deadline its upstream may take
+            to free the slot, in seconds.
         """
         self.margin_s = margin_s
         self._tickets: dict[str, dict[int, Ticket]] = {}
@@ -50,7 +50,7 @@
         deadline_s: float,
         reserve: bool,
     ) -> Ticket:
-        """Enters a request and returns its ticket."""
+        """Adds a request and returns its ticket."""
         self._next_number += 1
         ticket = Ticket(
             self._next_number,
@@ -64,11 +64,11 @@
         return ticket
 
     def end(self, *, ticket: Ticket) -> None:
-        """Strikes out a request; does nothing if it is out already."""
+        """Removes a request; does nothing if it is not present."""
         self._tickets.get(ticket.upstream, {}).pop(ticket.number, None)
 
     def expire(self, *, upstream: str, now_s: float) -> None:
-        """Strikes out the requests of an upstream that are surely over."""
+        """Removes the requests of an upstream that are certainly over."""
         for ticket in self.running(upstream=upstream):
             if ticket.until_s <= now_s:
                 self.end(ticket=ticket)
--- a/almondstair/core/upstream_slots.py
+++ b/almondstair/core/upstream_slots.py
@@ -1,4 +1,4 @@
-"""The slots of one upstream: what its reports and slow start leave of them."""
+"""Usable slots of one upstream under its load reports and slow start."""
 
 from collections.abc import Iterable
 
@@ -8,25 +8,25 @@
 from almondstair.core.slow_start import SlowStart
 from almondstair.core.slow_start import SlowStartLimits
 
-# How long an upstream's report of itself is believed.
+# How long an upstream's load report is used.
 REPORT_LIMIT_S = 1.0
 
 
 class UpstreamSlots:
-    """What admission remembers of one upstream.
+    """State of one upstream for admission.
 
     Attributes:
       services: the services that it runs.
-      slots: requests that it runs at once.
+      slots: how many requests it runs at once.
       ramp: its slow start.
-      draining: whether it said that it takes no new work.
+      draining: whether it last reported that it accepts no new work.
     """
 
     def __init__(self, *, upstream: Upstream, limits: SlowStartLimits) -> None:
-        """Starts cold and without a report.
+        """Starts cold and without a load report.
 
         Args:
-          upstream: as it is configured.
+          upstream: configuration of the upstream.
           limits: constants of slow start.
         """
         self.services = upstream.services
@@ -38,7 +38,7 @@
         self._busy_for_others = 0
 
     def configure(self, *, upstream: Upstream) -> None:
-        """Takes a changed configuration, keeping what is known."""
+        """Applies a changed configuration, keeping the state."""
         self.services = upstream.services
         self.slots = upstream.slots
         self.ramp.set_slots(slots=upstream.slots)
@@ -46,15 +46,15 @@
     def take_report(
         self, *, report: UpstreamReport, in_flight: int, now_s: float
     ) -> None:
-        """Takes its report of itself.
+        """Records a load report.
 
-        Its word that it drains stands until it says otherwise; silence does
-        not take it back.
+        A report of draining stays in force until another report revokes it; it
+        does not expire.
 
         Args:
-          report: the report.
-          in_flight: requests of this entry that it runs.
-          now_s: the time.
+          report: the load report.
+          in_flight: number of this entry's requests that the upstream runs.
+          now_s: monotonic time in seconds.
         """
         self._report = report
         self._report_s = now_s
@@ -62,36 +62,37 @@
         self.draining = report.draining
 
     def report_age_s(self, *, now_s: float) -> float | None:
-        """Returns the age of its last report, None if there was none."""
+        """Returns the age of the last load report, None if there is none."""
         if self._report is None:
             return None
         return now_s - self._report_s
 
     def reported(self, *, now_s: float) -> int:
-        """Returns the slots that its own report leaves.
+        """Returns the slots that the last load report leaves to this entry.
 
-        It is believed for a short time and never below one: an upstream that
-        reports itself full without end would get no work to disprove it.
+        The report counts for a short time and never leaves less than one slot:
+        an upstream that always reports itself full would otherwise get no work
+        that could disprove it.
         """
         if self._report is None or now_s - self._report_s > REPORT_LIMIT_S:
             return self.slots
-        left = min(self.slots, self._report.slots) - self._busy_for_others
-        return max(1, left)
+        remaining = min(self.slots, self._report.slots) - self._busy_for_others
+        return max(1, remaining)
 
     def opened(
         self, *, running: Iterable[Ticket], long_s: float, now_s: float
     ) -> int:
-        """Returns the slots that slow start lets an entry use.
+        """Returns how many slots slow start lets the entry use.
 
-        Slow start opens slots by answers. What goes wrong where long work
-        holds those that are open: no answer comes, so nothing is opened, and
-        everything else is refused although most slots are free. Requests that
-        have run for long therefore do not count against it.
+        Slow start opens slots as answers arrive. If long requests hold all open
+        slots, no answers arrive, no slots are opened, and everything else is
+        refused although most slots are free. Long-running requests therefore
+        don't count against the open slots.
 
         Args:
           running: the entry's requests at this upstream.
-          long_s: from when on a request has run for long.
-          now_s: the time.
+          long_s: age in seconds above which a request is long-running.
+          now_s: monotonic time in seconds.
         """
         opened = self.ramp.usable_slots(now_s=now_s)
         if not opened:
