--- a/almondstair/core/admission.py
+++ b/almondstair/core/admission.py
@@ -36,7 +36,7 @@
 }
 SERVICE_TIME_WEIGHT = 0.1
 INITIAL_SERVICE_TIME_S = 0.2
-LEAST_RETRY_MS = 100
+MIN_RETRY_MS = 100
 MAX_RETRY_MS = 30_000
 
 
@@ -150,7 +150,7 @@
         capacities = self._capacities(service=service, now_s=now_s)
         best = self._best(capacities, is_long=is_long, avoid=avoid, now_s=now_s)
         if deadline_s <= now_s:
-            return Refusal(ErrorKind.DEADLINE_PASSED, LEAST_RETRY_MS)
+            return Refusal(ErrorKind.DEADLINE_PASSED, MIN_RETRY_MS)
         if best is None or not self._leaves_held_back_slots(
             best, capacities, priority
         ):
@@ -481,4 +481,4 @@
 
     def _retry_after_ms(self, *, wait_s: float) -> int:
         wait_ms = math.ceil(wait_s * 1000)
-        return max(LEAST_RETRY_MS, min(MAX_RETRY_MS, wait_ms))
+        return max(MIN_RETRY_MS, min(MAX_RETRY_MS, wait_ms))
--- a/almondstair/core/admission_queue.py
+++ b/almondstair/core/admission_queue.py
@@ -148,7 +148,7 @@
         self._waiting = kept
 
     def next_due_s(self) -> float | None:
-        """Returns when `advance` must next be called, None if queue is empty."""
+        """Returns when `advance` is due at the latest, None if it is not."""
         soonest_s = None
         for waiting in self._waiting:
             if soonest_s is None or waiting.give_up_s < soonest_s:
--- a/almondstair/core/hops.py
+++ b/almondstair/core/hops.py
@@ -1,8 +1,8 @@
-"""Which entry of a region a request is sent to.
+"""Selection of the entry of a region that a request is forwarded to.
 
-Only the home of an upstream dispatches to it, so the entries of a region hold
-its free slots between them. Their heartbeats say how many; what was sent since
-is counted off, because a report lags.
+Only the home of an upstream dispatches to it, so each entry of a region has the
+free slots of its own upstreams. Heartbeats report how many; since reports lag,
+requests sent since the last one are subtracted.
 """
 
 from typing import NamedTuple
@@ -11,66 +11,66 @@
 
 from almondstair.core.entry_table import EntryRow
 
-# An entry that refused is not asked again before its next report, or this.
+# How long an entry that refused gets no request, unless it reports earlier.
 REFUSAL_HOLD_S = 0.25
 
 
-class _Load:
-    """What one entry says of one service, and what was sent since."""
+class _EntryLoad:
+    """Last report of an entry for a service, and requests sent since."""
 
-    __slots__ = ("free_slots", "heard_s", "outstanding", "refused_s")
+    __slots__ = ("free_slots", "outstanding", "refused_s", "reported_s")
 
     def __init__(self) -> None:
         self.free_slots = 0
-        self.heard_s = float("-inf")
+        self.reported_s = float("-inf")
         self.outstanding = 0
         self.refused_s = float("-inf")
 
 
 class RankedEntry(NamedTuple):
-    """An entry with the free slots it is thought to have."""
+    """Holds an entry and the free slots that it is estimated to have."""
 
     row: EntryRow
     free_slots: int
 
 
 class HopTable:
-    """Free slots by entry and service."""
+    """Estimates the free slots by entry and service."""
 
     def __init__(self, *, report_limit_s: float) -> None:
-        """Makes a table that knows no entry.
+        """Creates a table without entries.
 
         Args:
-          report_limit_s: age past which a report counts as unknown.
+          report_limit_s: age in seconds above which a report is ignored.
         """
         self._report_limit_s = report_limit_s
-        self._loads: dict[tuple[str, str], _Load] = {}
+        self._loads: dict[tuple[str, str], _EntryLoad] = {}
 
     def heard(
         self, *, entry: str, service: str, free_slots: int, now_s: float
     ) -> None:
-        """Takes an entry's report of its free slots."""
+        """Records an entry's report of its free slots."""
         load = self._load(entry, service)
         load.free_slots = free_slots
-        load.heard_s = now_s
+        load.reported_s = now_s
         load.outstanding = 0
         load.refused_s = float("-inf")
 
     def sent(self, *, entry: str, service: str) -> None:
-        """Counts a request that goes to an entry."""
+        """Records that a request was sent to an entry."""
         self._load(entry, service).outstanding += 1
 
     def returned(self, *, entry: str, service: str) -> None:
-        """Counts the end of a request that went to an entry."""
+        """Records that a request sent to an entry has ended."""
         load = self._load(entry, service)
         load.outstanding = max(0, load.outstanding - 1)
 
     def refused(self, *, entry: str, service: str, now_s: float) -> None:
-        """Notes that an entry had no slot."""
+        """Records that an entry had no free slot."""
         self._load(entry, service).refused_s = now_s
 
     def forget(self, *, entry: str) -> None:
-        """Drops an entry that left the entry table."""
+        """Removes an entry that has left the entry table."""
         for key in tuple(self._loads):
             if key[0] == entry:
                 del self._loads[key]
@@ -88,11 +88,11 @@
 
         Args:
           rows: live entries of one region.
-          service: the service.
-          tried: entries that this request was sent to before.
-          now_s: monotonic time.
-          draw: uniform in [0, 1); turns the order among equals, so that not
-            every sender picks the same entry.
+          service: name of the service.
+          tried: entries that this request was already sent to.
+          now_s: monotonic time in seconds.
+          draw: random number, uniform in [0, 1); rotates the order among
+            equals, so that not every sender picks the same entry.
         """
         ranked: list[tuple[int, int, EntryRow]] = []
         count = len(rows)
@@ -100,8 +100,8 @@
             if row.name in tried:
                 continue
             free_slots = self._free_slots(row.name, service, now_s)
-            turn = (position + int(draw * count)) % count
-            ranked.append((-free_slots, turn, row))
+            offset = (position + int(draw * count)) % count
+            ranked.append((-free_slots, offset, row))
         ranked.sort(key=_sort_key)
         ordered = []
         for negative, _, row in ranked:
@@ -116,24 +116,24 @@
         fingerprint: int,
         now_s: float,
     ) -> EntryRow | None:
-        """Returns the entry that runs a request which may crash upstreams.
+        """Returns the entry that handles a request which may crash upstreams.
 
-        All entries name the same one, so that it knows at once of each
-        upstream that such a request has cost. Were it sent to any entry, a
-        caller that repeats it faster than word of its strikes spreads would
-        find a new entry, and cost an upstream, each time.
+        All entries choose the same one, which thus learns at once of each
+        upstream that the request has crashed. If any entry handled it, a caller
+        that repeats it faster than reports of its crashes spread would reach a
+        new entry, and crash an upstream, each time.
 
         Args:
           rows: live entries.
-          service: the service.
-          fingerprint: of the request.
-          now_s: monotonic time.
+          service: name of the service.
+          fingerprint: fingerprint of the request.
+          now_s: monotonic time in seconds.
         """
         best: EntryRow | None = None
         best_rank = -1
         for row in rows:
             load = self._loads.get((row.name, service))
-            if load is None or now_s - load.heard_s > self._report_limit_s:
+            if load is None or now_s - load.reported_s > self._report_limit_s:
                 continue
             rank = xxhash.xxh3_64_intdigest(row.name.encode(), fingerprint)
             if rank > best_rank:
@@ -143,14 +143,14 @@
 
     def _free_slots(self, entry: str, service: str, now_s: float) -> int:
         load = self._loads.get((entry, service))
-        if load is None or now_s - load.heard_s > self._report_limit_s:
+        if load is None or now_s - load.reported_s > self._report_limit_s:
             return 0
         if now_s - load.refused_s < REFUSAL_HOLD_S:
             return 0
         return max(0, load.free_slots - load.outstanding)
 
-    def _load(self, entry: str, service: str) -> _Load:
-        return self._loads.setdefault((entry, service), _Load())
+    def _load(self, entry: str, service: str) -> _EntryLoad:
+        return self._loads.setdefault((entry, service), _EntryLoad())
 
 
 def _sort_key(item: tuple[int, int, EntryRow]) -> tuple[int, int]:
--- a/almondstair/core/links.py
+++ b/almondstair/core/links.py
@@ -1,23 +1,23 @@
-"""The share of one link that one entry may use, in one direction.
+"""Share of one link that one entry may use, in one direction.
 
 A link runs from an availability zone to a region and has a cap in bytes per
 second. The entries of the zone divide it without a leader. Each has an
 *allowance*: the cap divided by the entries of the zone in the entry table. It
 may use its allowance, less what it lent, plus what it borrowed. The sum of
-these over all entries never passes the cap, in any window of one second:
+these over all entries never exceeds the cap, in any window of one second:
 
 * Rate and depth of the token bucket together stay within the allowance of a
   window, so stored tokens are part of the cap and not an addition to it.
 * An allowance shrinks as soon as a new epoch of the table is known, and grows
-  only after every other entry of the table acknowledged that epoch.
-* A process starts without an allowance. It gets one from a table that was read
-  from the platform since it started, and not before all loans of an earlier
-  process under its name have ended.
+  only after every other entry of the table has acknowledged that epoch.
+* A process starts without an allowance. It gets one from a table that it has
+  read from the platform itself, and not before all loans of an earlier process
+  of its name have ended.
 * Loans follow the rules of `almondstair.core.loans`.
 
-What no rule here closes: a process frozen between `take` and the write to the
-socket moves one piece late. Callers take anew for each piece, so it is one
-piece for each request in flight and not more.
+These rules don't cover a process that is frozen between `take` and the write to
+the socket: it sends that piece late. Callers call `take` for each piece, so
+this is at most one piece for each request in flight.
 """
 
 from typing import NamedTuple
@@ -30,29 +30,29 @@
 from almondstair.core.token_bucket import TokenBucket
 
 WINDOW_S = 1.0
-# Part of the share of a window that may be stored and spent in one burst. The
-# rest is the rate, so this part of the cap is out of reach of steady load.
+# Fraction of a window's share that may be stored and spent in one burst. The
+# rest is the rate, so steady load cannot use this part of the cap.
 DEPTH_FRACTION = 0.04
-# Part of its allowance that a lender keeps for requests of its own.
-KEPT_FRACTION = 0.05
-# Room above its measured use that an entry wants before it lends or asks.
+# Fraction of its allowance that a lender keeps for its own requests.
+OWN_USE_FRACTION = 0.05
+# Headroom over the measured use that an entry keeps or asks for.
 HEADROOM_FACTOR = 1.25
-# Peers asked in one round; bounds the messages in a zone of many entries.
+# Bounds the number of messages in a zone of many entries.
 PEERS_PER_ROUND = 4
-# Longest wait that is returned, since a loan may arrive meanwhile.
+# Bounds a returned wait, since a loan may arrive in the meantime.
 MAX_WAIT_S = 0.05
 MIN_WAIT_S = 0.001
-# A use that is measured over a shorter time than this says little.
+# Use measured over a shorter time is too noisy.
 METER_INTERVAL_S = 0.1
 METER_SMOOTHING_S = 1.0
 
 
 class Part(NamedTuple):
-    """How much of a piece may move now.
+    """Holds how much of a piece may be sent now.
 
     Attributes:
-      size_bytes: bytes that may move now; may be 0.
-      wait_s: when nothing may move, seconds until asking again makes sense.
+      size_bytes: bytes that may be sent now; may be 0.
+      wait_s: seconds to wait before the next call, if nothing may be sent.
     """
 
     size_bytes: int
@@ -60,16 +60,16 @@
 
 
 class LinkStatus(NamedTuple):
-    """What metrics, heartbeats and operators see of a share.
+    """Holds the state of a share for metrics, heartbeats and operators.
 
     Attributes:
       epoch: epoch of the entry table in use.
-      acknowledged_epoch: epoch that peers may count on.
-      allowance_bytes_per_s: own part of the cap.
-      lent_bytes_per_s: lent to peers.
-      borrowed_bytes_per_s: borrowed from peers.
+      acknowledged_epoch: epoch that peers may rely on.
+      allowance_bytes_per_s: this entry's part of the cap.
+      lent_bytes_per_s: share lent to peers.
+      borrowed_bytes_per_s: share borrowed from peers.
       used_bytes_per_s: measured use, smoothed over about a second.
-      busy: whether something had to wait within the last term.
+      busy: whether something had to wait within the last loan term.
     """
 
     epoch: int
@@ -90,11 +90,11 @@
         self._used_bytes_per_s = 0.0
 
     def add(self, size_bytes: int) -> None:
-        """Counts bytes that moved."""
+        """Counts bytes that were sent."""
         self._moved_bytes += size_bytes
 
     def used_bytes_per_s(self, *, now_s: float) -> float:
-        """Returns the smoothed use."""
+        """Returns the smoothed use in bytes per second."""
         elapsed_s = now_s - self._since_s
         if elapsed_s < METER_INTERVAL_S:
             return self._used_bytes_per_s
@@ -109,7 +109,7 @@
 class LinkShare:
     """One entry's share of one link in one direction.
 
-    Every method takes the monotonic time, read anew for that call.
+    Every method needs the current monotonic time, read for that call.
     """
 
     def __init__(
@@ -122,12 +122,12 @@
         now_s: float,
         timing: LoanTiming | None = None,
     ) -> None:
-        """Makes a share without an allowance.
+        """Creates a share without an allowance.
 
         Args:
           link: name of the link and direction, the same on every entry.
           entry_name: this entry.
-          incarnation: number of this process; another one at each start.
+          incarnation: number of this process, different at each start.
           cap_bytes_per_s: cap of the link.
           now_s: monotonic time in seconds at the start of the process.
           timing: durations of loans; the same on every entry.
@@ -137,9 +137,9 @@
         self._incarnation = incarnation
         self._cap_bytes_per_s = cap_bytes_per_s
         self._timing = timing or LoanTiming()
-        # An earlier process under this name may have lent its allowance and
-        # died. Its borrowers use it until their terms end, so a new process
-        # that used it at once would be the second user of the same bytes.
+        # An earlier process of this name may have lent its allowance and died.
+        # Its borrowers use the loans until their terms end. If this process
+        # used the allowance at once, the same bytes would be used twice.
         self._no_allowance_until_s = now_s + self._timing.lender_term_s
         self._epoch = 0
         self._entries: tuple[str, ...] = ()
@@ -167,19 +167,19 @@
         """The largest size for which `take` can succeed at present."""
         return int(self._bucket.depth_bytes)
 
-    # Moving bytes.
+    # Sending.
 
     def take(self, *, size_bytes: int, now_s: float) -> float:
-        """Asks to move a piece that cannot be divided.
+        """Takes the tokens for a piece that cannot be divided.
 
         Args:
           size_bytes: size of the piece.
           now_s: monotonic time in seconds.
 
         Returns:
-          0.0 when the piece may move now and was paid for, else the seconds to
-          wait before asking again. A piece above `largest_take_bytes` waits
-          for ever; use `take_part` for those.
+          0.0 if the tokens were taken and the piece may be sent now, else the
+          seconds to wait before the next call. A piece above
+          `largest_take_bytes` never succeeds; use `take_part` for it.
         """
         self._advance(now_s=now_s)
         if self._bucket.take(size_bytes=size_bytes, now_s=now_s):
@@ -189,15 +189,15 @@
         return self._wait_s(size_bytes=size_bytes)
 
     def take_part(self, *, size_bytes: int, now_s: float) -> Part:
-        """Asks to move as much of a piece as possible.
+        """Takes the tokens for as much of a piece as possible.
 
         Args:
           size_bytes: size of the piece.
           now_s: monotonic time in seconds.
 
         Returns:
-          How much may move now and was paid for. To spare tiny writes this is
-          nothing until half a bucket, or the whole piece, is there.
+          How much may be sent now. To avoid tiny writes this is nothing until
+          tokens for half a bucket, or for the whole piece, are available.
         """
         self._advance(now_s=now_s)
         least_bytes = min(size_bytes, int(self._bucket.depth_bytes / 2) + 1)
@@ -224,15 +224,15 @@
         from_platform: bool,
         now_s: float,
     ) -> None:
-        """Adopts a newer entry table; an older one changes nothing.
+        """Applies an entry table; ignores an older one.
 
         Args:
           epoch: epoch of the table.
-          entries: names of the entries of the link's availability zone in it.
-          from_platform: whether this process read it from the platform itself,
-            after it started. Otherwise a process that was restarted could
-            take its allowance from a table older than one which it had
-            acknowledged before, while a new entry counts on that.
+          entries: names of the table's entries in the link's availability zone.
+          from_platform: whether this process has read it from the platform
+            itself. Otherwise a restarted process could take its allowance from
+            a table older than one that it acknowledged before the restart and
+            that a new entry relies on.
           now_s: monotonic time in seconds.
         """
         self._advance(now_s=now_s)
@@ -248,7 +248,7 @@
         self._recompute(now_s=now_s)
 
     def on_acknowledged(self, *, entry: str, epoch: int, now_s: float) -> None:
-        """Notes that `entry` acknowledged `epoch` for this link."""
+        """Records that `entry` has acknowledged `epoch` for this link."""
         if epoch <= self._peer_epochs.get(entry, 0):
             return
         self._peer_epochs[entry] = epoch
@@ -256,26 +256,26 @@
         self._recompute(now_s=now_s)
 
     def acknowledged_epoch(self, *, now_s: float) -> int:
-        """Returns the epoch that peers may count on.
+        """Returns the epoch that peers may rely on.
 
         It lags behind the epoch in use while more is lent than the new
-        allowance: borrowers may use that until their terms end.
+        allowance, since borrowers may use the loans until their terms end.
         """
         self._advance(now_s=now_s)
         return self._acknowledged_epoch
 
     def on_cap(self, *, cap_bytes_per_s: int, now_s: float) -> None:
-        """Adopts a cap from a new configuration.
+        """Applies the cap of a new configuration.
 
-        The sum of use is at or under the new cap once the configuration is in
-        force on every entry and the loans of before have ended.
+        The total use is within the new cap once the configuration is in force
+        on every entry and all earlier loans have ended.
         """
         self._advance(now_s=now_s)
         self._cap_bytes_per_s = cap_bytes_per_s
         self._recompute(now_s=now_s)
 
     def release(self, *, now_s: float) -> None:
-        """Gives up the allowance and all loans for good, before leaving."""
+        """Gives up allowance and borrowed share for good, before leaving."""
         self._advance(now_s=now_s)
         self._released = True
         self._borrowed.drop_all()
@@ -284,11 +284,11 @@
     # Loans.
 
     def ask(self, *, now_s: float) -> tuple[LoanRequest, ...]:
-        """Returns the requests to send now, often none.
+        """Returns the loan requests to send now, often none.
 
-        Call it a few times a second. Lenders of present loans are asked first,
-        many of them only from half of the term on, which renews those loans
-        before they end.
+        Call it a few times a second. Current lenders are asked first, so that
+        their loans are renewed before they end. If there are many of them, each
+        is asked only in the second half of its loan's term.
         """
         self._advance(now_s=now_s)
         if self._released or self._entry_name not in self._entries:
@@ -315,14 +315,14 @@
         return tuple(requests)
 
     def lend(self, *, request: LoanRequest, now_s: float) -> Loan | None:
-        """Answers a request; the share is lowered before this returns.
+        """Answers a loan request, and lowers the share before it returns.
 
         Args:
           request: the request, which may be duplicated or late.
           now_s: monotonic time in seconds.
 
         Returns:
-          The loan to send, or None when nothing is lent.
+          The loan to send, or None if nothing is lent.
         """
         self._advance(now_s=now_s)
         if not self._may_answer(request):
@@ -349,7 +349,7 @@
         return loan
 
     def accept(self, *, loan: Loan, now_s: float) -> bool:
-        """Takes up a loan; one that is late or unasked for is refused."""
+        """Uses a loan; returns False if it is late or was not requested."""
         self._advance(now_s=now_s)
         if self._released or loan.borrower != self._entry_name:
             return False
@@ -363,7 +363,7 @@
         return True
 
     def status(self, *, now_s: float) -> LinkStatus:
-        """Returns what is known of the share."""
+        """Returns the state of the share."""
         self._advance(now_s=now_s)
         used_bytes_per_s = self._meter.used_bytes_per_s(now_s=now_s)
         return LinkStatus(
@@ -376,12 +376,12 @@
             busy=self._is_busy(now_s=now_s),
         )
 
-    # Inner parts.
+    # Private methods.
 
     def _advance(self, *, now_s: float) -> None:
-        """Applies, in order of time, all that ended by `now_s`.
+        """Applies everything that ended by `now_s`, in order of time.
 
-        The order matters after a freeze: tokens flow in at the rate of a loan
+        The order matters after a freeze: tokens are added at the rate of a loan
         only until that loan ended.
         """
         while self._next_change_s <= now_s:
@@ -391,11 +391,11 @@
             self._recompute(now_s=change_s)
 
     def _recompute(self, *, now_s: float) -> None:
-        """Computes allowance and bucket from the present state."""
+        """Recomputes the allowance and the bucket from the current state."""
         self._update_allowance(now_s=now_s)
         own = self._allowance_bytes_per_s - self._lent.share_bytes_per_s
         share = max(0, own) + self._borrowed.share_bytes_per_s
-        # A clock that runs fast would let more than its share through.
+        # The rest covers clock drift: a fast clock would exceed the share.
         steady_fraction = 1.0 - DEPTH_FRACTION - self._timing.drift_fraction
         self._bucket.resize(
             rate_bytes_per_s=share * steady_fraction,
@@ -428,7 +428,7 @@
         for entry in self._entries:
             if entry == self._entry_name:
                 continue
-            # An entry of an older epoch still uses the share of that epoch.
+            # An entry at an older epoch still uses its share of that epoch.
             if self._peer_epochs.get(entry, 0) < self._epoch:
                 return False
         return True
@@ -436,20 +436,20 @@
     def _may_answer(self, request: LoanRequest) -> bool:
         if self._released or request.lender != self._entry_name:
             return False
-        # Loans across epochs would outlive the drop in `on_epoch`.
+        # `on_epoch` drops loans; a loan of another epoch would outlive that.
         if request.epoch != self._epoch:
             return False
         return request.borrower in self._entries
 
     def _lendable(self, *, request: LoanRequest, now_s: float) -> int:
-        """Returns what may be lent for `request`, in bytes per second."""
+        """Returns the share to lend for `request`, in bytes per second."""
         asking = self._lent.note_asked(borrower=request.borrower, now_s=now_s)
-        # An entry that borrows is short itself; lending on what it borrowed
-        # would let two entries feed each other's demand.
+        # An entry that borrows is short itself. If it lent on what it borrowed,
+        # two entries could drive up each other's demand.
         if self._borrowed.share_bytes_per_s or self._is_busy(now_s=now_s):
             return 0
         used = self._meter.used_bytes_per_s(now_s=now_s) * HEADROOM_FACTOR
-        kept = self._allowance_bytes_per_s * KEPT_FRACTION
+        kept = self._allowance_bytes_per_s * OWN_USE_FRACTION
         idle = int(self._allowance_bytes_per_s - max(used, kept))
         lent_to_others = self._lent.share_bytes_per_s
         lent_to_others -= self._lent.share_of(borrower=request.borrower)
@@ -457,7 +457,7 @@
         return min(share, request.wanted_bytes_per_s)
 
     def _wanted_bytes_per_s(self, *, now_s: float) -> int:
-        """Returns how much more than its own the entry could use."""
+        """Returns how much more than its own share the entry could use."""
         own = self._allowance_bytes_per_s - self._lent.share_bytes_per_s
         if self._is_busy(now_s=now_s):
             return self._cap_bytes_per_s - max(0, own)
@@ -465,7 +465,7 @@
         return int(used * HEADROOM_FACTOR) - max(0, own)
 
     def _peers_to_ask(self, *, now_s: float) -> tuple[str, ...]:
-        """Returns present lenders, then others in turn."""
+        """Returns current lenders, then other peers in rotation."""
         lenders = self._borrowed.lenders
         others = []
         for entry in self._entries:
--- a/almondstair/core/loans.py
+++ b/almondstair/core/loans.py
@@ -2,26 +2,26 @@
 
 A loan is safe because of four rules, which `spec/loans.py` checks:
 
-* The lender lowers its own use before the loan is sent.
-* The borrower counts the term from when it asked, the lender from when it
-  sent, which is later, and the lender adds a margin for clock drift. So the
-  borrower always stops first, without a message.
+* The lender lowers its own use before it sends the loan.
+* The borrower counts the term from its request, the lender from its later
+  answer, and the lender adds a margin for clock drift. So the borrower always
+  stops first, without a message.
 * A loan belongs to one epoch of the entry table; the borrower drops it when it
-  adopts another epoch.
-* A message is matched to its request by number and incarnation, so one that
-  is duplicated, late, or meant for an earlier process changes nothing.
+  applies another epoch.
+* A loan is matched to its request by sequence number and incarnation, so one
+  that is duplicated, late, or meant for an earlier process has no effect.
 """
 
 from typing import NamedTuple
 
 
 class LoanTiming(NamedTuple):
-    """Durations of the loans; equal on every entry.
+    """Holds the durations of loans; they are the same on every entry.
 
     Attributes:
-      term_s: how long a borrower uses a loan, counted from when it asked.
-      drift_fraction: how much faster one clock may run than another, the clock
-        of whoever measures the link among them.
+      term_s: how long a borrower uses a loan, counted from its request.
+      drift_fraction: how much faster one clock may run than another, including
+        the clock that measures the use of the link.
       ask_interval_s: shortest time between two rounds of requests.
     """
 
@@ -31,20 +31,20 @@
 
     @property
     def lender_term_s(self) -> float:
-        """How long a lender goes without what it lent."""
+        """How long a lender does not use the share that it lent."""
         return self.term_s * (1.0 + self.drift_fraction)
 
 
 class LoanRequest(NamedTuple):
-    """An entry asks a peer for idle share.
+    """Asks a peer for idle share.
 
     Attributes:
       link: name of the link and direction.
-      borrower: entry that asks.
-      lender: entry that is asked.
+      borrower: entry that sends the request.
+      lender: entry that receives it.
       incarnation: number of the borrower's process, new at each start.
-      sequence: number of the request, growing within an incarnation.
-      epoch: epoch of the entry table that the borrower has adopted.
+      sequence: number of the request, increasing within an incarnation.
+      epoch: epoch of the entry table that the borrower has applied.
       wanted_bytes_per_s: share that the borrower could use.
     """
 
@@ -58,11 +58,11 @@
 
 
 class Loan(NamedTuple):
-    """The answer to a `LoanRequest`; it repeats what it answers.
+    """Answers a `LoanRequest` and repeats its identifying fields.
 
     Attributes:
       link: name of the link and direction.
-      borrower: entry that asked.
+      borrower: entry that sent the request.
       lender: entry that lends.
       incarnation: incarnation of the request.
       sequence: sequence of the request.
@@ -80,14 +80,14 @@
 
 
 class _LentTerm(NamedTuple):
-    """One loan as its lender counts it."""
+    """Holds the share and the end of one loan, as its lender counts it."""
 
     share_bytes_per_s: int
     until_s: float
 
 
-class _Borrower:
-    """What a lender knows of one borrower."""
+class _BorrowerState:
+    """A lender's state for one borrower."""
 
     def __init__(self) -> None:
         self.terms: list[_LentTerm] = []
@@ -95,10 +95,11 @@
         self.asked_s = 0.0
 
     def share_bytes_per_s(self) -> int:
-        """The most that the borrower can be using.
+        """Returns the most that the borrower can be using.
 
-        A borrower uses one loan of a lender at a time, the newest that reached
-        it. The lender cannot know which one that is, so it counts the largest.
+        A borrower uses one loan of a lender at a time, the newest that it has
+        received. The lender cannot know which one that is, so it counts the
+        largest.
         """
         largest = 0
         for term in self.terms:
@@ -107,17 +108,17 @@
 
 
 class _LoanTable:
-    """Loans of one link on one side, and their sum."""
+    """Loans of one link on the side of the lender or the borrower."""
 
     def __init__(self, *, timing: LoanTiming) -> None:
-        """Makes an empty book."""
+        """Starts without loans."""
         self._timing = timing
         self._share_bytes_per_s = 0
         self._next_end_s = float("inf")
 
     @property
     def share_bytes_per_s(self) -> int:
-        """Sum of what may be in use on this side's loans."""
+        """Total share that may be in use under these loans."""
         return self._share_bytes_per_s
 
     @property
@@ -127,95 +128,95 @@
 
 
 class LentBook(_LoanTable):
-    """What one entry has lent on one link."""
+    """Loans that one entry has made on one link."""
 
     def __init__(self, *, timing: LoanTiming) -> None:
-        """Makes an empty book."""
+        """Starts without loans."""
         super().__init__(timing=timing)
-        self._borrowers: dict[str, _Borrower] = {}
+        self._borrowers: dict[str, _BorrowerState] = {}
 
     def share_of(self, *, borrower: str) -> int:
         """Returns what `borrower` may be using, in bytes per second."""
-        account = self._borrowers.get(borrower)
-        if account is None:
+        state = self._borrowers.get(borrower)
+        if state is None:
             return 0
-        return account.share_bytes_per_s()
+        return state.share_bytes_per_s()
 
     def expire(self, *, now_s: float) -> None:
-        """Forgets the terms that ended by `now_s`."""
+        """Removes the terms that ended by `now_s`."""
         if now_s < self._next_end_s:
             return
-        for account in self._borrowers.values():
+        for state in self._borrowers.values():
             kept = []
-            for term in account.terms:
+            for term in state.terms:
                 if term.until_s > now_s:
                     kept.append(term)
-            account.terms = kept
+            state.terms = kept
         self._recount()
 
     def forget_except(self, *, entries: tuple[str, ...]) -> None:
-        """Forgets entries that are gone, once their terms have ended."""
-        for borrower, account in tuple(self._borrowers.items()):
-            if account.terms or borrower in entries:
+        """Removes borrowers not in `entries` whose terms have ended."""
+        for borrower, state in tuple(self._borrowers.items()):
+            if state.terms or borrower in entries:
                 continue
             del self._borrowers[borrower]
 
     def repeated(self, *, request: LoanRequest) -> Loan | None:
-        """Returns the loan already sent for this request, if there is one."""
-        account = self._borrowers.get(request.borrower)
-        if account is None or account.last_loan is None:
+        """Returns the loan already sent for this request, if any."""
+        state = self._borrowers.get(request.borrower)
+        if state is None or state.last_loan is None:
             return None
-        if _same_request(account.last_loan, request):
-            return account.last_loan
+        if _same_request(state.last_loan, request):
+            return state.last_loan
         return None
 
     def is_late(self, *, request: LoanRequest) -> bool:
-        """Whether a newer request of the same process was answered."""
-        account = self._borrowers.get(request.borrower)
-        if account is None or account.last_loan is None:
+        """Returns whether a newer request of that process was answered."""
+        state = self._borrowers.get(request.borrower)
+        if state is None or state.last_loan is None:
             return False
-        if account.last_loan.incarnation != request.incarnation:
+        if state.last_loan.incarnation != request.incarnation:
             return False
-        return request.sequence < account.last_loan.sequence
+        return request.sequence < state.last_loan.sequence
 
     def note_asked(self, *, borrower: str, now_s: float) -> int:
-        """Notes a request and returns how many borrowers asked of late."""
-        self._borrower(borrower).asked_s = now_s
+        """Records a request; returns how many borrowers asked within a term."""
+        self._state_of(borrower).asked_s = now_s
         asking = 0
-        for account in self._borrowers.values():
-            if now_s - account.asked_s <= self._timing.term_s:
+        for state in self._borrowers.values():
+            if now_s - state.asked_s <= self._timing.term_s:
                 asking += 1
         return asking
 
     def add(self, *, loan: Loan, now_s: float) -> None:
         """Counts a loan from `now_s` on; called before the loan is sent."""
-        account = self._borrower(loan.borrower)
-        account.last_loan = loan
+        state = self._state_of(loan.borrower)
+        state.last_loan = loan
         until_s = now_s + self._timing.lender_term_s
-        account.terms.append(_LentTerm(loan.share_bytes_per_s, until_s))
+        state.terms.append(_LentTerm(loan.share_bytes_per_s, until_s))
         self._recount()
 
-    def _borrower(self, borrower: str) -> _Borrower:
-        return self._borrowers.setdefault(borrower, _Borrower())
+    def _state_of(self, borrower: str) -> _BorrowerState:
+        return self._borrowers.setdefault(borrower, _BorrowerState())
 
     def _recount(self) -> None:
         self._share_bytes_per_s = 0
         self._next_end_s = float("inf")
-        for account in self._borrowers.values():
-            self._share_bytes_per_s += account.share_bytes_per_s()
-            for term in account.terms:
+        for state in self._borrowers.values():
+            self._share_bytes_per_s += state.share_bytes_per_s()
+            for term in state.terms:
                 self._next_end_s = min(self._next_end_s, term.until_s)
 
 
 class _Request(NamedTuple):
-    """A request whose loan has not come yet."""
+    """Holds a request whose loan has not arrived yet."""
 
     sequence: int
     asked_s: float
 
 
 class _BorrowedTerm(NamedTuple):
-    """A loan as its borrower counts it."""
+    """Holds one loan as its borrower counts it."""
 
     sequence: int
     share_bytes_per_s: int
@@ -223,10 +224,10 @@
 
 
 class BorrowedBook(_LoanTable):
-    """What one entry has borrowed on one link, at its present epoch."""
+    """Loans that one entry has received on one link, at one epoch."""
 
     def __init__(self, *, timing: LoanTiming) -> None:
-        """Makes an empty book."""
+        """Starts without loans."""
         super().__init__(timing=timing)
         self._sequence = 0
         self._requests: dict[str, list[_Request]] = {}
@@ -234,14 +235,15 @@
 
     @property
     def lenders(self) -> tuple[str, ...]:
-        """Entries whose share is held now."""
+        """Entries whose loans are in use now."""
         return tuple(self._held)
 
     def due_lenders(self, *, now_s: float) -> tuple[str, ...]:
-        """Returns the lenders whose loans have spent half of their term.
+        """Returns the lenders whose loans are past half of their term.
 
-        Asked sooner, every lender of a large zone would get and send messages
-        in each round; asked later, one lost message would end the loan.
+        If they were asked sooner, every lender of a large zone would get and
+        send messages in each round; if later, one lost message would end the
+        loan.
         """
         due = []
         for lender, held in self._held.items():
@@ -250,18 +252,18 @@
         return tuple(due)
 
     def drop_all(self) -> None:
-        """Forgets every loan and request; done with each new epoch.
+        """Removes all loans and requests; called at each new epoch.
 
-        Without this a loan from an entry that is gone would still be used
-        while the others already divide the whole cap among themselves. One
-        would notice a link over its cap for up to a term after the change.
+        Otherwise a loan from an entry that has left would still be used while
+        the remaining entries already divide the whole cap, so the link would be
+        over its cap for up to a term after the change.
         """
         self._requests.clear()
         self._held.clear()
         self._recount()
 
     def next_sequence(self, *, lender: str, now_s: float) -> int:
-        """Notes a request made at `now_s` and returns its number."""
+        """Records a request made at `now_s`; returns its sequence number."""
         self._sequence += 1
         waiting = []
         for request in self._requests.get(lender, ()):
@@ -272,11 +274,11 @@
         return self._sequence
 
     def accept(self, *, loan: Loan, now_s: float) -> bool:
-        """Takes a loan up.
+        """Adds a received loan.
 
         Returns:
-          False when no request waits for it, when a newer one is held
-          already, or when its term, counted from the request, has passed.
+          False if no request waits for it, if a newer loan of that lender is
+          in use, or if its term, counted from the request, has ended.
         """
         asked_s = self._pop_request(lender=loan.lender, sequence=loan.sequence)
         if asked_s is None:
@@ -294,7 +296,7 @@
         return True
 
     def expire(self, *, now_s: float) -> None:
-        """Stops the use of loans that ended by `now_s`."""
+        """Removes the loans that ended by `now_s`."""
         if now_s < self._next_end_s:
             return
         for lender, held in tuple(self._held.items()):
@@ -303,7 +305,7 @@
         self._recount()
 
     def _pop_request(self, *, lender: str, sequence: int) -> float | None:
-        """Returns when the request was made, and stops waiting for it."""
+        """Removes a request; returns when it was made, None if not found."""
         waiting = self._requests.get(lender, [])
         for request in waiting:
             if request.sequence != sequence:
--- a/almondstair/core/requests.py
+++ b/almondstair/core/requests.py
@@ -1,7 +1,7 @@
-"""What one request asks for and how far it has come.
+"""Parsing of a request's head, and the progress of the request.
 
-A request is read once into a `RequestHead`; `RequestProgress` is the single
-variable that says whether it may still be dispatched.
+A request is parsed once into a `RequestHead`; `RequestProgress` alone decides
+whether it may still be dispatched.
 """
 
 import enum
@@ -17,15 +17,15 @@
 
 
 class RequestHead(NamedTuple):
-    """What the front door knows of a request before its body arrives.
+    """Holds what is known of a request before its body arrives.
 
     Attributes:
       service: name of the service.
-      request_class: the class that its method and path fall in.
+      request_class: the class that matches its method and path.
       method: HTTP method.
-      path: path and query as the upstream gets them.
+      path: path and query as sent to the upstream.
       key: Idempotency-Key, or empty.
-      deadline_s: monotonic time by which the whole answer must be out.
+      deadline_s: monotonic time by which the whole answer must be sent.
     """
 
     service: str
@@ -45,18 +45,18 @@
 
 
 class RequestProgress:
-    """Keeps the promise that a request told "not run" is never run.
-
-    What goes wrong without it: a deadline fires, the caller is told that
-    nothing ran, and a dispatch that was waiting for a slot goes out a moment
-    later. One would notice a journal entry at an upstream for an answer with
-    `ran: no`. Every answer passes `answer()` before it is written and every
-    dispatch passes `dispatch()` before its first byte, so one of them loses.
-
-    A refusal speaks of the last dispatch alone. An idempotent request whose
-    first dispatch was lost may have run there, also when the next one is
-    refused for sure: were the refusal to clear it all, the caller would be told
-    "not run" of a request that an upstream has in its journal.
+    """Guarantees that a request reported as not run is never run.
+
+    Otherwise a deadline could expire, the caller be told that nothing ran, and
+    a dispatch that was waiting for a slot start a moment later; an upstream's
+    journal would then show a request that was answered with `ran: no`. Every
+    answer calls `answer()` before it is written and every dispatch calls
+    `dispatch()` before its first byte, so one of the two fails.
+
+    A refusal covers only the last dispatch. An idempotent request whose first
+    dispatch was lost may have run there, even if the next dispatch is certainly
+    refused. If the refusal reset the whole state, the caller would be told "not
+    run" about a request that an upstream has in its journal.
     """
 
     def __init__(self) -> None:
@@ -66,7 +66,7 @@
         self._earlier_may_have_run = False
 
     def dispatch(self) -> bool:
-        """Asks to write the first byte to an upstream or another entry."""
+        """Returns whether the first byte may be sent, and marks it as sent."""
         if self.state is Progress.ANSWERED:
             return False
         self.state = Progress.DISPATCHED
@@ -75,13 +75,13 @@
         return True
 
     def not_run(self) -> None:
-        """Records the other side's certain refusal of the last dispatch."""
+        """Records that the last dispatch certainly did not run."""
         if self.state is Progress.DISPATCHED:
             self.state = Progress.OPEN
             self.may_have_run = self._earlier_may_have_run
 
     def answer(self) -> bool:
-        """Closes the request; False when it was answered before."""
+        """Closes the request; returns False if it was already answered."""
         if self.state is Progress.ANSWERED:
             return False
         self.state = Progress.ANSWERED
@@ -100,7 +100,7 @@
 def find_class(
     *, configuration: Configuration, service: str, method: str, path: str
 ) -> RequestClass:
-    """Finds the class of a request.
+    """Returns the class of a request.
 
     Args:
       configuration: the configuration in force.
@@ -141,7 +141,11 @@
 
 
 def check_key(*, request_class: RequestClass, key: str) -> str:
-    """Returns the key that counts; raises `key_missing` or `bad_request`."""
+    """Returns the key to claim, empty if the class is idempotent.
+
+    Raises:
+      AlmondstairError: `key_missing` or `bad_request`.
+    """
     if request_class.idempotent:
         return ""
     if not key:
@@ -165,9 +169,9 @@
     """Returns the monotonic deadline of a request.
 
     Args:
-      request_class: gives the longest deadline and the default.
-      header: value of Deadline-Ms, the milliseconds left, or empty.
-      now_s: the monotonic time.
+      request_class: sets the longest and the default deadline.
+      header: value of Deadline-Ms, the remaining milliseconds, or empty.
+      now_s: monotonic time in seconds.
 
     Raises:
       AlmondstairError: `deadline_unreadable`.
--- a/almondstair/core/retries.py
+++ b/almondstair/core/retries.py
@@ -1,7 +1,7 @@
-"""Retry budgets and times to come back.
+"""Retry budgets and retry delays.
 
-Only the first entry of a request retries. An entry that was forwarded a
-request answers its refusal to the sender; if both retried, their budgets would
+Only the first entry of a request retries. An entry that receives a forwarded
+request returns a refusal to the sender; if both retried, their budgets would
 multiply.
 """
 
@@ -15,7 +15,7 @@
 
 
 class RetryCounts(NamedTuple):
-    """What a budget has seen since it was made."""
+    """Counts of a budget since its creation."""
 
     first_tries: int
     retries: int
@@ -25,19 +25,19 @@
 class RetryBudget:
     """Allows retries as a fraction of first tries.
 
-    Without it a region that refuses half of its work is sent that half again,
-    refuses more, and is sent more: it stays overloaded after the cause has
-    gone. One would see retries rise while first tries stay level. Here each
-    first try earns a fraction of a token and each retry spends a whole one,
-    so retries stay at `fraction` of first tries however many fail.
+    Without a budget, a region that refuses half of its work gets that half
+    again, refuses more, and stays overloaded after the cause has gone: retries
+    rise while first tries stay level. Here each first try earns a fraction of a
+    token and each retry spends a whole one, so retries stay at `fraction` of
+    first tries however many fail.
 
-    A service with little load earns next to nothing. A window of one second
-    that earned less than `minimum_per_s` is made up to it.
+    A service with little load earns almost nothing, so a window of one second
+    that earned less than `minimum_per_s` is topped up to it.
 
-    The first token is there from the start and is earned afterwards. What goes
-    wrong without: the first request after the start of an entry goes to one
-    that has just died, certainly did not run, and is refused though others
-    have room: in 2 of 14 plays of a kill right after the start.
+    The first token is granted in advance and earned afterwards. Without it, the
+    first request of a new entry that goes to a peer which has just died is
+    refused, although it certainly did not run and others have free slots. This
+    happened in 2 of 14 runs with a kill right after the start.
     """
 
     def __init__(
@@ -47,13 +47,14 @@
         minimum_per_s: float = DEFAULT_MINIMUM_PER_S,
         depth_s: float = DEFAULT_DEPTH_S,
     ) -> None:
-        """Makes a budget with one quiet second's tokens in it.
+        """Creates a budget with the minimum tokens of one second.
 
         Args:
           fraction: tokens that a first try earns.
-          minimum_per_s: tokens that a second earns at least.
-          depth_s: seconds of earning at the present rate that are kept; what
-            calm saves up is spent at the start of an overload, so it is small.
+          minimum_per_s: minimum of tokens earned per second.
+          depth_s: how many seconds of earnings at the current rate are stored.
+            It is small, since stored tokens are spent at the start of an
+            overload.
         """
         self._fraction = fraction
         self._minimum_per_s = minimum_per_s
@@ -75,7 +76,7 @@
         self._earn(self._fraction)
 
     def may_retry(self, *, now_s: float) -> bool:
-        """Spends a token if there is one; returns whether there was."""
+        """Spends a token for a retry; returns False if there is none."""
         self._roll_window(now_s=now_s)
         if self._tokens < 1.0:
             self._withheld += 1
@@ -91,7 +92,7 @@
 
     @property
     def counts(self) -> RetryCounts:
-        """Tries and retries since the budget was made."""
+        """First tries, and retries made and withheld, since creation."""
         return RetryCounts(
             first_tries=self._first_tries,
             retries=self._retries,
@@ -123,20 +124,20 @@
 
 
 def retry_after_ms(*, base_ms: int, draw: float, pressure: float = 1.0) -> int:
-    """Returns when a refused caller may come back.
+    """Returns after how many milliseconds a refused caller may retry.
 
-    Callers refused at the same moment would come back at the same moment and
-    be refused again together; a burst that repeats with the period `base_ms`
-    shows it. The draw spreads them over one to two times the base.
+    Callers refused at the same moment would retry at the same moment and be
+    refused together again, in bursts with the period `base_ms`. The draw
+    spreads them over one to two times the base.
 
     Args:
-      base_ms: shortest time that helps.
-      draw: uniform in [0, 1).
-      pressure: offered load over capacity; more than 1 pushes callers back
-        in proportion.
+      base_ms: shortest useful delay, in milliseconds.
+      draw: random number, uniform in [0, 1).
+      pressure: offered load divided by capacity; above 1 it lengthens the
+        delay in proportion.
 
     Returns:
-      Milliseconds, at most a minute.
+      The delay in milliseconds, at most a minute.
     """
     stretched_ms = base_ms * max(1.0, pressure) * (1.0 + draw)
     return min(MAX_RETRY_AFTER_MS, round(stretched_ms))
--- a/almondstair/core/token_bucket.py
+++ b/almondstair/core/token_bucket.py
@@ -4,15 +4,15 @@
 class TokenBucket:
     """Paces bytes: one token is one byte.
 
-    Tokens flow in at a rate and are stored up to a depth, so any window of
-    w seconds lets at most `rate * w + depth` bytes through. A new bucket is
+    Tokens are added at a rate and stored up to a depth, so any window of w
+    seconds lets at most `rate * w + depth` bytes through. A new bucket is
     empty.
     """
 
     __slots__ = ("_depth_bytes", "_filled_s", "_rate_bytes_per_s", "_tokens")
 
     def __init__(self, *, now_s: float) -> None:
-        """Makes an empty bucket without a rate."""
+        """Creates an empty bucket without a rate."""
         self._rate_bytes_per_s = 0.0
         self._depth_bytes = 0.0
         self._tokens = 0.0
@@ -20,21 +20,21 @@
 
     @property
     def depth_bytes(self) -> float:
-        """The most tokens that the bucket stores."""
+        """Maximum of stored tokens."""
         return self._depth_bytes
 
     @property
     def tokens(self) -> float:
-        """Tokens stored at the last `fill`, `resize` or take."""
+        """Tokens stored at the last call that changed them."""
         return self._tokens
 
     @property
     def rate_bytes_per_s(self) -> float:
-        """How fast tokens flow in."""
+        """Tokens added per second."""
         return self._rate_bytes_per_s
 
     def fill(self, *, now_s: float) -> None:
-        """Lets in the tokens due by `now_s`; an earlier time does nothing."""
+        """Adds the tokens due by `now_s`; ignores an earlier time."""
         elapsed_s = now_s - self._filled_s
         if elapsed_s <= 0.0:
             return
@@ -47,8 +47,8 @@
     ) -> None:
         """Changes rate and depth from `now_s` on.
 
-        Stored tokens above the new depth are lost: a lender that kept them
-        would spend them while the borrower already spends its own.
+        Stored tokens above the new depth are dropped: a lender that kept them
+        could spend them while the borrower already spends its own.
 
         Args:
           rate_bytes_per_s: new rate.
@@ -64,7 +64,7 @@
         """Takes `size_bytes` tokens, or none of them.
 
         Returns:
-          Whether the tokens were there.
+          Whether there were enough tokens.
         """
         self.fill(now_s=now_s)
         if size_bytes > self._tokens:
@@ -73,18 +73,18 @@
         return True
 
     def take_up_to(self, *, size_bytes: int, now_s: float) -> int:
-        """Takes as many whole tokens as there are, `size_bytes` at most."""
+        """Takes all whole tokens, at most `size_bytes`; returns how many."""
         self.fill(now_s=now_s)
         taken_bytes = min(size_bytes, int(self._tokens))
         self._tokens -= taken_bytes
         return taken_bytes
 
     def wait_s(self, *, size_bytes: int, longest_s: float) -> float:
-        """Returns the seconds until `size_bytes` tokens are there.
+        """Returns the seconds until `size_bytes` tokens are available.
 
         Args:
           size_bytes: tokens wanted.
-          longest_s: answer when the wait is longer or would never end.
+          longest_s: upper bound of the result, also if the bucket has no rate.
         """
         missing = size_bytes - self._tokens
         if missing <= 0.0:
--- a/almondstair/core/upstream_slots.py
+++ b/almondstair/core/upstream_slots.py
@@ -9,7 +9,7 @@
 from almondstair.core.slow_start import SlowStartLimits
 
 # How long an upstream's load report is used.
-REPORT_LIMIT_S = 1.0
+MAX_REPORT_AGE_S = 1.0
 
 
 class UpstreamSlots:
@@ -74,7 +74,7 @@
         an upstream that always reports itself full would otherwise get no work
         that could disprove it.
         """
-        if self._report is None or now_s - self._report_s > REPORT_LIMIT_S:
+        if self._report is None or now_s - self._report_s > MAX_REPORT_AGE_S:
             return self.slots
         remaining = min(self.slots, self._report.slots) - self._busy_for_others
         return max(1, remaining)
