--- a/almondstair/core/admission.py
+++ b/almondstair/core/admission.py
@@ -79,7 +79,7 @@
           limits: constants of slow start.
           kept_fraction: fraction of a service's slots that work of each
             priority leaves free for higher priorities.
-          health: health of each upstream by its answers, which takes
+          health: health of each upstream by its responses, which takes
             precedence over its own reports.
           standstill: measures for how long this entry's event loop stalled.
         """
@@ -134,7 +134,7 @@
         now_s: float,
         avoid: frozenset[str] = frozenset(),
     ) -> Admission | Refusal:
-        """Takes a slot at the best upstream of a service.
+        """Acquires a slot at the best upstream of a service.
 
         Args:
           service: name of the service.
@@ -181,7 +181,7 @@
         deadline_s: float,
         now_s: float,
     ) -> Admission | Refusal:
-        """Takes a slot at one upstream, or returns why it cannot."""
+        """Acquires a slot at one upstream, or returns why it cannot."""
         others = set(self._by_service.get(service, []))
         others.discard(upstream)
         return self.choose(
@@ -258,7 +258,7 @@
           outcome: how the request ended.
           now_s: monotonic time in seconds.
           connection_closed: whether the upstream's work is certainly over,
-            because of a complete answer, a refusal or a closed connection.
+            because of a complete response, a refusal or a closed connection.
             Otherwise the slot stays taken until the deadline, since the
             upstream may still run the request and another one would exceed its
             slots.
--- a/almondstair/core/admission_records.py
+++ b/almondstair/core/admission_records.py
@@ -48,7 +48,7 @@
 
 
 class UpstreamReport(NamedTuple):
-    """Holds an upstream's load report, from an answer or a probe."""
+    """Holds an upstream's load report, from a response or a probe."""
 
     slots: int
     busy: int
--- a/almondstair/core/homes.py
+++ b/almondstair/core/homes.py
@@ -151,7 +151,8 @@
         row = self._rows.get(report.entry)
         if row is None or row.incarnation != report.incarnation:
             # The sender is an earlier process of that name, or its row is not
-            # yet replaced. Its report doesn't cover all work of that name.
+            # yet replaced. Its report doesn't account for the work of the
+            # process in the table.
             return
         known = self._peers.get(report.entry)
         peer = next_peer(known=known, report=report, now_s=now_s)
--- a/almondstair/core/ledger.py
+++ b/almondstair/core/ledger.py
@@ -4,7 +4,7 @@
 dispatched, and the outcome is recorded afterwards. This module holds the
 records and the decisions; `almondstair.claims` makes the calls.
 
-    Claiming     makes a claim, despite failed calls and lost answers
+    Claiming     makes a claim, despite failed calls and lost replies
     Claim        the claim while its request is in flight
     Settlement   records the outcome of a claim in the service
 """
@@ -42,7 +42,7 @@
     Attributes:
       CLAIMED: claimed; the request may have been dispatched or still be.
       DONE: answered by an upstream.
-      UNKNOWN: dispatched, but no complete answer arrived.
+      UNKNOWN: dispatched, but no complete response arrived.
       RELEASED: certainly has not run and never will; may be claimed again.
     """
 
@@ -53,11 +53,11 @@
 
 
 class RecordedAnswer(NamedTuple):
-    """Holds an upstream's answer as a repeated request gets it.
+    """Holds an upstream's response as a repeated request gets it.
 
     Attributes:
       status: HTTP status.
-      headers: the headers of the answer that are in `RECORDED_HEADERS`.
+      headers: the headers of the response that are in `RECORDED_HEADERS`.
       body: the whole body; None if it was too large to record.
     """
 
@@ -77,7 +77,7 @@
       incarnation: random identifier of that entry's process.
       time_left_ms: time from the claim to the request's deadline.
       state: state of the key.
-      answer: the answer, if the state is `DONE`.
+      answer: the response, if the state is `DONE`.
     """
 
     format: int
@@ -105,7 +105,7 @@
 
     Two idempotency keys may share a key in the service, since the hash is short
     and public. If only the request were compared, a caller with another key
-    and an equal request would get an answer that is not its own.
+    and an equal request would get a response that is not its own.
     """
     return _digest(key.encode(), fingerprint)
 
@@ -137,11 +137,11 @@
 def keep_answer(
     *, status: int, headers: list[tuple[str, str]], body: bytes | None
 ) -> RecordedAnswer:
-    """Returns the part of an answer that is recorded for repeated requests.
+    """Returns the part of a response that is recorded for repeated requests.
 
     Args:
       status: HTTP status.
-      headers: all headers of the answer.
+      headers: all headers of the response.
       body: the whole body, or None if it was not collected.
     """
     kept = []
@@ -213,7 +213,7 @@
 
 
 def verdict_error(verdict: Verdict) -> AlmondstairError:
-    """Returns the error for a repeated request without a recorded answer."""
+    """Returns the error for a repeated request without a recorded response."""
     if verdict is Verdict.REUSED:
         return AlmondstairError(kind=ErrorKind.KEY_REUSED)
     if verdict is Verdict.IN_FLIGHT:
@@ -225,7 +225,7 @@
 
 
 def answer_not_kept(answer: RecordedAnswer) -> AlmondstairError:
-    """Returns the error for a repeated request whose answer was too large.
+    """Returns the error for a repeated request whose response was too large.
 
     The closed list of error kinds has none for this case. `outcome_unknown` has
     the right status and means "do not send again"; `ran` reports that the
@@ -234,7 +234,7 @@
     return AlmondstairError(
         kind=ErrorKind.OUTCOME_UNKNOWN,
         detail=f"the request ran with status {answer.status}; "
-        "its answer is too large to keep",
+        "its response is too large to keep",
         ran=Ran.YES,
     )
 
@@ -250,7 +250,7 @@
 class Claiming:
     """Makes one claim: decides on each call from the result of the last one.
 
-    A write whose answer was lost may be applied now, later or never. Treating
+    A write whose reply was lost may be applied now, later or never. Treating
     it as failed would leave a claim that nobody releases; treating it as
     applied would let two entries dispatch. So the key is read back to look for
     the nonce of this claim. If the write is not visible it is repeated, which
@@ -292,7 +292,7 @@
         self._writes = 0
 
     def on_write(self, result: base.CasResult) -> None:
-        """Processes the answer to a write."""
+        """Processes the reply to a write."""
         self._writes += 1
         if result.succeeded:
             self._hold(result.revision)
@@ -300,7 +300,7 @@
         self._on_current(result.current)
 
     def on_read(self, current: base.Record | None) -> None:
-        """Processes the answer to a read back."""
+        """Processes the reply to a read back."""
         self._on_current(current)
 
     def on_failure(self, error: base.PlatformError) -> None:
@@ -464,7 +464,7 @@
         )
 
     def on_write(self, result: base.CasResult) -> SettlementState:
-        """Processes the answer to a write."""
+        """Processes the reply to a write."""
         if result.succeeded:
             return SettlementState.SETTLED
         if result.current is None:
--- a/almondstair/core/links.py
+++ b/almondstair/core/links.py
@@ -11,13 +11,13 @@
 * An allowance shrinks as soon as a new epoch of the table is known, and grows
   only after every other entry of the table has acknowledged that epoch.
 * A process starts without an allowance. It gets one from a table that it has
-  read from the platform itself, and not before all loans of an earlier process
-  of its name have ended.
+  read from the platform since its start, and not before all loans of an earlier
+  process of its name have ended.
 * Loans follow the rules of `almondstair.core.loans`.
 
 These rules don't cover a process that is frozen between `take` and the write to
-the socket: it sends that piece late. Callers call `take` for each piece, so
-this is at most one piece for each request in flight.
+the socket: it sends that chunk late. Callers call `take` for each chunk, so
+this is at most one chunk for each request in flight.
 """
 
 from typing import NamedTuple
@@ -48,7 +48,7 @@
 
 
 class Part(NamedTuple):
-    """Holds how much of a piece may be sent now.
+    """Holds how much of a chunk may be sent now.
 
     Attributes:
       size_bytes: bytes that may be sent now; may be 0.
@@ -170,15 +170,15 @@
     # Sending.
 
     def take(self, *, size_bytes: int, now_s: float) -> float:
-        """Takes the tokens for a piece that cannot be divided.
+        """Takes the tokens for a chunk that cannot be divided.
 
         Args:
-          size_bytes: size of the piece.
+          size_bytes: size of the chunk.
           now_s: monotonic time in seconds.
 
         Returns:
-          0.0 if the tokens were taken and the piece may be sent now, else the
-          seconds to wait before the next call. A piece above
+          0.0 if the tokens were taken and the chunk may be sent now, else the
+          seconds to wait before the next call. A chunk above
           `largest_take_bytes` never succeeds; use `take_part` for it.
         """
         self._advance(now_s=now_s)
@@ -189,15 +189,15 @@
         return self._wait_s(size_bytes=size_bytes)
 
     def take_part(self, *, size_bytes: int, now_s: float) -> Part:
-        """Takes the tokens for as much of a piece as possible.
+        """Takes the tokens for as much of a chunk as possible.
 
         Args:
-          size_bytes: size of the piece.
+          size_bytes: size of the chunk.
           now_s: monotonic time in seconds.
 
         Returns:
           How much may be sent now. To avoid tiny writes this is nothing until
-          tokens for half a bucket, or for the whole piece, are available.
+          tokens for half a bucket, or for the whole chunk, are available.
         """
         self._advance(now_s=now_s)
         least_bytes = min(size_bytes, int(self._bucket.depth_bytes / 2) + 1)
@@ -229,10 +229,10 @@
         Args:
           epoch: epoch of the table.
           entries: names of the table's entries in the link's availability zone.
-          from_platform: whether this process has read it from the platform
-            itself. Otherwise a restarted process could take its allowance from
-            a table older than one that it acknowledged before the restart and
-            that a new entry relies on.
+          from_platform: whether this process has itself read the table from the
+            platform, after it started. Otherwise a restarted process could take
+            its allowance from a table older than one that it acknowledged
+            before the restart and that a new entry relies on.
           now_s: monotonic time in seconds.
         """
         self._advance(now_s=now_s)
--- a/almondstair/core/requests.py
+++ b/almondstair/core/requests.py
@@ -25,7 +25,7 @@
       method: HTTP method.
       path: path and query as sent to the upstream.
       key: Idempotency-Key, or empty.
-      deadline_s: monotonic time by which the whole answer must be sent.
+      deadline_s: monotonic time by which the complete response must be sent.
     """
 
     service: str
@@ -47,16 +47,16 @@
 class RequestProgress:
     """Guarantees that a request reported as not run is never run.
 
-    Otherwise a deadline could expire, the caller be told that nothing ran, and
-    a dispatch that was waiting for a slot start a moment later; an upstream's
-    journal would then show a request that was answered with `ran: no`. Every
-    answer calls `answer()` before it is written and every dispatch calls
-    `dispatch()` before its first byte, so one of the two fails.
+    Otherwise a deadline could expire, the caller be informed that nothing ran,
+    and a dispatch that was waiting for a slot start a moment later; an
+    upstream's journal would then show a request that was answered with `ran:
+    no`. Every answer calls `answer()` before it is written and every dispatch
+    calls `dispatch()` before its first byte, so one of the two fails.
 
     A refusal covers only the last dispatch. An idempotent request whose first
     dispatch was lost may have run there, even if the next dispatch is certainly
-    refused. If the refusal reset the whole state, the caller would be told "not
-    run" about a request that an upstream has in its journal.
+    refused. If the refusal reset the whole state, the caller would be informed
+    of "not run" for a request that an upstream has in its journal.
     """
 
     def __init__(self) -> None:
--- a/almondstair/core/upstream_slots.py
+++ b/almondstair/core/upstream_slots.py
@@ -84,10 +84,10 @@
     ) -> int:
         """Returns how many slots slow start lets the entry use.
 
-        Slow start opens slots as answers arrive. If long requests hold all open
-        slots, no answers arrive, no slots are opened, and everything else is
-        refused although most slots are free. Long-running requests therefore
-        don't count against the open slots.
+        Slow start opens slots as responses arrive. If long requests hold all
+        open slots, no responses arrive, no slots are opened, and everything
+        else is refused although most slots are free. Long-running requests
+        therefore don't count against the open slots.
 
         Args:
           running: the entry's requests at this upstream.
