--- a/almondstair/gateway/__init__.py
+++ b/almondstair/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The data path of an entry VM: callers on one side, upstreams on the other."""
+"""The data path of an entry VM, between callers and upstreams."""
--- a/almondstair/gateway/call_records.py
+++ b/almondstair/gateway/call_records.py
@@ -1,42 +1,44 @@
-"""What is logged and counted of each call."""
+"""Log lines and metrics of each call."""
 
 from almondstair import log
 from almondstair.clock import now_s
 from almondstair.core.choosing import Choice
 from almondstair.core.fleet import Fleet
 from almondstair.errors import AlmondstairError
+from almondstair.gateway.calls import Attempt
 from almondstair.gateway.calls import Call
-from almondstair.gateway.calls import Try
-from almondstair.gateway.incoming import AnswerWait
 from almondstair.gateway.incoming import IncomingRequest
+from almondstair.gateway.incoming import ResponseWait
 from almondstair.gateway.measures import Measures
 from almondstair.gateway.upstream_connection import Exchange
 from almondstair.platform import headers as names
 
 
-class CallRecords:
-    """Logs and counts calls, with the inputs that decided."""
+class CallRecorder:
+    """Logs and counts calls, with the inputs of each routing decision."""
 
     def __init__(self, *, fleet: Fleet, measures: Measures) -> None:
-        """Makes the records of one entry.
+        """Creates the recorder of one entry.
 
         Args:
-          fleet: whose version and use belong to each line.
+          fleet: supplies the configuration version and the slot utilisation.
           measures: counters and histograms.
         """
         self._fleet = fleet
         self._measures = measures
 
-    def answered(self, call: Call, choice: Choice, exchange: Exchange) -> None:
-        """Tells of an upstream's answer."""
+    def record_response(
+        self, call: Call, choice: Choice, exchange: Exchange
+    ) -> None:
+        """Records an upstream's response."""
         assert exchange.head is not None
         record = choice.upstream.record
         self._count(call, f"status_{exchange.head.status}")
         log.event(
             log.Event.REQUEST_ANSWERED,
-            request=call.text_id,
+            request=call.log_id,
             route=call.route.name,
-            version=self._version(),
+            version=self._configuration_version(),
             upstream=record.upstream_id,
             availability_zone=record.availability_zone,
             key=call.key if call.route.by_key else "",
@@ -52,18 +54,20 @@
             took_ms=call.age_ms(),
         )
 
-    def _version(self) -> int:
+    def _configuration_version(self) -> int:
         return self._fleet.table.version if self._fleet.table else 0
 
-    def try_failed(self, call: Call, choice: Choice, outcome: Try) -> None:
-        """Tells of a try without an answer to pass on."""
+    def record_failed_attempt(
+        self, call: Call, choice: Choice, outcome: Attempt
+    ) -> None:
+        """Records an attempt without a response that can be passed on."""
         log.event(
             log.Event.TRY_FAILED,
-            request=call.text_id,
+            request=call.log_id,
             upstream=choice.upstream.record.upstream_id,
             verdict=str(outcome.verdict),
             cause=outcome.cause,
-            left_ms=round(call.left_s() * 1000),
+            left_ms=round(call.remaining_s() * 1000),
         )
 
     def _count(self, call: Call, outcome: str) -> None:
@@ -71,18 +75,18 @@
         self._measures.requests.labels(call.route.name, outcome).inc()
         self._measures.latency_s.labels(outcome).observe(took_s)
 
-    def failed(self, call: Call, error: AlmondstairError) -> None:
-        """Tells of a call that ends with an error of the system's own."""
+    def record_failed(self, call: Call, error: AlmondstairError) -> None:
+        """Records a call that ends with an error of the gateway."""
         self._count(call, str(error.kind))
         what = log.Event.GATEWAY_REFUSED
         if call.may_have_run:
             what = log.Event.REQUEST_FAILED
         log.event(
             what,
-            request=call.text_id,
+            request=call.log_id,
             route=call.route.name,
             service=call.service,
-            version=self._version(),
+            version=self._configuration_version(),
             kind=str(error.kind),
             detail=error.detail,
             tried=call.tried,
@@ -90,23 +94,23 @@
             use=round(self._fleet.use(call.service, now_s=now_s()), 2),
             upstreams=len(self._fleet.takers(call.service)),
             after_ms=call.age_ms(),
-            left_ms=round(call.left_s() * 1000),
+            left_ms=round(call.remaining_s() * 1000),
         )
 
-    def abandoned(self, call: Call) -> None:
-        """Tells of a caller that left."""
+    def record_abandoned(self, call: Call) -> None:
+        """Records a call whose caller disconnected."""
         self._count(call, "abandoned")
         log.event(
             log.Event.REQUEST_ABANDONED,
-            request=call.text_id,
+            request=call.log_id,
             route=call.route.name,
             service=call.service,
             tried=call.tried,
             after_ms=call.age_ms(),
         )
 
-    def waited(self, wait: AnswerWait) -> None:
-        """Tells of a ready answer that waited for the one before it."""
+    def record_wait(self, wait: ResponseWait) -> None:
+        """Records a ready response that waited for the preceding one."""
         delivered = str(wait.delivered).lower()
         self._measures.waited_s.labels(delivered).observe(wait.waited_s)
         log.event(
@@ -117,16 +121,16 @@
             delivered=wait.delivered,
         )
 
-    def refused(
+    def record_refused(
         self, request: IncomingRequest, error: AlmondstairError
     ) -> None:
-        """Tells of a request that did not become a call."""
+        """Records a request that was rejected before it became a call."""
         log.event(
             log.Event.GATEWAY_REFUSED,
             request=_request_id(request),
             kind=str(error.kind),
             detail=error.detail,
-            version=self._version(),
+            version=self._configuration_version(),
         )
 
 
--- a/almondstair/gateway/caller_connection.py
+++ b/almondstair/gateway/caller_connection.py
@@ -1,9 +1,9 @@
-"""One caller's connection: requests in, answers out in the same order.
+"""HTTP/1.1 connections of callers, with pipelined requests.
 
-Parsing is httptools'. tornado's server reads the next request only after the
-answer to the one before; callers here send several look-ups at once, which
-would then wait for each other, and it does not see a caller leave while
-another request lies unread behind the running one.
+Requests are parsed with httptools. tornado's server is unsuitable: it reads the
+next request only after it has answered the previous one, so the lookups that
+callers pipeline would wait for each other, and it does not notice that a caller
+disconnects while another request is unread behind the running one.
 """
 
 import abc
@@ -16,50 +16,50 @@
 from almondstair.core.routing import CallerLimits
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
-from almondstair.gateway.incoming import AnswerWait
-from almondstair.gateway.incoming import AnswerWriter
-from almondstair.gateway.incoming import Handled
 from almondstair.gateway.incoming import IncomingRequest
-
-# Requests of one connection that are worked on at once; more are left unread.
-PIPELINE_LIMIT = 16
-# What may lie unsent for a caller that reads slowly.
-WRITE_HIGH_BYTES = 256 * 1024
-# How long a refused body is read and dropped: closing with unread bytes would
-# reset the connection before the caller has read the refusal.
-DISCARD_LIMIT_S = 2.0
-# A ready answer that waited this long for those before it is told of; less is
-# lost in what answers take anyway, 0.1 s and more.
-WAIT_TOLD_S = 0.05
-# Kept beyond the stated idle time, for a request that is on its way.
-IDLE_MARGIN_S = 1.0
+from almondstair.gateway.incoming import ResponseState
+from almondstair.gateway.incoming import ResponseWait
+from almondstair.gateway.incoming import ResponseWriter
+
+# Reading pauses while this many requests of a connection are in flight.
+MAX_PIPELINED_REQUESTS = 16
+# Response bytes buffered for a slow caller before writing pauses.
+WRITE_HIGH_WATER_BYTES = 256 * 1024
+# How long a rejected body is read and discarded: closing with unread bytes
+# would reset the connection before the caller has read the error response.
+DISCARD_TIMEOUT_S = 2.0
+# Shorter waits of ready responses behind earlier ones are not recorded: they
+# are insignificant beside the usual response time of 0.1 s and more.
+MIN_REPORTED_WAIT_S = 0.05
+# Added to the announced idle timeout, for a request already on its way.
+IDLE_TIMEOUT_MARGIN_S = 1.0
 
 
 class RequestHandler(abc.ABC):
-    """What caller connections need from the entry."""
+    """Handles the requests of caller connections."""
 
     @abc.abstractmethod
     def limits(self) -> CallerLimits:
-        """Returns what callers may send."""
+        """Returns the limits on callers' requests."""
 
     @abc.abstractmethod
     async def handle(self, request: IncomingRequest) -> None:
-        """Answers a request; its body may still be arriving."""
+        """Responds to a request whose body may still be arriving."""
 
     @abc.abstractmethod
-    def cancellable(self, request: IncomingRequest) -> bool:
-        """Whether work for a caller that is gone should stop."""
+    def is_cancellable(self, request: IncomingRequest) -> bool:
+        """Returns whether to cancel a request whose caller disconnected."""
 
     @abc.abstractmethod
-    def note_waited(self, wait: AnswerWait) -> None:
-        """Tells of a ready answer that waited for the one before it."""
+    def record_wait(self, wait: ResponseWait) -> None:
+        """Records a ready response that waited for the preceding one."""
 
 
-class CallerConnection(asyncio.Protocol, AnswerWriter):
-    """Reads requests and writes their answers in order.
+class CallerConnection(asyncio.Protocol, ResponseWriter):
+    """Reads requests and writes their responses in order.
 
     Attributes:
-      leaving: whether the connection is closed after its next answer.
+      draining: whether the connection is closed after its next response.
     """
 
     def __init__(
@@ -68,168 +68,170 @@
         handler: RequestHandler,
         connections: "set[CallerConnection]",
     ) -> None:
-        """Makes the protocol of one connection.
+        """Creates the protocol of one connection.
 
         Args:
-          handler: answers the requests.
-          connections: where it is listed while it is open.
+          handler: responds to the requests.
+          connections: set that contains the connection while it is open.
         """
         self._handler = handler
         self._connections = connections
         self._limits = handler.limits()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._waiting: deque[IncomingRequest] = deque()
+        self._pending: deque[IncomingRequest] = deque()
         self._current: IncomingRequest | None = None
-        self._answered_last: IncomingRequest | None = None
+        self._last_answered: IncomingRequest | None = None
         self._url = b""
         self._head_bytes = 0
-        self._ended_reading = False
-        self._paused = False
-        self._timer: asyncio.TimerHandle | None = None
+        self._reading_ended = False
+        self._reading_paused = False
+        self._idle_timer: asyncio.TimerHandle | None = None
         self._head_timer: asyncio.TimerHandle | None = None
-        self._room: asyncio.Event = asyncio.Event()
-        self._room.set()
+        self._writable: asyncio.Event = asyncio.Event()
+        self._writable.set()
         self._last_active_s = now_s()
         self._discarding = False
-        self.leaving = False
+        self.draining = False
 
     @property
-    def quiet(self) -> bool:
-        """Whether no request is being read or answered."""
-        return not self._waiting and self._current is None
+    def idle(self) -> bool:
+        """Whether no request is being read or is in flight."""
+        return not self._pending and self._current is None
 
     # Protocol callbacks.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes an accepted connection."""
+        """Registers the connection and starts the idle timer."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(high=WRITE_HIGH_BYTES)
+        transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         self._connections.add(self)
-        self._watch_idle()
+        self._check_idle()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The caller is gone: stops what nobody waits for."""
+        """Cancels the requests that need not run to completion."""
         self._connections.discard(self)
-        for timer in (self._timer, self._head_timer):
+        for timer in (self._idle_timer, self._head_timer):
             if timer is not None:
                 timer.cancel()
-        self._room.set()
+        self._writable.set()
         if self._current is not None:
             self._current.body.abort()
-        for request in self._waiting:
-            self._note_waited(request, behind=self._waiting[0], delivered=False)
-            self._caller_left(request)
+        for request in self._pending:
+            self._report_wait(request, behind=self._pending[0], delivered=False)
+            self._on_disconnect(request)
 
-    def _caller_left(self, request: IncomingRequest) -> None:
-        request.caller_gone = True
-        if not request.read:
+    def _on_disconnect(self, request: IncomingRequest) -> None:
+        request.caller_disconnected = True
+        if not request.fully_read:
             request.body.abort()
         if request.task is None or request.task.done():
             return
-        if request.state is Handled.ENDED:
+        if request.state is ResponseState.ENDED:
             return
-        if self._handler.cancellable(request):
+        if self._handler.is_cancellable(request):
             request.task.cancel()
 
     def eof_received(self) -> bool:
-        """The caller sends no more; what it asked is still answered."""
+        """Returns False, on which asyncio closes the transport."""
         return False
 
     def pause_writing(self) -> None:
-        """The caller reads slowly."""
-        self._room.clear()
+        """Blocks writers: the write buffer is above its high-water mark."""
+        self._writable.clear()
 
     def resume_writing(self) -> None:
-        """The caller has read on."""
-        self._room.set()
+        """Unblocks writers: the write buffer has drained."""
+        self._writable.set()
 
     def data_received(self, data: bytes) -> None:
-        """Feeds the parser."""
-        if self._ended_reading:
+        """Parses received bytes."""
+        if self._reading_ended:
             return
         self._last_active_s = now_s()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse_unreadable("no protocol but HTTP/1.1 is spoken")
+            self._reject_malformed("only HTTP/1.1 is supported")
         except httptools.HttpParserError as error:
-            if not self._ended_reading:
-                self._refuse_unreadable(str(error))
+            if not self._reading_ended:
+                self._reject_malformed(str(error))
 
-    def _refuse_unreadable(self, detail: str) -> None:
-        """Answers 400 and closes: what follows cannot be told apart.
+    def _reject_malformed(self, detail: str) -> None:
+        """Responds 400 and closes the connection.
 
-        What goes wrong without: bytes after an unreadable head are taken for
-        another request, which no caller sent.
+        The bytes after a malformed head would otherwise be parsed as a
+        request that no caller sent.
         """
         request = self._current
         if request is None or request.task is not None:
             request = IncomingRequest(connection=self)
-        if request not in self._waiting:
-            self._waiting.append(request)
+        if request not in self._pending:
+            self._pending.append(request)
         self._stop_reading(request)
         request.body.abort()
-        request.problem(
+        request.respond_with_problem(
             AlmondstairError(kind=ErrorKind.BAD_REQUEST, detail=detail)
         )
 
     def _stop_reading(self, request: IncomingRequest) -> None:
-        self._ended_reading = True
+        self._reading_ended = True
         self._current = None
         request.close_after = True
 
     # Parser callbacks.
 
     def on_message_begin(self) -> None:
-        """A request begins."""
-        if self._ended_reading:
+        """Starts a request and the timeout of its head."""
+        if self._reading_ended:
             return
         self._current = IncomingRequest(connection=self)
         self._url = b""
         self._head_bytes = 0
         loop = asyncio.get_running_loop()
         self._head_timer = loop.call_later(
-            self._limits.header_timeout_s, self._head_is_late
+            self._limits.header_timeout_s, self._close_on_head_timeout
         )
 
-    def _head_is_late(self) -> None:
-        """Closes a connection whose head does not come to an end.
+    def _close_on_head_timeout(self) -> None:
+        """Closes a connection whose request head is incomplete.
 
-        What goes wrong without: callers that stop in the middle hold
-        connections for good, until there are no descriptors left.
+        Otherwise callers that stop in the middle of a head would hold
+        connections open until the process runs out of file descriptors.
         """
-        self._ended_reading = True
+        self._reading_ended = True
         self._current = None
-        if not self._waiting:
+        if not self._pending:
             self._close_now()
 
     def on_url(self, url: bytes) -> None:
-        """Takes a piece of the target."""
+        """Appends a chunk of the request target."""
         self._url += url
-        self._count_head(len(url))
+        self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Adds a header to the current request."""
         if self._current is None:
             return
         self._current.headers.append((name.lower(), value))
-        self._count_head(len(name) + len(value) + 4)
+        self._count_head_bytes(len(name) + len(value) + 4)
 
-    def _count_head(self, size_bytes: int) -> None:
+    def _count_head_bytes(self, size_bytes: int) -> None:
         self._head_bytes += size_bytes
-        if self._current is None or self._ended_reading:
+        if self._current is None or self._reading_ended:
             return
         if self._head_bytes <= self._limits.header_bytes:
             return
         request = self._current
-        self._waiting.append(request)
+        self._pending.append(request)
         self._stop_reading(request)
-        request.problem(AlmondstairError(kind=ErrorKind.HEAD_TOO_LARGE))
+        request.respond_with_problem(
+            AlmondstairError(kind=ErrorKind.HEAD_TOO_LARGE)
+        )
 
     def on_headers_complete(self) -> None:
-        """Checks the head and starts the request."""
+        """Validates the head and queues the request."""
         if self._head_timer is not None:
             self._head_timer.cancel()
         request = self._current
@@ -239,24 +241,24 @@
         request.target = self._url.decode("latin-1")
         request.arrived_s = now_s()
         request.close_after = not self._parser.should_keep_alive()
-        self._waiting.append(request)
+        self._pending.append(request)
         try:
-            request.length = _body_length(request)
+            request.body_length = _body_length(request)
             _check_target(request, self._limits)
         except AlmondstairError as error:
             self._stop_reading(request)
             self._discard_then_close()
-            request.problem(error)
+            request.respond_with_problem(error)
             return
         if (request.header(b"expect") or b"").lower() == b"100-continue":
-            self._go_ahead(request)
+            self._send_continue(request)
 
-    def _go_ahead(self, request: IncomingRequest) -> None:
-        if request is self._waiting[0] and self._transport is not None:
+    def _send_continue(self, request: IncomingRequest) -> None:
+        if request is self._pending[0] and self._transport is not None:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+        """Adds a chunk of the body; starts a request that streams its body."""
         request = self._current
         if request is None:
             return
@@ -264,7 +266,9 @@
             self._stop_reading(request)
             request.body.abort()
             self._discard_then_close()
-            request.problem(AlmondstairError(kind=ErrorKind.BODY_TOO_LARGE))
+            request.respond_with_problem(
+                AlmondstairError(kind=ErrorKind.BODY_TOO_LARGE)
+            )
             return
         wait = request.body.put(data)
         if request.task is None and request.body.overflows():
@@ -275,18 +279,18 @@
             wait.add_done_callback(lambda _: self._resume())
 
     def on_message_complete(self) -> None:
-        """A request has been read whole."""
+        """Starts a request whose body was buffered until it was complete."""
         request = self._current
         self._current = None
         if request is None:
             return
-        request.read = True
+        request.fully_read = True
         request.body.end()
-        if request.task is None and not request.answered:
+        if request.task is None and not request.response_begun:
             self._start(request)
         if request.close_after:
-            self._ended_reading = True
-        if len(self._waiting) >= PIPELINE_LIMIT:
+            self._reading_ended = True
+        if len(self._pending) >= MAX_PIPELINED_REQUESTS:
             self._pause()
 
     def _start(self, request: IncomingRequest) -> None:
@@ -295,75 +299,75 @@
     def _pause(self) -> None:
         if self._transport is None or self._transport.is_closing():
             return
-        self._paused = True
+        self._reading_paused = True
         self._transport.pause_reading()
 
     def _resume(self) -> None:
         if self._transport is None or self._transport.is_closing():
             return
-        if self._paused:
-            self._paused = False
+        if self._reading_paused:
+            self._reading_paused = False
             self._transport.resume_reading()
 
-    # The way back.
+    # Responses.
 
-    async def room(self, request: IncomingRequest) -> None:
-        """Waits until more of an answer can be written."""
-        while self._waiting and self._waiting[0] is not request:
-            if request.caller_gone:
+    async def wait_writable(self, request: IncomingRequest) -> None:
+        """Waits until more of a response can be written."""
+        while self._pending and self._pending[0] is not request:
+            if request.caller_disconnected:
                 return
-            self._room.clear()
-            await self._room.wait()
-        await self._room.wait()
+            self._writable.clear()
+            await self._writable.wait()
+        await self._writable.wait()
 
     def flush(self) -> None:
-        """Writes what is ready, in the order of the requests."""
+        """Writes ready responses in the order of their requests."""
         if self._transport is None or self._transport.is_closing():
             return
-        while self._waiting:
-            request = self._waiting[0]
-            if request.out:
-                self._transport.write(b"".join(request.out))
-                request.out.clear()
-            if request.state is not Handled.ENDED:
+        while self._pending:
+            request = self._pending[0]
+            if request.output:
+                self._transport.write(b"".join(request.output))
+                request.output.clear()
+            if request.state is not ResponseState.ENDED:
                 return
-            self._waiting.popleft()
-            self._note_waited(
-                request, behind=self._answered_last, delivered=True
+            self._pending.popleft()
+            self._report_wait(
+                request, behind=self._last_answered, delivered=True
             )
-            self._answered_last = request
+            self._last_answered = request
             self._last_active_s = now_s()
             if request.close_after:
-                self._close_in_order(request)
+                self._close_gracefully(request)
                 return
-            if not request.read:
-                # Answered before the end of its body: the rest is dropped.
+            if not request.fully_read:
+                # The response precedes the end of the body: discard the rest.
                 request.body.abort()
-                self._ended_reading = True
+                self._reading_ended = True
                 self._discard_then_close()
                 return
-            self._room.set()
+            self._writable.set()
             self._resume()
 
-    def _note_waited(
+    def _report_wait(
         self,
         request: IncomingRequest,
         *,
         behind: IncomingRequest | None,
         delivered: bool,
     ) -> None:
-        """Tells of an answer that was ready and could not be sent.
+        """Reports a ready response that could not be sent immediately.
 
-        What goes wrong without: the log says that a request was answered in
-        time, while its caller waited for another answer of its connection.
+        Otherwise the log shows a response in time although the caller waited
+        for another response on the same connection.
         """
-        if behind is None or behind is request or not request.answered_s:
+        if behind is None or behind is request or not request.response_ready_s:
             return
-        waited_s = now_s() - request.answered_s
-        if waited_s < WAIT_TOLD_S:
+        waited_s = now_s() - request.response_ready_s
+        if waited_s < MIN_REPORTED_WAIT_S:
             return
-        self._handler.note_waited(
-            AnswerWait(
+        self._handler.record_wait(
+            ResponseWait(
                 request=request,
                 behind=behind,
                 waited_s=waited_s,
@@ -371,10 +375,10 @@
             )
         )
 
-    def _close_in_order(self, request: IncomingRequest) -> None:
+    def _close_gracefully(self, request: IncomingRequest) -> None:
         assert self._transport is not None
-        self._ended_reading = True
-        if not request.read or self._discarding:
+        self._reading_ended = True
+        if not request.fully_read or self._discarding:
             self._discard_then_close()
             return
         self._transport.close()
@@ -384,43 +388,43 @@
             return
         self._discarding = True
         loop = asyncio.get_running_loop()
-        loop.call_later(DISCARD_LIMIT_S, self._close_now)
+        loop.call_later(DISCARD_TIMEOUT_S, self._close_now)
 
     def _close_now(self) -> None:
         if self._transport is not None:
             self._transport.close()
 
-    def leave(self) -> None:
-        """Closes after the next answer, or now if nothing is under way.
+    def drain(self) -> None:
+        """Closes the connection after its next response.
 
-        A request that crosses the close was not read and is sent again by its
-        caller.
+        A request that arrives during the close is not read; its caller sends
+        it again.
         """
-        self.leaving = True
+        self.draining = True
 
-    def close_if_quiet(self) -> None:
-        """Closes the connection if no request is under way."""
-        if self.quiet and self._transport is not None:
-            self._ended_reading = True
+    def close_if_idle(self) -> None:
+        """Closes the connection if no request is in flight."""
+        if self.idle and self._transport is not None:
+            self._reading_ended = True
             self._transport.close()
 
     def abort(self) -> None:
-        """Closes at once, in the middle of an answer."""
+        """Closes immediately, even in the middle of a response."""
         if self._transport is not None:
             self._transport.abort()
 
-    def _watch_idle(self) -> None:
+    def _check_idle(self) -> None:
         loop = asyncio.get_running_loop()
         self._limits = self._handler.limits()
-        limit_s = self._limits.idle_timeout_s + IDLE_MARGIN_S
-        if self.quiet and now_s() - self._last_active_s > limit_s:
-            self.close_if_quiet()
+        limit_s = self._limits.idle_timeout_s + IDLE_TIMEOUT_MARGIN_S
+        if self.idle and now_s() - self._last_active_s > limit_s:
+            self.close_if_idle()
             return
-        self._timer = loop.call_later(limit_s / 4, self._watch_idle)
+        self._idle_timer = loop.call_later(limit_s / 4, self._check_idle)
 
 
 def _body_length(request: IncomingRequest) -> int | None:
-    """Returns the stated length of a body, None when it is chunked."""
+    """Returns the Content-Length in bytes, None when the body is chunked."""
     encoding = request.header(b"transfer-encoding")
     if encoding is not None:
         if encoding.strip().lower() != b"chunked":
@@ -436,7 +440,8 @@
 def _check_target(request: IncomingRequest, limits: CallerLimits) -> None:
     if not request.target.startswith("/"):
         raise AlmondstairError(
-            kind=ErrorKind.BAD_REQUEST, detail="the target must be a path"
+            kind=ErrorKind.BAD_REQUEST,
+            detail="the request target must be a path",
         )
     hosts = 0
     for name, _ in request.headers:
@@ -444,7 +449,11 @@
             hosts += 1
     if hosts != 1:
         raise AlmondstairError(
-            kind=ErrorKind.BAD_REQUEST, detail="Host must be given once"
+            kind=ErrorKind.BAD_REQUEST,
+            detail="the request must have exactly one Host header",
         )
-    if request.length is not None and request.length > limits.body_bytes:
+    if (
+        request.body_length is not None
+        and request.body_length > limits.body_bytes
+    ):
         raise AlmondstairError(kind=ErrorKind.BODY_TOO_LARGE)
--- a/almondstair/gateway/calls.py
+++ b/almondstair/gateway/calls.py
@@ -1,4 +1,4 @@
-"""A request under way, and what a try at an upstream came to."""
+"""Requests in flight, and the outcomes of attempts at upstreams."""
 
 import enum
 from typing import NamedTuple
@@ -8,26 +8,27 @@
 from almondstair.core.placing import Asked
 from almondstair.core.routing import Route
 from almondstair.gateway.http_wire import Headers
-from almondstair.gateway.http_wire import ReplyHead
-from almondstair.gateway.http_wire import passed_on
-from almondstair.gateway.http_wire import write_head
+from almondstair.gateway.http_wire import ResponseHead
+from almondstair.gateway.http_wire import encode_head
+from almondstair.gateway.http_wire import forwarded_headers
 from almondstair.gateway.incoming import IncomingRequest
 from almondstair.gateway.upstream_connection import Exchange
 from almondstair.platform import headers as names
 
-# Deadline where a caller states none, in seconds.
+# Deadline of requests without a Deadline-Ms header.
 DEFAULT_DEADLINE_S = 30.0
 _OWN_REQUEST_HEADERS = frozenset((names.DEADLINE, names.EXPECTED_UPSTREAM))
 _OWN_REPLY_HEADERS = frozenset((names.LOAD, names.COLD_LEFT, names.NOT_RUN))
 
 
 class Verdict(enum.StrEnum):
-    """What a try at an upstream came to.
+    """Outcome of an attempt at an upstream.
 
     Attributes:
-      ANSWERED: its answer goes to the caller.
-      NOT_RUN: it certainly did not run the request.
-      UNKNOWN: it may have run it, and there is no whole answer.
+      ANSWERED: the upstream's response goes to the caller.
+      NOT_RUN: the upstream certainly did not run the request.
+      UNKNOWN: the upstream may have run the request, and there is no usable
+        response.
     """
 
     ANSWERED = "answered"
@@ -35,13 +36,13 @@
     UNKNOWN = "unknown"
 
 
-class Try(NamedTuple):
-    """One try at an upstream.
+class Attempt(NamedTuple):
+    """Result of one attempt at an upstream.
 
     Attributes:
-      verdict: what it came to.
-      exchange: what came back.
-      cause: why there is no answer, for logs and errors.
+      verdict: its outcome.
+      exchange: result of the HTTP exchange.
+      cause: why there is no response, for logs and errors.
     """
 
     verdict: Verdict
@@ -50,27 +51,29 @@
 
 
 class Call:
-    """A request under way.
+    """A request in flight.
 
     Attributes:
       request: the caller's request.
       request_id: its id.
       route: its route.
-      service: the service that takes it.
-      deadline_s: when its caller or the operator gives up on it.
-      tried: upstreams that were asked.
-      attempts: upstreams that had it; another incarnation at an upstream's
-        address had it not.
+      service: the service that handles it.
+      deadline_s: when it times out, by the caller's deadline or the route's
+        timeout, on the entry's clock.
+      tried: ids of the upstreams that it was sent to.
+      attempts: number of upstreams that received it; another incarnation at
+        an upstream's address does not count.
       may_have_run: whether an upstream may have run it.
-      exposed: upstreams that it may have ended, as of its last choice.
-      held_back: regions that got none of it at its last choice, because
-        requests change their region step by step.
+      exposed: hashes of the upstreams that it may have crashed, as of its
+        last placement.
+      held_back: regions excluded at its last placement because traffic is
+        shifted between regions gradually.
     """
 
     def __init__(
         self, *, request: IncomingRequest, route: Route, service: str
     ) -> None:
-        """Makes a call from a request whose head has been read."""
+        """Creates a call from a request whose head has been read."""
         self.request = request
         self.route = route
         self.service = service
@@ -96,35 +99,35 @@
         return key.decode("latin-1")
 
     @property
-    def resent_key(self) -> str:
-        """Returns the key that all resends of the request have in common."""
+    def resend_key(self) -> str:
+        """Returns a key that is the same for each resend of the request."""
         if self.route.by_key and self.request.header(names.KEY) is not None:
             return self.key
         return f"{self.fingerprint():x}"
 
     @property
-    def text_id(self) -> str:
+    def log_id(self) -> str:
         """Returns the request's id for logs."""
         return self.request_id.decode("latin-1", "replace")
 
-    def asked(self) -> Asked:
-        """Returns what decides where the call goes."""
+    def placement_query(self) -> Asked:
+        """Returns the inputs of the call's placement."""
         return Asked(
             route=self.route,
             service=self.service,
-            key=self.resent_key if self.exposed else self.key,
+            key=self.resend_key if self.exposed else self.key,
             arrived_s=self.request.arrived_s,
             ends_s=self.deadline_s,
             tried=self.tried,
             exposed=self.exposed,
         )
 
-    def left_s(self) -> float:
-        """Returns the time left, in seconds."""
+    def remaining_s(self) -> float:
+        """Returns the time until the deadline, in seconds."""
         return self.deadline_s - now_s()
 
     def fingerprint(self) -> int:
-        """Returns what tells it from others whose caller sends it again."""
+        """Returns a hash of the request that is the same for each resend."""
         if self._fingerprint is None:
             body = self.request.body
             self._fingerprint = fingerprint(
@@ -135,39 +138,43 @@
         return self._fingerprint
 
     def age_ms(self) -> int:
-        """Returns how long ago it arrived, in milliseconds."""
+        """Returns the time since the request arrived, in milliseconds."""
         return round((now_s() - self.request.arrived_s) * 1000)
 
 
-def request_head(call: Call, *, upstream_id: str, chunked: bool) -> bytes:
-    """Returns the head of a call's request as an upstream gets it.
+def upstream_request_head(
+    call: Call, *, upstream_id: str, chunked: bool
+) -> bytes:
+    """Returns the encoded request head that is sent to an upstream.
 
     Args:
       call: the call.
-      upstream_id: the incarnation that it is meant for.
+      upstream_id: id of the upstream that must handle the request.
       chunked: whether the body is sent in chunks.
     """
     request = call.request
-    headers: Headers = passed_on(request.headers, without=_OWN_REQUEST_HEADERS)
-    left_ms = max(1, int(call.left_s() * 1000))
+    headers: Headers = forwarded_headers(
+        request.headers, without=_OWN_REQUEST_HEADERS
+    )
+    left_ms = max(1, int(call.remaining_s() * 1000))
     headers.append((names.DEADLINE, b"%d" % left_ms))
     headers.append((names.EXPECTED_UPSTREAM, upstream_id.encode()))
     if chunked:
         headers.append((b"transfer-encoding", b"chunked"))
-    elif request.length != 0:
-        size_bytes = request.length
+    elif request.body_length != 0:
+        size_bytes = request.body_length
         if request.body.replayable:
             size_bytes = request.body.size_bytes
         headers.append((b"content-length", b"%d" % (size_bytes or 0)))
     elif request.header(b"content-length") is not None:
         headers.append((b"content-length", b"0"))
     first_line = f"{request.method} {request.target} HTTP/1.1"
-    return write_head(first_line.encode("latin-1"), headers)
+    return encode_head(first_line.encode("latin-1"), headers)
 
 
-def reply_head(head: ReplyHead) -> ReplyHead:
-    """Returns the head of an upstream's answer as the caller gets it."""
-    return ReplyHead(
+def caller_response_head(head: ResponseHead) -> ResponseHead:
+    """Returns the response head that is sent to the caller."""
+    return ResponseHead(
         status=head.status,
-        headers=passed_on(head.headers, without=_OWN_REPLY_HEADERS),
+        headers=forwarded_headers(head.headers, without=_OWN_REPLY_HEADERS),
     )
--- a/almondstair/gateway/change_lines.py
+++ b/almondstair/gateway/change_lines.py
@@ -1,8 +1,8 @@
-"""Log lines on registrations: single ones for a few changes, one for many.
+"""Log lines on changed registrations, summarised where there are many.
 
-What goes wrong without: an entry that starts in a fleet of hundreds writes a
-line for each upstream and each entry of the first listing. The log's limit
-leaves lines out for seconds, among them those that tell why requests fail.
+Otherwise an entry that starts in a fleet of hundreds logs a line for each
+upstream and each entry of the first listing. The log's rate limit then drops
+lines for seconds, including those that explain why requests fail.
 """
 
 from collections import Counter
@@ -10,46 +10,46 @@
 
 from almondstair import log
 
-# Changes of one answer of the store, or of a peer, that have their own lines.
-SINGLE_LINES = 20
+# Changes of one batch that get a line each; later ones are only counted.
+MAX_SINGLE_LINES = 20
 
 
-class ChangeLines:
-    """Writes what changes of registrations."""
+class ChangeLog:
+    """Logs changes of registrations."""
 
     def __init__(self) -> None:
-        """Starts outside any answer."""
-        self._left = SINGLE_LINES
+        """Creates a log outside any batch."""
+        self._single_lines_left = MAX_SINGLE_LINES
         self._counts: Counter[str] = Counter()
 
     def begin(self, *, first: bool) -> None:
-        """Begins an answer.
+        """Begins a batch of changes.
 
         Args:
-          first: whether it is the first whole listing; all of it is new.
+          first: whether it is the first full listing, in which all is new.
         """
-        self._left = 0 if first else SINGLE_LINES
+        self._single_lines_left = 0 if first else MAX_SINGLE_LINES
         self._counts.clear()
 
     def write(self, what: log.Event, *, group: str, **fields: Any) -> None:
-        """Writes a line, or counts it.
+        """Logs a change, or counts it once the batch has too many.
 
         Args:
           what: the event.
-          group: what counted lines of this event are summed up by.
-          **fields: what it concerns.
+          group: group in which the change is counted.
+          **fields: fields of the log line.
         """
-        if self._left > 0:
-            self._left -= 1
+        if self._single_lines_left > 0:
+            self._single_lines_left -= 1
             log.event(what, **fields)
             return
         self._counts[f"{what.name.lower()} {group}"] += 1
 
     def end(self, *, revision: int) -> None:
-        """Ends an answer; writes one line for what was counted.
+        """Ends a batch and logs a summary of the counted changes.
 
         Args:
-          revision: the store's revision that the answer is as of.
+          revision: the store's revision of the batch.
         """
         if self._counts:
             log.event(
@@ -58,5 +58,5 @@
                 counts=dict(self._counts),
                 revision=revision,
             )
-        self._left = SINGLE_LINES
+        self._single_lines_left = MAX_SINGLE_LINES
         self._counts.clear()
--- a/almondstair/gateway/configuration_history.py
+++ b/almondstair/gateway/configuration_history.py
@@ -1,60 +1,61 @@
-"""The configurations that were in force at this entry, for operators."""
+"""History of the configurations that were in force at this entry."""
 
 from collections import deque
 from typing import NamedTuple
 import zlib
 
-# Versions that are kept, compressed: some tens of kilobytes each at 10,000
-# routes.
-KEPT_VERSIONS = 8
+# Each takes some tens of kilobytes compressed at 10,000 routes.
+MAX_VERSIONS = 8
 
 
-class KeptConfiguration(NamedTuple):
-    """A configuration as the store had it.
+class HistoricConfiguration(NamedTuple):
+    """A stored configuration that is or was in force.
 
     Attributes:
       version: its version.
-      revision: the store's revision of its writing.
-      since_s: when it came in force here, on the entry's clock.
-      packed: its text, compressed.
+      revision: the store's revision at which it was written.
+      in_force_since_s: when it came into force here, on the entry's clock.
+      compressed_text: its text, compressed.
     """
 
     version: int
     revision: int
-    since_s: float
-    packed: bytes
+    in_force_since_s: float
+    compressed_text: bytes
 
     def text(self) -> bytes:
         """Returns the text as it was stored."""
-        return zlib.decompress(self.packed)
+        return zlib.decompress(self.compressed_text)
 
 
 class ConfigurationHistory:
-    """Keeps the last configurations."""
+    """Keeps the most recent configurations for operators."""
 
     def __init__(self) -> None:
-        """Starts with none."""
-        self._kept: deque[KeptConfiguration] = deque(maxlen=KEPT_VERSIONS)
+        """Creates an empty history."""
+        self._configurations: deque[HistoricConfiguration] = deque(
+            maxlen=MAX_VERSIONS
+        )
 
-    def note(
+    def add(
         self, *, version: int, text: bytes, revision: int, now_s: float
     ) -> None:
-        """Notes a configuration that comes in force now."""
-        self._kept.append(
-            KeptConfiguration(
+        """Adds a configuration that comes into force now."""
+        self._configurations.append(
+            HistoricConfiguration(
                 version=version,
                 revision=revision,
-                since_s=now_s,
-                packed=zlib.compress(text, 1),
+                in_force_since_s=now_s,
+                compressed_text=zlib.compress(text, 1),
             )
         )
 
-    def newest_first(self) -> list[KeptConfiguration]:
-        """Returns what is kept."""
-        return list(reversed(self._kept))
+    def newest_first(self) -> list[HistoricConfiguration]:
+        """Returns the kept configurations, newest first."""
+        return list(reversed(self._configurations))
 
-    def find(self, version: int) -> KeptConfiguration | None:
-        """Returns a version; 0 stands for the one in force."""
+    def find(self, version: int) -> HistoricConfiguration | None:
+        """Returns a version, or the one in force for 0; None if not kept."""
         for kept in self.newest_first():
             if version in (0, kept.version):
                 return kept
--- a/almondstair/gateway/crash_words.py
+++ b/almondstair/gateway/crash_words.py
@@ -1,9 +1,9 @@
-"""What entries tell each other of requests that may crash upstreams.
+"""Reports between entries on requests that may crash upstreams.
 
-What goes wrong without the order kept here: a caller sends such a request again
-at once, through another entry, and gets there before the word of its end. So
-the word leaves before the caller's answer is written, and an entry reads what
-its peers have sent before it lets a request run.
+Order matters: a caller may resend such a request immediately through another
+entry and overtake the report on its first run. Reports are therefore sent
+before the response to the caller is written, and an entry reads its peers'
+pending messages before it runs a request.
 """
 
 from almondstair.clock import now_s
@@ -12,23 +12,23 @@
 from almondstair.core.crash_suspects import Strike
 from almondstair.core.upstream_state import UpstreamState
 from almondstair.gateway.load_sharing import LoadSharing
-from almondstair.gateway.peer_messages import GoneTold
-from almondstair.gateway.peer_messages import LossTold
+from almondstair.gateway.peer_messages import LostRequest
+from almondstair.gateway.peer_messages import UpstreamGone
 
 _MS_PER_S = 1000
 
 
 class CrashWords:
-    """The suspicions of one entry, told to all others as they arise."""
+    """Sends this entry's suspicions to all other entries as they arise."""
 
     def __init__(
         self, *, suspects: CrashSuspects, sharing: LoadSharing, own_name: str
     ) -> None:
-        """Makes the words of one entry.
+        """Creates the reports of one entry.
 
         Args:
-          suspects: where suspicions are kept, this entry's and others'.
-          sharing: sends to other entries, and takes what they send.
+          suspects: holds the suspicions of this entry and of its peers.
+          sharing: exchanges messages with other entries.
           own_name: name of this entry.
         """
         self._suspects = suspects
@@ -38,11 +38,11 @@
     def note_lost(
         self, request: int, upstream: UpstreamState, *, ran_s: float
     ) -> None:
-        """Notes and tells a connection that ended without an answer.
+        """Records and reports a connection that ended without a response.
 
         Args:
           request: fingerprint of the request.
-          upstream: where it ran.
+          upstream: the upstream that ran it.
           ran_s: how long it had run there, in seconds.
         """
         name = upstream.name_hash
@@ -50,34 +50,34 @@
         if self._suspects.note_lost(strike, ran_s=ran_s, now_s=now_s()):
             ran_ms = round(ran_s * _MS_PER_S)
             self._sharing.send_all(
-                LossTold(self._own_name, request, name, ran_ms)
+                LostRequest(self._own_name, request, name, ran_ms)
             )
 
     def note_gone(self, upstream: UpstreamState) -> None:
-        """Notes that an upstream is gone, and tells what was lost there."""
+        """Records a gone upstream and reports the requests lost there."""
         name = upstream.name_hash
         struck = self._suspects.note_gone(name, now_s=now_s())
         if struck:
-            self._sharing.send_all(GoneTold(self._own_name, name, struck))
+            self._sharing.send_all(UpstreamGone(self._own_name, name, struck))
 
     def note_lives(self, upstream: UpstreamState) -> None:
-        """Notes that an upstream that lost an answer is there."""
+        """Records that an upstream is alive after a lost response."""
         self._suspects.note_lives(upstream.name_hash)
 
     def note_answered(self, request: int) -> None:
-        """Notes a whole answer to a request."""
+        """Records a complete response to a request."""
         self._suspects.note_answered(request)
 
     def standing(self, request: int) -> Standing:
-        """Returns what may be done with a request, by all that was told."""
+        """Returns a request's standing after reading pending reports."""
         self._sharing.read_waiting()
         return self._suspects.standing(request, now_s=now_s())
 
     def exposed(self, request: int) -> frozenset[int]:
-        """Returns the upstreams that a request may have ended."""
+        """Returns hashes of the upstreams that a request may have crashed."""
         return self._suspects.exposed(request, now_s=now_s())
 
     def exposed_now(self, request: int) -> frozenset[int]:
-        """Returns the upstreams that a request may have ended, as told."""
+        """Returns the same as `exposed` after reading pending reports."""
         self._sharing.read_waiting()
         return self.exposed(request)
--- a/almondstair/gateway/daemon.py
+++ b/almondstair/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""almondstair-gateway: the daemon of an entry VM on the users' platform."""
+"""almondstair-gateway: the daemon of an entry VM on the platform."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -28,55 +28,55 @@
 from almondstair.gateway.forwarding import Forwarder
 from almondstair.gateway.load_sharing import LoadSharing
 from almondstair.gateway.measures import Measures
-from almondstair.gateway.overview import Overview
+from almondstair.gateway.overview import StatusReport
 from almondstair.gateway.pages import LOOKUP_TTL_S
+from almondstair.gateway.pages import PageData
 from almondstair.gateway.pages import Pages
-from almondstair.gateway.pages import PageSource
 from almondstair.gateway.reaching import Reaching
 from almondstair.gateway.registering import Registration
-from almondstair.gateway.settings_watch import SettingsWatch
-from almondstair.gateway.tries import Tries
+from almondstair.gateway.settings_watch import SettingsWatcher
+from almondstair.gateway.tries import UpstreamSender
 from almondstair.gateway.upstream_pool import UpstreamPool
 from almondstair.platform import boot
 from almondstair.platform import documents
 from almondstair.platform import headers
 from almondstair.platform.kv import KvClient
 
-# Objects made between two looks of the garbage collector at young ones; its
-# default of 700 is reached every few requests.
-OBJECTS_PER_COLLECTION = 20_000
+# Allocations between two collections of the youngest generation; the default
+# of 700 is reached every few requests.
+GC_THRESHOLD_OBJECTS = 20_000
 ACCEPT_BACKLOG = 512
-# How long before the platform's SIGKILL a leaving process has to be gone.
+# A stopping process ends this long before the platform's SIGKILL.
 STOP_MARGIN_S = 0.5
-# Part of the time for a stop in which requests are still taken.
-SERVED_SHARE = 0.5
-# Port for metrics and status, on the VM's own address; see deploy/system.toml.
+# Share of the stop time in which requests are still accepted.
+ACCEPTING_SHARE = 0.5
+# Port of metrics and status on the VM's own address; see deploy/system.toml.
 OPERATOR_PORT = "9464"
 # Overrides the port where several gateways share a VM.
 OPERATOR_PORT_VARIABLE = "ALMONDSTAIR_OPERATOR_PORT"
-# How often waiting log lines are tried again.
-LOG_INTERVAL_S = 0.5
-# Pause before upkeep that failed begins anew.
-UPKEEP_PAUSE_S = 0.5
-# How often a leaving process looks whether it is done.
-STOP_POLL_S = 0.05
-# Callers keep a look-up for its time, some three times as long.
-LOOKUP_KEPT_TIMES = 1.5
+# How often buffered log lines are written again.
+LOG_FLUSH_INTERVAL_S = 0.5
+# Pause before a failed background task is restarted.
+TASK_RESTART_PAUSE_S = 0.5
+# How often a stopping process checks whether it can end.
+STOP_POLL_INTERVAL_S = 0.05
+# Callers keep a lookup for its TTL, and some of them for three times as long.
+LOOKUP_LIFETIME_FACTOR = 1.5
 
 
-class Gateway(PageSource):
-    """Everything that one entry runs."""
+class Gateway(PageData):
+    """Runs all parts of one entry."""
 
     def __init__(self, *, settings: boot.BootSettings, path: str) -> None:
-        """Makes the parts; nothing listens yet.
+        """Creates the parts without listening.
 
         Args:
-          settings: what the process was told at its start.
-          path: the file they came from, which may change.
+          settings: the settings at the start of the process.
+          path: their file, which is watched for changes.
         """
         self._settings = settings
-        self._settings_watch = SettingsWatch(
-            path=path, settings=settings, take=self._take_settings
+        self._settings_watch = SettingsWatcher(
+            path=path, settings=settings, apply=self._apply_settings
         )
         self._fleet = Fleet(
             own_name=settings.entry_name,
@@ -93,12 +93,12 @@
             own_zone=settings.availability_zone,
             seeds=_other_seeds(settings),
         )
-        self._look_ups = LookUps()
+        self._lookups = LookUps()
         self._entries_version = -1
-        self._measures = Measures()
+        self._metrics = Measures()
         self._places = KnownPlaces()
         suspects = CrashSuspects()
-        self._sharing = LoadSharing(
+        self._load_exchange = LoadSharing(
             fleet=self._fleet,
             pool=self._pool,
             suspects=suspects,
@@ -107,20 +107,20 @@
             own_zone=settings.availability_zone,
             link_mbps=settings.means.link_mbps,
         )
-        self._suspects = CrashWords(
+        self._crash_reports = CrashWords(
             suspects=suspects,
-            sharing=self._sharing,
+            sharing=self._load_exchange,
             own_name=settings.entry_name,
         )
-        self._make_forwarding()
-        self._registration = self._make_registration()
-        self._overview = Overview(
+        self._create_forwarder()
+        self._registration = self._create_registration()
+        self._overview = StatusReport(
             entry_name=settings.entry_name,
             fleet=self._fleet,
             pool=self._pool,
             client=self._client,
             follower=self._follower,
-            measures=self._measures,
+            measures=self._metrics,
             running=self._forwarder.running,
         )
         self._pages = Pages(source=self)
@@ -129,10 +129,10 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._leaving = False
 
-    def _make_forwarding(self) -> None:
+    def _create_forwarder(self) -> None:
         settings = self._settings
         bounds = settings.bounds
-        self._second_tries = SecondTries(
+        self._retry_budget = SecondTries(
             ratio=bounds.retry_ratio,
             slack=bounds.retry_slack,
             window_s=bounds.retry_window_s,
@@ -145,10 +145,10 @@
             over=bounds.cold_over,
             slack=bounds.cold_slack,
         )
-        self._reaching = Reaching(
+        self._connector = Reaching(
             fleet=self._fleet,
             pool=self._pool,
-            suspects=self._suspects,
+            suspects=self._crash_reports,
             own_region=settings.region,
             regions=settings.zones.values(),
         )
@@ -158,27 +158,27 @@
             places=self._places,
             region_shares=self._region_shares,
             cold_starts=self._cold_starts,
-            round_trips_s=self._reaching.round_trips_s,
+            round_trips_s=self._connector.round_trips_s,
         )
-        tries = Tries(
+        tries = UpstreamSender(
             fleet=self._fleet,
             pool=self._pool,
             cold_starts=self._cold_starts,
-            suspects=self._suspects,
-            measures=self._measures,
-            reaching=self._reaching,
+            crash_reports=self._crash_reports,
+            measures=self._metrics,
+            connector=self._connector,
             placing=placing,
         )
         self._forwarder = Forwarder(
             fleet=self._fleet,
-            tries=tries,
+            sender=tries,
             placing=placing,
-            second_tries=self._second_tries,
-            suspects=self._suspects,
-            measures=self._measures,
+            retry_budget=self._retry_budget,
+            crash_reports=self._crash_reports,
+            measures=self._metrics,
         )
 
-    def _make_registration(self) -> Registration:
+    def _create_registration(self) -> Registration:
         settings = self._settings
         return Registration(
             client=self._client,
@@ -199,46 +199,46 @@
     # Pages.
 
     def is_ready(self) -> bool:
-        """Whether the entry takes new callers."""
+        """Returns whether the entry accepts new callers."""
         return self._fleet.ready and not self._leaving
 
     def addresses(self, *, region: str, caller: str) -> list[str]:
-        """Returns entries for a caller of a region."""
+        """Returns addresses of entries for a caller of a region."""
         if self._entries_version != self._fleet.entries_version:
             self._entries_version = self._fleet.entries_version
-            self._look_ups.take_entries(self._fleet.entries.values())
-        found = self._look_ups.named(region=region, caller=caller)
+            self._lookups.take_entries(self._fleet.entries.values())
+        found = self._lookups.named(region=region, caller=caller)
         if not found and not self._leaving:
             found = [self._settings.listen.callers]
         return found
 
     def lookup_ttl_s(self) -> float:
-        """Returns how long callers may keep a look-up, in seconds."""
+        """Returns how long callers may cache a lookup, in seconds."""
         return min(LOOKUP_TTL_S, self._settings.bounds.lookup_ttl_s)
 
-    def changes(self, *, source: str, after: int) -> bytes:
-        """Returns what another entry lacks of this one's picture."""
+    def mirror_changes(self, *, source: str, after: int) -> bytes:
+        """Returns the encoded store changes that another entry lacks."""
         page = self._follower.mirror_page(source=source, after=after)
         return msgspec.msgpack.encode(page)
 
     def metrics(self) -> bytes:
-        """Returns the metrics, with the gauges as of now."""
+        """Returns the metrics with up-to-date gauges."""
         return self._overview.metrics()
 
     def status(self) -> dict[str, object]:
-        """Returns what this entry believes, with the age of each figure."""
+        """Returns this entry's view of the fleet, with the age of its data."""
         return self._overview.status(
             ready=self.is_ready(), leaving=self._leaving
         )
 
     def configuration(self, *, version: int) -> dict[str, object] | None:
-        """Returns a configuration that was in force; 0 for the one that is."""
+        """Returns a past configuration, or the one in force for 0."""
         return self._overview.configuration(version=version)
 
-    # Life.
+    # Lifecycle.
 
     async def start(self) -> None:
-        """Listens on every address and starts to follow the store."""
+        """Listens on every address and starts the background tasks."""
         listen = self._settings.listen
         peers = f"{self._settings.ip}:{self._settings.peer_ports[0]}"
         self._pages.serve_peers(peers)
@@ -251,47 +251,49 @@
         ip, _, port = listen.callers.rpartition(":")
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            self._accept, ip, int(port), backlog=ACCEPT_BACKLOG
+            self._create_connection, ip, int(port), backlog=ACCEPT_BACKLOG
         )
-        await self._sharing.listen(
+        await self._load_exchange.listen(
             ip=self._settings.ip, port=self._settings.peer_ports[0]
         )
-        # Last: who gets an answer here may count on every other address.
-        # Opened first, on a busy VM it answered 0.1 s before callers could
-        # connect.
+        # Opened last: a response here promises that every other address
+        # listens. Opened first, it responded up to 0.1 s too early on a busy
+        # VM.
         self._pages.serve_ready(listen.ready)
-        self._spawn("log", _tend_log)
-        self._spawn("settings", self._settings_watch.run)
-        self._spawn("loads", self._sharing.run)
-        self._spawn("store", self._follower.run)
-        self._spawn("lapses", self._follower.expire)
-        self._spawn("registration", self._registration.run)
+        self._start_task("log", _flush_log)
+        self._start_task("settings", self._settings_watch.run)
+        self._start_task("loads", self._load_exchange.run)
+        self._start_task("store", self._follower.run)
+        self._start_task("lapses", self._follower.expire)
+        self._start_task("registration", self._registration.run)
         log.event(
             log.Event.GATEWAY_STARTED,
             entry=self._settings.entry_name,
             availability_zone=self._settings.availability_zone,
         )
 
-    def _spawn(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
-        self._tasks[name] = asyncio.ensure_future(_keep_going(name, work))
+    def _start_task(
+        self, name: str, work: Callable[[], Awaitable[None]]
+    ) -> None:
+        self._tasks[name] = asyncio.ensure_future(_run_forever(name, work))
 
-    def _accept(self) -> CallerConnection:
+    def _create_connection(self) -> CallerConnection:
         connection = CallerConnection(
             handler=self._forwarder, connections=self._connections
         )
         if self._leaving:
-            connection.leave()
+            connection.drain()
         return connection
 
     def reload(self) -> None:
-        """Reads the settings file again; addresses need a restart."""
+        """Reloads the settings file; changed addresses need a restart."""
         self._settings_watch.reload()
 
-    def _take_settings(self, settings: boot.BootSettings) -> None:
+    def _apply_settings(self, settings: boot.BootSettings) -> None:
         before = self._settings
         self._settings = settings
         bounds = settings.bounds
-        self._second_tries.set_bounds(
+        self._retry_budget.set_bounds(
             ratio=bounds.retry_ratio,
             slack=bounds.retry_slack,
             window_s=bounds.retry_window_s,
@@ -302,18 +304,18 @@
         )
         if settings.zones != before.zones:
             self._fleet.take_zones(settings.zones)
-            self._reaching.know_regions(settings.zones.values())
+            self._connector.know_regions(settings.zones.values())
         if settings.seeds != before.seeds:
-            self._follower.take_seeds(_other_seeds(settings))
+            self._follower.set_seeds(_other_seeds(settings))
         if settings.store.address != before.store.address:
             self._client.move(settings.store.address)
-            self._follower.list_anew()
+            self._follower.reset_revision()
 
     async def stop(self) -> None:
-        """Leaves without cutting off a request.
+        """Stops without interrupting requests.
 
-        Look-ups stop naming this entry at once; it serves on while callers
-        may still keep an older look-up, and as long as requests run.
+        Lookups omit this entry immediately. It keeps serving while callers may
+        still use a cached lookup and while requests are in flight.
         """
         began_s = now_s()
         self._leaving = True
@@ -321,32 +323,32 @@
             log.Event.GATEWAY_LEAVING, running=len(self._forwarder.running)
         )
         for connection in list(self._connections):
-            connection.leave()
+            connection.drain()
         self._tasks["registration"].cancel()
         await self._registration.end()
-        await self._serve_out(began_s)
+        await self._drain(began_s)
         await self._close()
         log.event(log.Event.GATEWAY_STOPPED, cut=len(self._forwarder.running))
 
-    async def _serve_out(self, began_s: float) -> None:
-        """Serves while callers keep look-ups, then ends what is open.
+    async def _drain(self, began_s: float) -> None:
+        """Serves while callers use cached lookups, then closes connections.
 
-        What goes wrong without the refusals: callers use their connections
-        until they are closed, and a request that comes shortly before the end
-        is cut. It is refused with a time to come back instead.
+        Callers use a connection until it is closed, and a request that arrives
+        shortly before the end would be interrupted. Towards the end, requests
+        are therefore rejected with a Retry-After.
         """
         stop_s = self._settings.bounds.stop_s
-        kept_s = self.lookup_ttl_s() * LOOKUP_KEPT_TIMES
-        refuse_s = began_s + min(kept_s, SERVED_SHARE * stop_s)
+        kept_s = self.lookup_ttl_s() * LOOKUP_LIFETIME_FACTOR
+        refuse_s = began_s + min(kept_s, ACCEPTING_SHARE * stop_s)
         while now_s() < began_s + stop_s - STOP_MARGIN_S:
-            await asyncio.sleep(STOP_POLL_S)
+            await asyncio.sleep(STOP_POLL_INTERVAL_S)
             if now_s() < refuse_s:
                 continue
             if not self._forwarder.refusing:
                 self._forwarder.refusing = True
                 self._stop_listening()
             for connection in list(self._connections):
-                connection.close_if_quiet()
+                connection.close_if_idle()
             if not self._connections:
                 return
 
@@ -359,7 +361,7 @@
         self._pages.stop()
         for task in self._tasks.values():
             task.cancel()
-        self._reaching.close()
+        self._connector.close()
         self._pool.close()
         self._client.close()
 
@@ -369,12 +371,12 @@
     return [seed for seed in settings.seeds if seed != own]
 
 
-async def _keep_going(name: str, work: Callable[[], Awaitable[None]]) -> None:
-    """Does upkeep that must not end, and begins it anew when it fails.
+async def _run_forever(name: str, work: Callable[[], Awaitable[None]]) -> None:
+    """Runs a background task and restarts it whenever it fails or ends.
 
-    What goes wrong without: one message that nobody foresaw ends the upkeep,
-    and the entry serves on from a picture that grows old; or it ends the
-    process, at the same moment on every VM.
+    Otherwise a single unexpected message would end the task, and the entry
+    would serve from an increasingly outdated view of the fleet; or it would end
+    the process, on every VM at the same moment.
     """
     while True:
         try:
@@ -383,13 +385,13 @@
             log.event(
                 log.Event.ROUND_FAILED, error=error, detail=f"upkeep: {name}"
             )
-        await asyncio.sleep(UPKEEP_PAUSE_S)
+        await asyncio.sleep(TASK_RESTART_PAUSE_S)
 
 
-async def _tend_log() -> None:
-    """Writes on what a slow reader of the log left waiting."""
+async def _flush_log() -> None:
+    """Flushes buffered log lines and logs how many lines were dropped."""
     while True:
-        await asyncio.sleep(LOG_INTERVAL_S)
+        await asyncio.sleep(LOG_FLUSH_INTERVAL_S)
         untold = log.take_untold()
         if untold:
             log.event(log.Event.LINES_LEFT_OUT, lines=untold)
@@ -405,13 +407,13 @@
     await gateway.start()
     gc.collect()
     gc.freeze()
-    gc.set_threshold(OBJECTS_PER_COLLECTION)
+    gc.set_threshold(GC_THRESHOLD_OBJECTS)
     await stopping.wait()
     await gateway.stop()
 
 
 def main() -> None:
-    """Reads the settings and serves until SIGTERM."""
+    """Loads the settings and serves until SIGTERM or SIGINT."""
     log.setup_output(level="INFO")
     try:
         path = os.environ.get(boot.PATH_VARIABLE, "")
--- a/almondstair/gateway/following.py
+++ b/almondstair/gateway/following.py
@@ -1,4 +1,4 @@
-"""Keeps the fleet's picture in step with the platform's store."""
+"""Keeps the view of the fleet up to date with the platform's store."""
 
 import asyncio
 from collections.abc import Sequence
@@ -23,38 +23,37 @@
 from almondstair.platform.kv import Item
 from almondstair.platform.kv import KvClient
 
-# How often changes are fetched. Each call to the store costs, and upstreams
-# write all the time, so a waiting watch would return for every one of their
-# beats; the tightest bound, 2 s from an upstream's leaving, leaves room for one
-# lost call.
-POLL_S = 0.6
-# Pause after a round in which no source answered.
+# How often changes are fetched. Calls to the store are expensive, and a
+# blocking watch would return at each heartbeat of an upstream. The tightest
+# bound, 2 s from an upstream's leaving, allows for one lost call.
+POLL_INTERVAL_S = 0.6
+# Pause after a poll in which no source responded.
 FIRST_BACKOFF_S = 0.2
-LONGEST_BACKOFF_S = 0.6
-# Entries of each zone that ask the store; the others ask it, and go to the
-# store themselves when it does not answer or its word is old.
+MAX_BACKOFF_S = 0.6
+# Entries of each zone that poll the store. The others poll these entries, and
+# the store itself when they do not respond or their data is old.
 STORE_READERS = 1
-# How long a store that failed is asked last. It turns entries away for seconds,
-# and each wait for an answer that does not come takes 1 s.
-STORE_REST_S = 2.0
-# A peer's word that is older than this is no better than the own picture.
-STALE_S = 1.5
-# Peers of other zones that are asked when the store turns this entry away.
-FAR_PEERS = 2
-# Part of the upstreams that must have written to the store during a silence
-# for it to have been this entry's own; after the store's return they do so one
-# by one.
-WRITERS_SHARE = 0.6
-# How often the grace of lapsed registrations is looked at.
-EXPIRY_S = 0.25
+# How long a store that failed is polled after all other sources. It rejects
+# entries for seconds at a time, and each call without a response takes 1 s.
+STORE_COOLDOWN_S = 2.0
+# A peer's data that is older than this is no better than the entry's own.
+MAX_PEER_AGE_S = 1.5
+# Peers of other zones that are polled when the store rejects this entry.
+REMOTE_PEERS = 2
+# Share of the upstreams that must have written to the store during an outage
+# for it to have concerned this entry only. After an outage of the store itself,
+# they resume writing one by one.
+MIN_WRITERS_SHARE = 0.6
+# How often the grace periods of lapsed registrations are checked.
+EXPIRY_INTERVAL_S = 0.25
 
 
 class Follower:
-    """Learns from the store or from peers what has changed.
+    """Polls the store or peers for changes and applies them.
 
     Attributes:
-      heard_at_s: as of when the picture is, on the entry's clock.
-      revision: the store's revision that the picture is as of.
+      as_of_s: time that the view of the fleet reflects, on the entry's clock.
+      revision: the store's revision that the view reflects.
       history: the configurations that were in force.
     """
 
@@ -68,15 +67,15 @@
         own_zone: str,
         seeds: Sequence[str],
     ) -> None:
-        """Makes a follower that writes to `fleet`.
+        """Creates a follower that updates `fleet`.
 
         Args:
-          client: the store.
-          fleet: the picture to keep.
+          client: client of the store.
+          fleet: the view to update.
           pool: connections to upstreams; those of gone ones are closed.
           own_name: name of this entry.
           own_zone: its availability zone.
-          seeds: addresses of entries to ask while none is known.
+          seeds: addresses of entries to poll while none is known.
         """
         self._store = StoreSource(client=client)
         self._fleet = fleet
@@ -85,54 +84,56 @@
         self._mirror = Mirror()
         self.history = ConfigurationHistory()
         self._seeds: list[PeerSource] = []
-        self.take_seeds(seeds)
+        self.set_seeds(seeds)
         self._peers: dict[str, PeerSource] = {}
-        self._down = False
-        self._store_rest_until_s = 0.0
+        self._store_lost = False
+        self._store_cooldown_until_s = 0.0
         self._registrations = Registrations(
             fleet=fleet, pool=pool, mirror=self._mirror
         )
         self.heard_at_s = 0.0
         self.revision = 0
 
-    def take_seeds(self, seeds: Sequence[str]) -> None:
-        """Takes the addresses of entries to ask while none is known."""
+    def set_seeds(self, seeds: Sequence[str]) -> None:
+        """Sets the addresses of entries to poll while none is known."""
         for source in self._seeds:
             source.close()
         self._seeds = [PeerSource(address=seed) for seed in seeds]
 
-    def list_anew(self) -> None:
-        """The store is another one: its revisions count from elsewhere."""
+    def reset_revision(self) -> None:
+        """Forgets the revisions of a store that was replaced by another."""
         self.revision = 0
-        self._registrations.count_anew()
+        self._registrations.reset_revisions()
 
     async def run(self) -> None:
-        """Follows until it is cancelled."""
+        """Polls until it is cancelled."""
         backoff_s = FIRST_BACKOFF_S
         while True:
             if await self._round():
                 backoff_s = FIRST_BACKOFF_S
-                await asyncio.sleep(POLL_S * (0.9 + 0.2 * random.random()))
+                await asyncio.sleep(
+                    POLL_INTERVAL_S * (0.9 + 0.2 * random.random())
+                )
                 continue
             await asyncio.sleep(backoff_s * (0.5 + random.random()))
-            backoff_s = min(LONGEST_BACKOFF_S, 2 * backoff_s)
+            backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
 
     async def expire(self) -> None:
-        """Ends the grace of lapsed registrations until it is cancelled."""
+        """Removes registrations after their grace period until cancelled."""
         while True:
-            await asyncio.sleep(EXPIRY_S)
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
             lapsed = self._fleet.expire(now_s=now_s())
-            self._registrations.lines.begin(first=False)
+            self._registrations.change_log.begin(first=False)
             for record in lapsed.upstreams:
                 self._registrations.upstream_gone(
                     record, revision=self.revision
                 )
             for name in lapsed.entries:
-                self._entry_gone(name)
-            self._registrations.lines.end(revision=self.revision)
+                self._forget_entry(name)
+            self._registrations.change_log.end(revision=self.revision)
 
     def mirror_page(self, *, source: str, after: int) -> MirrorPage:
-        """Returns what another entry lacks of this one's picture."""
+        """Returns the store changes that another entry lacks."""
         return self._mirror.page(
             source=source,
             after=after,
@@ -140,10 +141,10 @@
             age_s=now_s() - self.heard_at_s,
         )
 
-    # Where to ask.
+    # Polling.
 
     async def _round(self) -> bool:
-        """Asks the sources in turn; returns whether one answered."""
+        """Polls the sources in turn; returns whether one gave fresh data."""
         failure: AlmondstairError | None = None
         for source in self._sources():
             try:
@@ -151,51 +152,52 @@
             except AlmondstairError as error:
                 failure = failure or error
                 if source is self._store:
-                    self._store_rest_until_s = now_s() + STORE_REST_S
+                    self._store_cooldown_until_s = now_s() + STORE_COOLDOWN_S
                 continue
-            # One that knows nothing yet relies on an old word too.
-            fresh = batch.age_s <= STALE_S or not self._fleet.ready
+            # An entry without any data accepts old data too.
+            fresh = batch.age_s <= MAX_PEER_AGE_S or not self._fleet.ready
             self._take(batch, fresh=fresh)
             if fresh:
                 return True
-        self._note_down(failure)
+        self._record_loss(failure)
         return False
 
     def _sources(self) -> list[Source]:
-        """Returns where to ask, best first.
+        """Returns the sources to poll, best first.
 
-        A store that has just failed comes last. What goes wrong without: one
-        that leaves a reader without answer is waited for in each round, the
-        reader's word grows too old for its zone meanwhile, and the zone has a
-        configuration after 4 s.
+        A store that has just failed comes last. Otherwise each poll of a reader
+        would wait for an unresponsive store, the reader's data would become too
+        old for its zone, and a configuration would take 4 s to reach the zone.
 
-        What goes wrong without peers: the store turns some entries away for
-        seconds while it serves the operator, and those run an old
-        configuration and send to upstreams that have left.
+        Peers are needed because the store rejects some entries for seconds
+        while it serves the operator; those would use an old configuration and
+        send to upstreams that have left.
         """
         if not self._fleet.entries:
-            # Just started: where the store is away, others still know.
+            # Just started: seeds have the data even if the store is down.
             return [self._store, *self._seeds]
         readers = self._readers(self._own_zone)
         own = [entry for entry in readers if entry.name != self._own_name]
         peers: list[Source] = [self._peer(entry) for entry in own]
-        if now_s() < self._store_rest_until_s:
-            return [*peers, *self._far_peers(), self._store]
+        if now_s() < self._store_cooldown_until_s:
+            return [*peers, *self._remote_peers(), self._store]
         if len(own) < len(readers) or not readers:
-            return [self._store, *peers, *self._far_peers()]
-        return [*peers, self._store, *self._far_peers()]
+            return [self._store, *peers, *self._remote_peers()]
+        return [*peers, self._store, *self._remote_peers()]
 
     def _readers(self, zone: str) -> list[Entry]:
         candidates = zone_roles.in_turn(self._fleet.entries.values(), zone=zone)
         return candidates[:STORE_READERS]
 
-    def _far_peers(self) -> list[Source]:
+    def _remote_peers(self) -> list[Source]:
         zones = {
             entry.availability_zone for entry in self._fleet.entries.values()
         }
         zones.discard(self._own_zone)
         found: list[Source] = []
-        for zone in random.sample(sorted(zones), k=min(FAR_PEERS, len(zones))):
+        for zone in random.sample(
+            sorted(zones), k=min(REMOTE_PEERS, len(zones))
+        ):
             reader = random.choice(self._readers(zone))
             found.append(self._peer(reader))
         return found
@@ -207,25 +209,29 @@
             self._peers[entry.name] = peer
         return peer
 
-    def _note_down(self, error: AlmondstairError | None) -> None:
+    def _record_loss(self, error: AlmondstairError | None) -> None:
         self._fleet.note_trouble(now_s=now_s())
-        if self._down:
+        if self._store_lost:
             return
-        self._down = True
+        self._store_lost = True
         log.event(
             log.Event.STORE_LOST,
-            detail=error.detail if error else "every peer's word is old",
+            detail=error.detail if error else "the data of every peer is old",
             revision=self.revision,
             age_s=round(now_s() - self.heard_at_s, 2),
         )
 
-    def _note_up(self, batch: Batch) -> None:
-        """Judges from what was written whether the store was away for all."""
-        if not self._down:
+    def _record_return(self, batch: Batch) -> None:
+        """Ends an outage, and decides whether others could use the store.
+
+        Args:
+          batch: the first fresh data after the outage.
+        """
+        if not self._store_lost:
             return
-        self._down = False
+        self._store_lost = False
         now = now_s()
-        written_to = not batch.from_store or self._written_to(batch.items)
+        written_to = not batch.from_store or self._others_wrote(batch.items)
         self._fleet.note_return(written_to=written_to, now_s=now)
         log.event(
             log.Event.STORE_BACK,
@@ -235,36 +241,35 @@
             from_store=batch.from_store,
         )
 
-    def _written_to(self, items: list[Item]) -> bool:
+    def _others_wrote(self, items: list[Item]) -> bool:
         writers = set()
         for item in items:
             if item.value is None or item.revision <= self.revision:
                 continue
             if item.key.startswith(documents.UPSTREAM_PREFIX):
                 writers.add(item.key)
-        least = WRITERS_SHARE * self._fleet.upstream_count()
+        least = MIN_WRITERS_SHARE * self._fleet.upstream_count()
         return len(writers) >= max(1.0, least)
 
-    # What was learned.
+    # Applying changes.
 
     def _take(self, batch: Batch, *, fresh: bool) -> None:
-        """Takes what a source gave, which is newer than what is known.
+        """Applies a batch, which is newer than the current view.
 
-        An old word is taken as well, and the next source asked. What goes
-        wrong where it is dropped: the source counts it as told, and tells only
-        what changes later, so a configuration or a leaving in it is not heard
-        of again.
+        Old data is applied as well before the next source is polled. The source
+        regards it as delivered and sends only later changes, so a configuration
+        or a leaving upstream in a discarded batch would be missed for good.
 
         Args:
-          batch: what it gave.
-          fresh: whether it shows how the store is now.
+          batch: the data of a source.
+          fresh: whether it reflects the current state of the store.
         """
         if fresh:
-            self._note_up(batch)
-        lines = self._registrations.lines
+            self._record_return(batch)
+        lines = self._registrations.change_log
         lines.begin(first=batch.listing and not self._fleet.upstream_count())
         for item in batch.items:
-            self._apply(item)
+            self._apply_item(item)
         if batch.listing:
             keys = {item.key for item in batch.items}
             self._drop_unlisted(keys, batch.revision)
@@ -285,23 +290,23 @@
         for zone in list(self._fleet.evacuated):
             key = documents.EVACUATION_PREFIX + zone
             if key not in keys:
-                self._take_evacuation(Item(key, None, revision))
+                self._apply_evacuation(Item(key, None, revision))
         for name in list(self._fleet.entries):
             key = documents.ENTRY_PREFIX + name
             if key not in keys:
-                self._take_entry(Item(key, None, revision))
+                self._apply_entry(Item(key, None, revision))
 
-    def _apply(self, item: Item) -> None:
+    def _apply_item(self, item: Item) -> None:
         if item.key == documents.CONFIGURATION_KEY:
-            self._take_configuration(item)
+            self._apply_configuration(item)
         elif item.key.startswith(documents.UPSTREAM_PREFIX):
-            self._registrations.take_upstream(item)
+            self._registrations.apply_upstream(item)
         elif item.key.startswith(documents.EVACUATION_PREFIX):
-            self._take_evacuation(item)
+            self._apply_evacuation(item)
         elif item.key.startswith(documents.ENTRY_PREFIX):
-            self._take_entry(item)
+            self._apply_entry(item)
 
-    def _take_configuration(self, item: Item) -> None:
+    def _apply_configuration(self, item: Item) -> None:
         if item.value is None:
             return
         try:
@@ -310,7 +315,7 @@
             log.event(log.Event.CONFIGURATION_BAD, detail=error.detail)
             return
         if self._fleet.take_configuration(configuration):
-            self.history.note(
+            self.history.add(
                 version=configuration.version,
                 text=item.value,
                 revision=item.revision,
@@ -324,7 +329,7 @@
                 routes=len(configuration.routes),
             )
 
-    def _take_evacuation(self, item: Item) -> None:
+    def _apply_evacuation(self, item: Item) -> None:
         zone = item.key.removeprefix(documents.EVACUATION_PREFIX)
         if item.value is None:
             changed = self._fleet.take_back(zone, now_s=now_s())
@@ -340,20 +345,20 @@
                 revision=item.revision,
             )
 
-    def _take_entry(self, item: Item) -> None:
+    def _apply_entry(self, item: Item) -> None:
         name = item.key.removeprefix(documents.ENTRY_PREFIX)
         if item.value is None:
             if self._fleet.drop_entry(name, now_s=now_s()):
-                self._entry_gone(name)
+                self._forget_entry(name)
             return
-        self._registrations.take_entry(item)
+        self._registrations.apply_entry(item)
 
-    def _entry_gone(self, name: str) -> None:
+    def _forget_entry(self, name: str) -> None:
         self._mirror.remove(documents.ENTRY_PREFIX + name, self.revision)
         peer = self._peers.pop(name, None)
         if peer is not None:
             peer.close()
-        self._registrations.lines.write(
+        self._registrations.change_log.write(
             log.Event.ENTRY_CHANGED,
             group="gone",
             entry=name,
--- a/almondstair/gateway/http_calls.py
+++ b/almondstair/gateway/http_calls.py
@@ -1,4 +1,4 @@
-"""Small HTTP calls to the store and to other entries, over kept connections."""
+"""HTTP client of the store and of other entries, with keep-alive."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,25 +6,25 @@
 from almondstair.gateway.upstream_connection import ExchangeEnd
 from almondstair.gateway.upstream_pool import UpstreamPool
 
-# A round trip to the farthest region is 0.11 s. After a partition the first
-# packet of a connection is sent again only after a second; a new try is faster.
+# A round trip to the farthest region takes 0.11 s. A lost SYN packet is resent
+# only after 1 s, so after a partition a new attempt is faster.
 CONNECT_TIMEOUT_S = 0.4
-# Longest time for a whole answer. The largest value of the store, 1 MB, takes
-# 1.7 s over a link of 5 Mbit/s that carries nothing else.
-LONGEST_CALL_S = 8.0
-_POOL_NAME = "calls"
+# Timeout of a complete response. The store's largest value, 1 MB, takes 1.7 s
+# over an otherwise idle link of 5 Mbit/s.
+MAX_CALL_S = 8.0
+_POOL_KEY = "calls"
 
 
 class HttpCaller:
-    """Calls one address."""
+    """Sends requests to one address."""
 
     def __init__(self, *, address: str) -> None:
-        """Makes a caller of `ip:port`."""
+        """Creates a client of `ip:port`."""
         self.address = address
         self._pool = UpstreamPool(id_header=b"")
 
     def close(self) -> None:
-        """Closes the connections."""
+        """Closes all connections."""
         self._pool.close()
 
     async def call(
@@ -35,12 +35,11 @@
         body: bytes = b"",
         timeout_s: float,
     ) -> tuple[int, bytes]:
-        """Sends one request and returns the answer's status and body.
+        """Sends one request and returns the response's status and body.
 
-        The time begins anew with each piece of the answer. What goes wrong
-        with one time for the whole: a large configuration takes longer than
-        that over a small VM's link, each try is given up halfway, and the VM
-        never has it.
+        The timeout restarts with each chunk of the response. With one timeout
+        for the whole response, a large configuration would never reach a VM
+        whose link needs longer, because each attempt would be abandoned.
 
         Args:
           method: the method.
@@ -49,7 +48,7 @@
           timeout_s: how long the other side may be silent, in seconds.
 
         Raises:
-          OSError: no whole answer, or none in time.
+          OSError: the response is incomplete or late.
         """
         head = (
             f"{method} {path} HTTP/1.1\r\nHost: {self.address}\r\n"
@@ -57,7 +56,7 @@
             f"Content-Length: {len(body)}\r\n\r\n"
         )
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + LONGEST_CALL_S
+        until_s = loop.time() + MAX_CALL_S
         async with asyncio.timeout(timeout_s) as limit:
 
             def extend() -> None:
@@ -69,7 +68,7 @@
         self, message: bytes, on_progress: Callable[[], None]
     ) -> tuple[int, bytes]:
         connection = self._pool.take_idle(
-            incarnation=_POOL_NAME, repeatable=True
+            incarnation=_POOL_KEY, repeatable=True
         )
         if connection is None:
             connection = await self._pool.connect(
@@ -80,7 +79,7 @@
             result = await connection.exchange(head=message)
         finally:
             connection.on_progress = None
-        if result.end is not ExchangeEnd.WHOLE or result.head is None:
-            raise OSError(f"the answer was {result.end.value}")
-        self._pool.give_back(connection, incarnation=_POOL_NAME)
+        if result.end is not ExchangeEnd.COMPLETE or result.head is None:
+            raise OSError(f"response was {result.end.value}")
+        self._pool.give_back(connection, incarnation=_POOL_KEY)
         return result.head.status, result.body
--- a/almondstair/gateway/http_wire.py
+++ b/almondstair/gateway/http_wire.py
@@ -1,12 +1,12 @@
-"""Heads of HTTP/1.1 messages as lists of byte pairs, and their framing."""
+"""Encoding of HTTP/1.1 heads and chunks; headers are pairs of bytes."""
 
 from http import client as http_names
 from typing import NamedTuple
 
 Headers = list[tuple[bytes, bytes]]
 
-# Headers that concern one connection only and are not passed on.
-_ONE_CONNECTION = frozenset(
+# Headers of a single connection and of message framing; not forwarded.
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -21,17 +21,17 @@
         b"content-length",
     )
 )
-_NO_BODY = frozenset((204, 304))
+_BODYLESS_STATUSES = frozenset((204, 304))
 
 
-class ReplyHead(NamedTuple):
-    """Status and headers of an answer; header names in lower case."""
+class ResponseHead(NamedTuple):
+    """Status and headers of a response; header names in lower case."""
 
     status: int
     headers: Headers
 
 
-def find(headers: Headers, name: bytes) -> bytes | None:
+def find_header(headers: Headers, name: bytes) -> bytes | None:
     """Returns the first value of a header, or None."""
     for found, value in headers:
         if found == name:
@@ -39,32 +39,34 @@
     return None
 
 
-def passed_on(headers: Headers, *, without: frozenset[bytes]) -> Headers:
-    """Returns the headers that travel on.
+def forwarded_headers(
+    headers: Headers, *, without: frozenset[bytes]
+) -> Headers:
+    """Returns the headers to forward, without hop-by-hop headers.
 
     Args:
-      headers: those of a message, names in lower case.
-      without: names that this entry sets itself.
+      headers: headers of a message, names in lower case.
+      without: further names to omit.
     """
     named = set()
-    connection = find(headers, b"connection")
+    connection = find_header(headers, b"connection")
     if connection is not None:
         for token in connection.split(b","):
             named.add(token.strip().lower())
     kept = []
     for name, value in headers:
-        if name in _ONE_CONNECTION or name in named or name in without:
+        if name in _HOP_BY_HOP_HEADERS or name in named or name in without:
             continue
         kept.append((name, value))
     return kept
 
 
 def has_no_body(status: int) -> bool:
-    """Whether answers of this status never have a body."""
-    return status in _NO_BODY
+    """Returns whether responses with this status never have a body."""
+    return status in _BODYLESS_STATUSES
 
 
-def write_head(first_line: bytes, headers: Headers) -> bytes:
+def encode_head(first_line: bytes, headers: Headers) -> bytes:
     """Encodes a start line and headers."""
     lines = [first_line]
     for name, value in headers:
@@ -73,14 +75,14 @@
     return b"\r\n".join(lines)
 
 
-def status_line(status: int) -> bytes:
-    """Encodes the start line of an answer."""
+def encode_status_line(status: int) -> bytes:
+    """Encodes the status line of a response."""
     reason = http_names.responses.get(status, "Unknown")
     return f"HTTP/1.1 {status} {reason}".encode()
 
 
-def as_chunk(data: bytes) -> bytes:
-    """Frames a piece of a chunked body."""
+def encode_chunk(data: bytes) -> bytes:
+    """Encodes a chunk of a body with chunked transfer encoding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
--- a/almondstair/gateway/incoming.py
+++ b/almondstair/gateway/incoming.py
@@ -1,4 +1,4 @@
-"""One request of a caller and the way back for its answer."""
+"""A caller's request and the writing of its response."""
 
 import abc
 import asyncio
@@ -11,28 +11,28 @@
 from almondstair.errors import AlmondstairError
 from almondstair.gateway.http_wire import LAST_CHUNK
 from almondstair.gateway.http_wire import Headers
-from almondstair.gateway.http_wire import ReplyHead
-from almondstair.gateway.http_wire import as_chunk
-from almondstair.gateway.http_wire import find
+from almondstair.gateway.http_wire import ResponseHead
+from almondstair.gateway.http_wire import encode_chunk
+from almondstair.gateway.http_wire import encode_head
+from almondstair.gateway.http_wire import encode_status_line
+from almondstair.gateway.http_wire import find_header
 from almondstair.gateway.http_wire import has_no_body
-from almondstair.gateway.http_wire import status_line
-from almondstair.gateway.http_wire import write_head
-from almondstair.gateway.upstream_connection import ReplySink
+from almondstair.gateway.upstream_connection import ResponseSink
 from almondstair.http_messages import problem_body
 
-# A body up to this size is held whole, so that it can be sent again; larger
-# ones stream. Several hundred at once must fit a VM of 200 MB.
-BODY_HOLD_BYTES = 512 * 1024
+# A body up to this size is buffered so that it can be resent; a larger one is
+# streamed. Several hundred at once must fit a VM of 200 MB.
+MAX_BUFFERED_BODY_BYTES = 512 * 1024
 
 
-class AnswerWait(NamedTuple):
-    """How long a ready answer waited for the one before it.
+class ResponseWait(NamedTuple):
+    """How long a ready response waited for the preceding one.
 
     Attributes:
-      request: whose answer it is.
-      behind: the request before it on the same connection.
-      waited_s: for how long, in seconds.
-      delivered: whether it was sent, or its caller left before.
+      request: the request of the response.
+      behind: the preceding request of the same connection.
+      waited_s: the wait, in seconds.
+      delivered: whether it was sent; otherwise the caller disconnected first.
     """
 
     request: "IncomingRequest"
@@ -41,91 +41,97 @@
     delivered: bool
 
 
-class AnswerWriter(abc.ABC):
-    """What a request needs from the connection that it came on.
+class ResponseWriter(abc.ABC):
+    """Writes responses to the connection that a request came on.
 
     Attributes:
-      leaving: whether the connection is closed after its next answer.
+      draining: whether the connection is closed after its next response.
     """
 
-    leaving: bool
+    draining: bool
 
     @abc.abstractmethod
     def flush(self) -> None:
-        """Writes what is ready, in the order of the requests."""
+        """Writes ready responses in the order of their requests."""
 
     @abc.abstractmethod
-    async def room(self, request: "IncomingRequest") -> None:
-        """Waits until more of an answer can be written."""
+    async def wait_writable(self, request: "IncomingRequest") -> None:
+        """Waits until more of a response can be written."""
 
     @abc.abstractmethod
     def abort(self) -> None:
-        """Closes at once, in the middle of an answer."""
+        """Closes immediately, even in the middle of a response."""
 
 
-class Handled(enum.Enum):
-    """How far the answer to a request is."""
+class ResponseState(enum.Enum):
+    """Progress of the response to a request."""
 
     WAITING = "waiting"
     STREAMING = "streaming"
     ENDED = "ended"
 
 
-class IncomingRequest(ReplySink):
-    """One request of a caller and the way back for its answer.
+class IncomingRequest(ResponseSink):
+    """A caller's request, with methods to respond to it.
 
     Attributes:
       method: the method.
       target: path and query as the caller sent them.
       headers: headers, names in lower case.
-      body: the body, perhaps still arriving.
-      length: stated length of the body; None when it is chunked.
+      body: the body, which may still be arriving.
+      body_length: Content-Length in bytes; None when the body is chunked.
       arrived_s: when its head was complete, on the entry's clock.
-      answered_s: when its answer was whole, on the same clock.
+      response_ready_s: when its response was complete, on the entry's clock.
+      state: progress of the response.
+      fully_read: whether the body has arrived completely.
+      close_after: whether the connection is closed after the response.
+      caller_disconnected: whether the caller closed the connection.
+      task: task that handles the request, once it has started.
+      output: encoded parts of the response that are not written yet.
     """
 
-    def __init__(self, *, connection: AnswerWriter) -> None:
-        """Makes the next request of a connection."""
+    def __init__(self, *, connection: ResponseWriter) -> None:
+        """Creates the next request of a connection."""
         self._connection = connection
         self.method = ""
         self.target = ""
         self.headers: Headers = []
-        self.body = RequestBody(limit_bytes=BODY_HOLD_BYTES)
-        self.length: int | None = 0
+        self.body = RequestBody(limit_bytes=MAX_BUFFERED_BODY_BYTES)
+        self.body_length: int | None = 0
         self.arrived_s = 0.0
-        self.answered_s = 0.0
-        self.state = Handled.WAITING
-        self.read = False
+        self.response_ready_s = 0.0
+        self.state = ResponseState.WAITING
+        self.fully_read = False
         self.close_after = False
-        self.caller_gone = False
+        self.caller_disconnected = False
         self.task: asyncio.Task[None] | None = None
-        self.out: list[bytes] = []
-        self._chunking = False
+        self.output: list[bytes] = []
+        self._chunked = False
 
     def header(self, name: bytes) -> bytes | None:
         """Returns the first value of a header, or None."""
-        return find(self.headers, name)
+        return find_header(self.headers, name)
 
     @property
-    def answered(self) -> bool:
-        """Whether an answer has begun."""
-        return self.state is not Handled.WAITING
+    def response_begun(self) -> bool:
+        """Whether the response has begun."""
+        return self.state is not ResponseState.WAITING
 
-    def reply(self, head: ReplyHead, body: bytes) -> None:
-        """Answers with a whole body at once."""
-        if self.answered:
+    def respond(self, head: ResponseHead, body: bytes) -> None:
+        """Sends a response with a complete body."""
+        if self.response_begun:
             return
         headers = list(head.headers)
         if not has_no_body(head.status):
             headers.append((b"content-length", b"%d" % len(body)))
         self._write_start(head.status, headers)
         if self.method != "HEAD":
-            self.out.append(body)
-        self._end()
+            self.output.append(body)
+        self._finish()
 
-    def problem(self, error: AlmondstairError) -> None:
-        """Answers with an error of the closed list, at once."""
-        if self.state is Handled.STREAMING:
+    def respond_with_problem(self, error: AlmondstairError) -> None:
+        """Sends a problem document, or closes a response that has begun."""
+        if self.state is ResponseState.STREAMING:
             self.abort()
             return
         headers: Headers = [
@@ -135,52 +141,52 @@
         if error.retry_after_ms is not None:
             text = f"{error.retry_after_ms / 1000:.2f}"
             headers.append((b"retry-after", text.encode()))
-        self.reply(
-            ReplyHead(status=error.rule.http_status, headers=headers),
+        self.respond(
+            ResponseHead(status=error.rule.http_status, headers=headers),
             problem_body(error=error),
         )
 
-    def begin(self, head: ReplyHead) -> None:
-        """Starts an answer that streams."""
-        if self.answered:
+    def begin(self, head: ResponseHead) -> None:
+        """Starts a streamed response."""
+        if self.response_begun:
             return
-        self.state = Handled.STREAMING
-        self._chunking = True
+        self.state = ResponseState.STREAMING
+        self._chunked = True
         headers = list(head.headers)
         headers.append((b"transfer-encoding", b"chunked"))
         self._write_start(head.status, headers)
-        self.state = Handled.STREAMING
+        self.state = ResponseState.STREAMING
         self._connection.flush()
 
     async def write(self, data: bytes) -> None:
-        """Passes a piece on and waits while the caller reads slowly."""
-        if self.state is not Handled.STREAMING:
+        """Writes a chunk and waits while the caller reads slowly."""
+        if self.state is not ResponseState.STREAMING:
             return
         if self.method != "HEAD":
-            self.out.append(as_chunk(data))
+            self.output.append(encode_chunk(data))
         self._connection.flush()
-        await self._connection.room(self)
+        await self._connection.wait_writable(self)
 
     def end_stream(self) -> None:
-        """Ends an answer that streams."""
-        if self.state is not Handled.STREAMING:
+        """Ends a streamed response."""
+        if self.state is not ResponseState.STREAMING:
             return
         if self.method != "HEAD":
-            self.out.append(LAST_CHUNK)
-        self._end()
+            self.output.append(LAST_CHUNK)
+        self._finish()
 
     def abort(self) -> None:
-        """Cuts the connection so that the caller sees the cut."""
-        self.state = Handled.ENDED
+        """Aborts the connection so that the caller notices the truncation."""
+        self.state = ResponseState.ENDED
         self._connection.abort()
 
     def _write_start(self, status: int, headers: Headers) -> None:
-        if self.close_after or self._connection.leaving:
+        if self.close_after or self._connection.draining:
             self.close_after = True
             headers.append((b"connection", b"close"))
-        self.out.append(write_head(status_line(status), headers))
+        self.output.append(encode_head(encode_status_line(status), headers))
 
-    def _end(self) -> None:
-        self.state = Handled.ENDED
-        self.answered_s = now_s()
+    def _finish(self) -> None:
+        self.state = ResponseState.ENDED
+        self.response_ready_s = now_s()
         self._connection.flush()
--- a/almondstair/gateway/load_sharing.py
+++ b/almondstair/gateway/load_sharing.py
@@ -1,14 +1,14 @@
-"""Tells other entries how many requests this one has at each upstream.
+"""Exchange of each entry's in-flight requests at upstreams.
 
-What goes wrong without: each entry knows its own requests and what answers
-told a moment ago. Ten entries then find the same upstream free at the same
-time, fill its queue, and their requests wait past their time.
+Without it, an entry knows only its own requests and the loads in recent
+responses. Ten entries could choose the same free upstream at the same time and
+fill its queue, and their requests would wait past their deadlines.
 
-One entry of each availability zone, the reporter, sums up what its zone's
-entries tell it, exchanges sums with the other zones' reporters, and gives the
-total to its zone. An entry's messages so stay the same as the fleet grows, and
-one message a zone crosses between zones instead of one an entry. When they are
-due is decided in `core/load_pace.py`.
+One entry of each availability zone, the reporter, sums the loads of its zone's
+entries, exchanges sums with the reporters of other zones, and sends the total
+to its zone. The number of messages of an entry is thus independent of the size
+of the fleet, and each zone, not each entry, sends one message to other zones.
+`core/load_pace.py` decides when messages are due.
 """
 
 import asyncio
@@ -36,36 +36,43 @@
 from almondstair.core.placement_plan import Planner
 from almondstair.core.registered import Entry
 from almondstair.gateway import peer_messages
-from almondstair.gateway.peer_messages import GoneTold
-from almondstair.gateway.peer_messages import LossTold
+from almondstair.gateway.peer_messages import CachedObjects
+from almondstair.gateway.peer_messages import LostRequest
 from almondstair.gateway.peer_messages import Message
 from almondstair.gateway.peer_messages import Own
-from almondstair.gateway.peer_messages import PlacesTold
 from almondstair.gateway.peer_messages import PlanTold
 from almondstair.gateway.peer_messages import Total
-from almondstair.gateway.peer_messages import ZoneSum
+from almondstair.gateway.peer_messages import UpstreamGone
+from almondstair.gateway.peer_messages import ZoneLoads
 from almondstair.gateway.upstream_pool import UpstreamPool
 
-# An entry that was silent for this long is not counted on any more: three
-# heartbeats.
-SILENCE_S = 3 * load_pace.HEARTBEAT_S
-# Longest pause between two words on a plan; one may be lost, and an entry that
-# was just started knows none.
-PLAN_PAUSE_S = 0.4
-# For how long a strike against a request is told on; a few messages are lost.
-STRIKES_TOLD_S = 2.0
-# Upstreams that one message can name; a datagram holds 64 KiB, one upstream
-# takes up to 9 bytes.
-MOST_UPSTREAMS = 5000
-# Datagrams that are read at one time, and the longest one.
-MOST_READ = 256
-DATAGRAM_BYTES = 65536
-# Places that one message can name; one takes up to 11 bytes.
-MOST_PLACES = 1500
-
-
-class Heard(NamedTuple):
-    """What was heard of an entry or a zone, and when."""
+# Reports of an entry expire after three missed heartbeats.
+PEER_TIMEOUT_S = 3 * load_pace.HEARTBEAT_S
+# Longest interval between two messages with a plan: a message may be lost, and
+# an entry that has just started has no plan.
+MAX_PLAN_INTERVAL_S = 0.4
+# How long a strike against a request is reported, as messages may be lost.
+STRIKE_REPORT_S = 2.0
+# Upstreams in one message; a datagram holds 64 KiB, an upstream takes up to 9
+# bytes.
+MAX_UPSTREAMS = 5000
+# Datagrams that are read in one go, and the size of the longest one.
+MAX_DATAGRAMS_PER_READ = 256
+MAX_DATAGRAM_BYTES = 65536
+# Cached objects in one message; each takes up to 11 bytes.
+MAX_CACHED_OBJECTS = 1500
+
+
+class LoadReport(NamedTuple):
+    """The latest report of an entry or a zone.
+
+    Attributes:
+      at_s: when it was received, on the entry's clock.
+      entry: name of the entry that sent it.
+      loads: in-flight requests by the hash of the upstream.
+      replaced: hashes of upstreams that were replaced at their addresses.
+      places: recently found cached objects and their upstreams.
+    """
 
     at_s: float
     entry: str
@@ -84,7 +91,7 @@
 
 
 class LoadSharing(asyncio.DatagramProtocol):
-    """Sends own loads to the zone's reporter, or is the reporter."""
+    """Sends this entry's loads to its zone's reporter, or acts as reporter."""
 
     def __init__(
         self,
@@ -97,16 +104,16 @@
         own_zone: str,
         link_mbps: float = 0.0,
     ) -> None:
-        """Makes the protocol; `run` sends once it listens.
+        """Creates the protocol; `listen` must precede `run`.
 
         Args:
-          fleet: whose upstreams the loads belong to.
+          fleet: the view of the fleet; gets the loads of other entries.
           pool: connections to upstreams; those of replaced ones are closed.
           suspects: requests that may crash upstreams.
-          places: which upstreams know which objects.
+          places: cached objects of upstreams.
           own_name: name of this entry.
           own_zone: its availability zone.
-          link_mbps: what its VM's link carries, 0 where it is not told.
+          link_mbps: bandwidth of its VM's link in Mbit/s, 0 if unknown.
         """
         self._fleet = fleet
         self._pool = pool
@@ -116,30 +123,30 @@
         self._own_zone = own_zone
         self._transport: asyncio.DatagramTransport | None = None
         self._socket: socket.socket | None = None
-        self._members: dict[str, Heard] = {}
-        self._zones: dict[str, Heard] = {}
-        self._alive_s: dict[str, float] = {}
-        self._sent: Loads = {}
+        self._member_reports: dict[str, LoadReport] = {}
+        self._zone_reports: dict[str, LoadReport] = {}
+        self._last_heard_s: dict[str, float] = {}
+        self._reported_loads: Loads = {}
         self._link_share = LinkShare(link_mbps=link_mbps)
-        self._own_told = Telling()
-        self._sum_told = Telling(least_pause_s=load_pace.ZONES_PAUSE_S)
-        self._total_told = Telling()
-        self._plan_told = EMPTY
-        self._plan_told_at_s = -math.inf
-        self._plan_was_last = False
-        self._turns: dict[str, list[Entry]] = {}
-        self._turns_version = -1
+        self._own_schedule = Telling()
+        self._zone_sum_schedule = Telling(least_pause_s=load_pace.ZONES_PAUSE_S)
+        self._total_schedule = Telling()
+        self._published_plan = EMPTY
+        self._plan_published_at_s = -math.inf
+        self._plan_sent_last = False
+        self._entries_by_zone: dict[str, list[Entry]] = {}
+        self._entries_version = -1
         self._total_at_s = 0.0
-        self._unreadable = 0
+        self._unreadable_messages = 0
         self._planner = Planner()
 
     # Receiving.
 
     async def listen(self, *, ip: str, port: int) -> None:
-        """Listens for other entries.
+        """Listens for messages of other entries.
 
         Raises:
-          OSError: the address is not to be had.
+          OSError: the address cannot be bound.
         """
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setblocking(False)
@@ -148,58 +155,59 @@
         await loop.create_datagram_endpoint(lambda: self, sock=self._socket)
 
     def read_waiting(self) -> None:
-        """Takes every message that has arrived, not one each turn of the loop.
+        """Applies all messages that have arrived.
 
-        What goes wrong without: a request that was sent after a peer's word
-        runs before that word is read.
+        The event loop reads one message per iteration, so a request that was
+        sent after a peer's report could otherwise run before the report is
+        read.
         """
         if self._socket is None:
             return
-        for _ in range(MOST_READ):
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
-                data, address = self._socket.recvfrom(DATAGRAM_BYTES)
+                data, address = self._socket.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError as error:
-                # The kernel reports here that an earlier send met nobody.
+                # An earlier send reached a closed port (ICMP error).
                 self.error_received(error)
                 continue
             self.datagram_received(data, address)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the bound socket."""
-        # asyncio's own class for it is no subclass of the interface.
+        """Stores the transport of the bound socket."""
+        # asyncio's transport class is not a subclass of the interface.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def error_received(self, exc: Exception) -> None:
-        """A peer is not there; its registration will end by itself."""
+        """Ignores an unreachable peer; its registration will expire."""
 
     def datagram_received(
         self, data: bytes, addr: tuple[str | int, int]
     ) -> None:
-        """Takes another entry's message."""
+        """Decodes and applies another entry's message."""
         try:
             message = peer_messages.decode(data)
         except msgspec.MsgspecError:
-            self._unreadable += 1
-            if self._unreadable == 1:
+            self._unreadable_messages += 1
+            if self._unreadable_messages == 1:
                 log.event(log.Event.PEER_MESSAGE_BAD, address=str(addr))
             return
         if message.entry != self._own_name:
-            self._take(message, now_s())
+            self._apply_message(message, now_s())
 
-    def _take(self, message: Message, now: float) -> None:
-        self._alive_s[message.entry] = now
+    def _apply_message(self, message: Message, now: float) -> None:
+        self._last_heard_s[message.entry] = now
         if isinstance(message, PlanTold):
-            self._hear_plan(message)
+            self._apply_plan(message)
             return
-        if isinstance(message, LossTold | GoneTold):
-            self._hear_crash(message, now)
+        if isinstance(message, LostRequest | UpstreamGone):
+            self._apply_crash_report(message, now)
             return
         self._places.take(message.places, now_s=now)
-        if isinstance(message, PlacesTold):
+        if isinstance(message, CachedObjects):
             return
-        heard = Heard(
+        heard = LoadReport(
             at_s=now,
             entry=message.entry,
             loads=message.loads,
@@ -210,19 +218,23 @@
         for strike in message.strikes:
             self._suspects.strike(Strike(*strike), now_s=now)
         if isinstance(message, Own):
-            if message.entry not in self._members:
-                self._greet(message.entry, now)
-            self._members[message.entry] = heard
-        elif isinstance(message, ZoneSum):
-            self._zones[message.zone] = heard
+            if message.entry not in self._member_reports:
+                self._send_cached_objects(message.entry, now)
+            self._member_reports[message.entry] = heard
+        elif isinstance(message, ZoneLoads):
+            self._zone_reports[message.zone] = heard
         else:
-            self._fleet.others_loads.take(message.loads, own=self._sent)
+            self._fleet.others_loads.take(
+                message.loads, own=self._reported_loads
+            )
             if message.complete:
                 self._total_at_s = now
 
-    def _hear_crash(self, message: LossTold | GoneTold, now: float) -> None:
+    def _apply_crash_report(
+        self, message: LostRequest | UpstreamGone, now: float
+    ) -> None:
         upstream = message.upstream
-        if isinstance(message, LossTold):
+        if isinstance(message, LostRequest):
             strike = Strike(message.request, upstream)
             ran_s = message.ran_ms / 1000
             self._suspects.note_lost(strike, ran_s=ran_s, now_s=now)
@@ -230,37 +242,41 @@
         for request in message.requests:
             self._suspects.strike(Strike(request, upstream), now_s=now)
 
-    def _greet(self, name: str, now: float) -> None:
-        """Tells an entry that was not heard of which places are known.
+    def _send_cached_objects(self, name: str, now: float) -> None:
+        """Sends all cached objects to an entry that has not reported before.
 
-        What goes wrong without: an entry that was started again sends each
-        object to its home, though the fleet has moved it since.
+        Otherwise a restarted entry would send each object to its home although
+        the fleet has moved the object since.
         """
         entry = self._fleet.entries.get(name)
         if entry is None:
             return
         places = self._places.all_places(now_s=now)
-        for begin in range(0, len(places), MOST_PLACES):
-            part = places[begin : begin + MOST_PLACES]
-            self._send(PlacesTold(self._own_name, part), [entry])
+        for begin in range(0, len(places), MAX_CACHED_OBJECTS):
+            part = places[begin : begin + MAX_CACHED_OBJECTS]
+            self._send(CachedObjects(self._own_name, part), [entry])
 
-    def _hear_plan(self, message: PlanTold) -> None:
-        """Takes the plan unless its maker stands behind another zone's.
+    def _apply_plan(self, message: PlanTold) -> None:
+        """Applies a plan unless another zone's reporter has precedence.
 
-        What goes wrong without: a reporter that was cut off from the first
-        zone makes a plan of its own, and keys move with each of the two.
+        Otherwise a reporter that is partitioned from the first zone would make
+        a plan of its own, and keys would move with each of the two plans.
         """
-        if message.zone > self._first_zone():
+        if message.zone > self._planning_zone():
             return
         self._planner.take(message.plan)
         self._fleet.take_plan(message.plan)
 
-    def _first_zone(self) -> str:
-        """Returns the zone whose reporter makes the plan."""
-        return min([self._own_zone, *self._zones])
+    def _planning_zone(self) -> str:
+        """Returns the zone whose reporter makes the plan, the first by name."""
+        return min([self._own_zone, *self._zone_reports])
 
     def _drop_replaced(self, names: list[int]) -> None:
-        """Takes others' word instead of finding out by a request of its own."""
+        """Forgets upstreams that other entries found to be replaced.
+
+        Args:
+          names: hashes of the replaced incarnations.
+        """
         for name in names:
             incarnation = self._fleet.note_replaced(name)
             if not incarnation:
@@ -271,31 +287,31 @@
     # Sending.
 
     async def run(self) -> None:
-        """Sends loads when they change until it is cancelled."""
+        """Sends due reports until it is cancelled."""
         while True:
             members = self._in_turn(self._own_zone)
             await asyncio.sleep(load_pace.pause_s(len(members)))
             self._tick(now_s())
 
     def _tick(self, now: float) -> None:
-        for heard in (self._members, self._zones):
+        for heard in (self._member_reports, self._zone_reports):
             for name in list(heard):
-                if now - heard[name].at_s > SILENCE_S:
+                if now - heard[name].at_s > PEER_TIMEOUT_S:
                     del heard[name]
         reporter = self._reporter(now)
         if reporter is None or reporter.name == self._own_name:
-            self._report(now)
+            self._send_reports(now)
         else:
-            self._tell(reporter, now)
-        self._fleet.peers_heard = now - self._total_at_s < SILENCE_S
+            self._send_own_loads(reporter, now)
+        self._fleet.peers_heard = now - self._total_at_s < PEER_TIMEOUT_S
 
     def _reporter(self, now: float) -> Entry | None:
         candidates = self._in_turn(self._own_zone)
 
         def alive(entry: Entry) -> bool:
-            # One that was just registered has had no time to speak.
-            heard_s = self._alive_s.setdefault(entry.name, now)
-            return now - heard_s < SILENCE_S
+            # A newly registered entry has had no time to report.
+            heard_s = self._last_heard_s.setdefault(entry.name, now)
+            return now - heard_s < PEER_TIMEOUT_S
 
         return zone_roles.acting(
             candidates, own_name=self._own_name, alive=alive
@@ -306,72 +322,75 @@
         return {name: one.in_flight for name, one in upstreams if one.in_flight}
 
     def _in_turn(self, zone: str) -> list[Entry]:
-        """Returns the entries of a zone in the order of their turn."""
-        if self._turns_version != self._fleet.entries_version:
-            self._turns_version = self._fleet.entries_version
-            self._turns = zone_roles.turns(self._fleet.entries.values())
-        return self._turns.get(zone, [])
-
-    def _tell(self, reporter: Entry, now: float) -> None:
+        """Returns a zone's entries in the order in which they act."""
+        if self._entries_version != self._fleet.entries_version:
+            self._entries_version = self._fleet.entries_version
+            self._entries_by_zone = zone_roles.turns(
+                self._fleet.entries.values()
+            )
+        return self._entries_by_zone.get(zone, [])
+
+    def _send_own_loads(self, reporter: Entry, now: float) -> None:
         word = Word(
             self._own_loads(),
             self._fleet.replaced(now_s=now),
             self._fresh_strikes(now),
-            self._places.found_lately(now_s=now)[:MOST_PLACES],
+            self._places.found_lately(now_s=now)[:MAX_CACHED_OBJECTS],
         )
-        if not self._own_told.due(word, now_s=now):
+        if not self._own_schedule.due(word, now_s=now):
             return
-        self._own_told.note_told(word, now_s=now)
-        self._sent = word.loads
+        self._own_schedule.note_told(word, now_s=now)
+        self._reported_loads = word.loads
         self._send(Own(self._own_name, *word), [reporter])
 
     def _fresh_strikes(self, now: float) -> list[tuple[int, int]]:
-        fresh = self._suspects.fresh(now_s=now, for_s=STRIKES_TOLD_S)
+        fresh = self._suspects.fresh(now_s=now, for_s=STRIKE_REPORT_S)
         return [(strike.fingerprint, strike.upstream) for strike in fresh]
 
-    def _report(self, now: float) -> None:
-        """Sums up for the zone and gives the total to its entries."""
+    def _send_reports(self, now: float) -> None:
+        """Sends the zone's sum to other zones and the total to its entries."""
         own = self._own_loads()
-        members = [heard.loads for heard in self._members.values()]
+        members = [heard.loads for heard in self._member_reports.values()]
         zone_sum = add_loads([own, *members])
         others = [
             heard.loads
-            for zone, heard in self._zones.items()
+            for zone, heard in self._zone_reports.items()
             if zone != self._own_zone
         ]
         total = add_loads([zone_sum, *others])
-        self._sent = own
-        self._fleet.others_loads.take(total, own=self._sent)
-        self._make_plan(now)
-        if self._zones_heard():
+        self._reported_loads = own
+        self._fleet.others_loads.take(total, own=self._reported_loads)
+        self._update_plan(now)
+        if self._all_zones_reported():
             self._total_at_s = now
         replaced = set(self._fleet.replaced(now_s=now))
         places = dict.fromkeys(self._places.found_lately(now_s=now))
-        for member in self._members.values():
+        for member in self._member_reports.values():
             replaced.update(member.replaced)
             places.update(dict.fromkeys(member.places))
-        # Others' strikes are among these: they were struck here as well.
+        # Includes other entries' strikes, which are applied on receipt.
         strikes = self._fresh_strikes(now)
-        told = list(places)[:MOST_PLACES]
-        self._tell_zones(Word(zone_sum, list(replaced), strikes, told), now)
-        for heard in self._zones.values():
+        told = list(places)[:MAX_CACHED_OBJECTS]
+        self._send_zone_sum(Word(zone_sum, list(replaced), strikes, told), now)
+        for heard in self._zone_reports.values():
             replaced.update(heard.replaced)
             places.update(dict.fromkeys(heard.places))
-        told = list(places)[:MOST_PLACES]
+        told = list(places)[:MAX_CACHED_OBJECTS]
         word = Word(total, list(replaced), strikes, told)
-        # They share a part of the link: neither may keep the other from it.
-        if self._plan_was_last:
-            self._tell_total(word, now)
-            self._tell_plan(now)
+        # Both share one allowance of the link: alternate so that neither
+        # starves the other.
+        if self._plan_sent_last:
+            self._send_total(word, now)
+            self._send_plan(now)
         else:
-            self._tell_plan(now)
-            self._tell_total(word, now)
+            self._send_plan(now)
+            self._send_total(word, now)
 
-    def _tell_zones(self, word: Word, now: float) -> None:
-        if not self._sum_told.due(word, now_s=now):
+    def _send_zone_sum(self, word: Word, now: float) -> None:
+        if not self._zone_sum_schedule.due(word, now_s=now):
             return
-        self._sum_told.note_told(word, now_s=now)
-        message = ZoneSum(
+        self._zone_sum_schedule.note_told(word, now_s=now)
+        message = ZoneLoads(
             entry=self._own_name,
             zone=self._own_zone,
             loads=_cut(word.loads),
@@ -381,36 +400,35 @@
         )
         self._send(message, self._other_reporters())
 
-    def _tell_total(self, word: Word, now: float) -> None:
-        if not self._total_told.due(word, now_s=now):
+    def _send_total(self, word: Word, now: float) -> None:
+        if not self._total_schedule.due(word, now_s=now):
             return
-        if not self._total_told.urgent(word):
+        if not self._total_schedule.urgent(word):
             if not self._link_share.free(now_s=now):
                 return
-        self._total_told.note_told(word, now_s=now)
+        self._total_schedule.note_told(word, now_s=now)
         message = Total(
             entry=self._own_name,
-            complete=self._zones_heard(),
+            complete=self._all_zones_reported(),
             loads=_cut(word.loads),
             replaced=word.replaced,
             strikes=word.strikes,
             places=word.places,
         )
-        self._tell_zone(message, now)
+        self._send_to_zone(message, now)
 
-    def _tell_zone(self, message: Message, now: float) -> None:
-        self._plan_was_last = isinstance(message, PlanTold)
+    def _send_to_zone(self, message: Message, now: float) -> None:
+        self._plan_sent_last = isinstance(message, PlanTold)
         sent_bytes = self._send(message, self._in_turn(self._own_zone))
         self._link_share.note_sent(sent_bytes, now_s=now)
 
-    def _make_plan(self, now: float) -> None:
-        """Makes the next plan if this zone is the first one.
+    def _update_plan(self, now: float) -> None:
+        """Updates the plan if this zone makes it.
 
-        What goes wrong if each zone makes its own: a key belongs to one
-        upstream for callers of one zone and to another one for the others',
-        and both run it as new.
+        If each zone made its own plan, callers of different zones would have
+        the same key at different upstreams, and both would run it as new.
         """
-        if self._first_zone() != self._own_zone:
+        if self._planning_zone() != self._own_zone:
             return
         services = {}
         for service in self._fleet.services():
@@ -418,31 +436,33 @@
         self._planner.observe(services=services, now_s=now)
         self._fleet.take_plan(self._planner.plan)
 
-    def _tell_plan(self, now: float) -> None:
-        """Tells the plan on when it changed, and now and then."""
+    def _send_plan(self, now: float) -> None:
+        """Sends the plan when it has changed, and periodically."""
         plan = self._planner.plan
-        age_s = now - self._plan_told_at_s
-        if plan == self._plan_told and age_s < PLAN_PAUSE_S:
+        age_s = now - self._plan_published_at_s
+        if plan == self._published_plan and age_s < MAX_PLAN_INTERVAL_S:
             return
         if not self._link_share.free(now_s=now):
             return
-        self._plan_told = plan
-        self._plan_told_at_s = now
-        first = self._first_zone()
+        self._published_plan = plan
+        self._plan_published_at_s = now
+        first = self._planning_zone()
         message = PlanTold(entry=self._own_name, zone=first, plan=plan)
-        self._tell_zone(message, now)
+        self._send_to_zone(message, now)
         if first == self._own_zone:
             self._send(message, self._other_reporters())
 
-    def _zones_heard(self) -> bool:
+    def _all_zones_reported(self) -> bool:
         for zone in self._other_zones():
-            if zone not in self._zones:
+            if zone not in self._zone_reports:
                 return False
         return True
 
     def _other_zones(self) -> list[str]:
         self._in_turn(self._own_zone)
-        return [zone for zone in self._turns if zone != self._own_zone]
+        return [
+            zone for zone in self._entries_by_zone if zone != self._own_zone
+        ]
 
     def _other_reporters(self) -> list[Entry]:
         """Returns the first in turn of each zone, and who spoke for it last."""
@@ -451,17 +471,17 @@
         for zone in self._other_zones():
             first = self._in_turn(zone)[0]
             found[first.name] = first
-            heard = self._zones.get(zone)
+            heard = self._zone_reports.get(zone)
             if heard is not None and heard.entry in entries:
                 found[heard.entry] = entries[heard.entry]
         return list(found.values())
 
     def send_all(self, message: Message) -> None:
-        """Sends a message to every entry before it returns."""
+        """Sends a message to all other entries before it returns."""
         self._send(message, self._fleet.entries.values())
 
     def _send(self, message: Message, entries: Iterable[Entry]) -> int:
-        """Sends a message to each of some entries; returns all its bytes."""
+        """Sends a message to some entries; returns the total of bytes sent."""
         assert self._transport is not None
         data = msgspec.msgpack.encode(message)
         sent_bytes = 0
@@ -475,8 +495,8 @@
 
 
 def _cut(loads: Loads) -> Loads:
-    """Keeps the busiest upstreams where they do not fit a message."""
-    if len(loads) <= MOST_UPSTREAMS:
+    """Returns the busiest upstreams, as many as fit a message."""
+    if len(loads) <= MAX_UPSTREAMS:
         return loads
     busiest = sorted(loads.items(), key=lambda item: -item[1])
-    return dict(busiest[:MOST_UPSTREAMS])
+    return dict(busiest[:MAX_UPSTREAMS])
--- a/almondstair/gateway/measures.py
+++ b/almondstair/gateway/measures.py
@@ -1,13 +1,13 @@
-"""Counters and histograms of a gateway, in the Prometheus text format.
+"""Metrics of a gateway in the Prometheus text format.
 
-docs/METRICS.md lists every name; a test keeps the two equal.
+docs/METRICS.md lists every name; a test checks that both agree.
 """
 
 import prometheus_client
 from prometheus_client import registry
 
-# Bounds of the buckets in seconds: the aims of routes lie between 0.3 and 2 s.
-LATENCY_BOUNDS_S = (
+# Latency targets of routes lie between 0.3 and 2 s.
+LATENCY_BUCKETS_S = (
     0.005,
     0.02,
     0.05,
@@ -26,10 +26,10 @@
 
 
 class Measures:
-    """Everything that a gateway counts."""
+    """Holds the counters, gauges and histograms of a gateway."""
 
     def __init__(self) -> None:
-        """Makes the collection; each gateway has one of its own."""
+        """Creates all metrics in a registry of their own."""
         self.registry = registry.CollectorRegistry(auto_describe=False)
         self.requests = self._counter(
             "almondstair_requests",
@@ -115,9 +115,9 @@
             text,
             labels,
             registry=self.registry,
-            buckets=LATENCY_BOUNDS_S,
+            buckets=LATENCY_BUCKETS_S,
         )
 
-    def text(self) -> bytes:
-        """Returns all of them in the text format."""
+    def render(self) -> bytes:
+        """Returns all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
--- a/almondstair/gateway/mirror.py
+++ b/almondstair/gateway/mirror.py
@@ -1,4 +1,4 @@
-"""What an entry took from the store, kept for entries that ask it."""
+"""A copy of the store's data, served to other entries."""
 
 from typing import NamedTuple
 import uuid
@@ -6,69 +6,68 @@
 
 import msgspec
 
-# How long a removal is remembered. An entry that asks again later gets a whole
-# listing; one polls twice a second.
-REMOVAL_MEMORY = 2000
-# Values from this size on are told compressed. Registrations have a few hundred
-# bytes; a configuration of the emulator's with 1,400 routes 292 kB, and 8.9 kB
-# compressed.
-PACK_BYTES = 4096
-PACK_LEVEL = 1
+# Removals are kept until there are more keys than this. An entry that polls
+# later than that, instead of twice a second, gets a full listing.
+MAX_KEYS = 2000
+# Values from this size on are compressed. Registrations have a few hundred
+# bytes; a configuration with 1,400 routes has 292 kB, and 8.9 kB compressed.
+MIN_COMPRESSED_BYTES = 4096
+COMPRESSION_LEVEL = 1
 
 
 class MirrorItem(msgspec.Struct, array_like=True):
-    """One key as it is told.
+    """A key and its value, as sent to other entries.
 
     Attributes:
       key: the key.
-      value: its value; None says that it is gone.
+      value: its value; None if it was removed.
       revision: the store's revision of its last change.
-      packed: whether the value is compressed.
+      compressed: whether the value is compressed.
     """
 
     key: str
     value: bytes | None
     revision: int
-    packed: bool = False
+    compressed: bool = False
 
-    def unpacked(self) -> bytes | None:
-        """Returns the value as the store has it.
+    def decompressed(self) -> bytes | None:
+        """Returns the value as it is in the store.
 
         Raises:
-          zlib.error: it is no compressed value.
+          zlib.error: the compressed value is invalid.
         """
-        if self.value is None or not self.packed:
+        if self.value is None or not self.compressed:
             return self.value
         return zlib.decompress(self.value)
 
 
-def _told(key: str, value: bytes, revision: int) -> MirrorItem:
-    """Returns an item, compressed once for all entries that will ask for it.
+def _make_item(key: str, value: bytes, revision: int) -> MirrorItem:
+    """Returns an item, compressed once for all entries that will poll it.
 
-    What goes wrong without: a reader behind a link of 10 Mbit/s gives a large
-    configuration to each entry of its zone, which takes longer than the
-    operators allow for all of them.
+    Without compression, a reader on a link of 10 Mbit/s that sends a large
+    configuration to each entry of its zone would take longer than the operators
+    allow.
     """
-    if len(value) < PACK_BYTES:
+    if len(value) < MIN_COMPRESSED_BYTES:
         return MirrorItem(key=key, value=value, revision=revision)
     return MirrorItem(
         key=key,
-        value=zlib.compress(value, PACK_LEVEL),
+        value=zlib.compress(value, COMPRESSION_LEVEL),
         revision=revision,
-        packed=True,
+        compressed=True,
     )
 
 
 class MirrorPage(msgspec.Struct, array_like=True):
-    """An answer to an entry that asks what has changed.
+    """Response to an entry that polls for changes.
 
     Attributes:
-      source: the mirror's incarnation, to whose numbers `number` belongs.
+      source: the mirror's incarnation, in which `number` is counted.
       number: number of the last change.
-      revision: the store's revision that the mirror is as of.
-      age_s: time since the store last answered the mirror's entry.
-      listing: whether the items are all there are.
-      items: what has changed, or everything.
+      revision: the store's revision that the mirror reflects.
+      age_s: age of the mirror's data, in seconds.
+      listing: whether the items are a full listing.
+      items: the changed items, or all.
     """
 
     source: str
@@ -79,58 +78,58 @@
     items: list[MirrorItem]
 
 
-class _Kept(NamedTuple):
+class _Change(NamedTuple):
     number: int
     item: MirrorItem
 
 
 class Mirror:
-    """Keys with the number of their last change that matters."""
+    """Keeps the last relevant change of each key, numbered in order."""
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Creates an empty mirror."""
         self._source = uuid.uuid4().hex
         self._number = 0
-        self._oldest = 0
-        self._kept: dict[str, _Kept] = {}
+        self._last_forgotten = 0
+        self._changes: dict[str, _Change] = {}
 
     def put(self, key: str, value: bytes, revision: int) -> None:
-        """Keeps a key whose change matters to others."""
-        self._keep(_told(key, value, revision))
+        """Stores a changed value that is relevant to other entries."""
+        self._add(_make_item(key, value, revision))
 
     def remove(self, key: str, revision: int) -> None:
-        """Notes that a key is gone."""
-        if key in self._kept:
-            self._keep(MirrorItem(key=key, value=None, revision=revision))
+        """Records the removal of a key."""
+        if key in self._changes:
+            self._add(MirrorItem(key=key, value=None, revision=revision))
 
-    def _keep(self, item: MirrorItem) -> None:
+    def _add(self, item: MirrorItem) -> None:
         self._number += 1
-        self._kept.pop(item.key, None)
-        self._kept[item.key] = _Kept(number=self._number, item=item)
-        if len(self._kept) > REMOVAL_MEMORY:
+        self._changes.pop(item.key, None)
+        self._changes[item.key] = _Change(number=self._number, item=item)
+        if len(self._changes) > MAX_KEYS:
             self._forget_removals()
 
     def _forget_removals(self) -> None:
-        for key in list(self._kept):
-            kept = self._kept[key]
+        for key in list(self._changes):
+            kept = self._changes[key]
             if kept.item.value is None:
-                self._oldest = max(self._oldest, kept.number)
-                del self._kept[key]
+                self._last_forgotten = max(self._last_forgotten, kept.number)
+                del self._changes[key]
 
     def page(
         self, *, source: str, after: int, revision: int, age_s: float
     ) -> MirrorPage:
-        """Returns what changed after a number, or everything.
+        """Returns the changes after a number, or a full listing.
 
         Args:
-          source: incarnation that the asker's number belongs to.
-          after: number of the last change that the asker has.
-          revision: the store's revision that this entry is as of.
-          age_s: time since the store last answered this entry.
+          source: incarnation of the mirror in which `after` is counted.
+          after: number of the last change that the polling entry has.
+          revision: the store's revision that this entry's data reflects.
+          age_s: age of this entry's data, in seconds.
         """
-        listing = source != self._source or after < self._oldest
+        listing = source != self._source or after < self._last_forgotten
         items = []
-        for kept in self._kept.values():
+        for kept in self._changes.values():
             if listing and kept.item.value is None:
                 continue
             if listing or kept.number > after:
--- a/almondstair/gateway/overview.py
+++ b/almondstair/gateway/overview.py
@@ -1,4 +1,4 @@
-"""What an entry shows of itself: metrics, status, configurations."""
+"""Metrics, status and configurations of an entry, for operators."""
 
 from collections.abc import Sized
 
@@ -11,12 +11,12 @@
 from almondstair.gateway.upstream_pool import UpstreamPool
 from almondstair.platform.kv import KvClient
 
-# An age beyond this one means that there was no word at all.
-NEVER_S = 1e9
+# A greater age means that the load was never reported.
+NO_REPORT_AGE_S = 1e9
 
 
-class Overview:
-    """Gathers what the operators' pages show."""
+class StatusReport:
+    """Collects the data of the operators' pages."""
 
     def __init__(
         self,
@@ -29,16 +29,16 @@
         measures: Measures,
         running: Sized,
     ) -> None:
-        """Makes the overview of one entry.
+        """Creates the overview of one entry.
 
         Args:
           entry_name: its name.
-          fleet: what is known of the deployment.
+          fleet: the view of the deployment.
           pool: connections to upstreams.
-          client: the store, whose calls are counted.
-          follower: keeps the picture, and the configurations before.
+          client: client of the store, which counts its calls.
+          follower: holds the age of the view and past configurations.
           measures: counters and histograms.
-          running: requests under way.
+          running: requests in flight.
         """
         self._entry_name = entry_name
         self._fleet = fleet
@@ -49,7 +49,7 @@
         self._running = running
 
     def metrics(self) -> bytes:
-        """Returns the metrics, with the gauges as of now."""
+        """Returns the metrics with up-to-date gauges."""
         measures = self._measures
         now = now_s()
         table = self._fleet.table
@@ -67,14 +67,14 @@
             measures.use.labels(service).set(use)
         for event, count in log.left_out().items():
             measures.left_out.labels(event).set(count)
-        return measures.text()
+        return measures.render()
 
     def status(self, *, ready: bool, leaving: bool) -> dict[str, object]:
-        """Returns what this entry believes, with the age of each figure.
+        """Returns this entry's view of the fleet, with the age of its data.
 
         Args:
-          ready: whether the entry takes new callers.
-          leaving: whether it is on its way out.
+          ready: whether the entry accepts new callers.
+          leaving: whether it is stopping.
         """
         now = now_s()
         upstreams = []
@@ -102,7 +102,7 @@
         }
 
     def configuration(self, *, version: int) -> dict[str, object] | None:
-        """Returns a configuration that was in force; 0 for the one that is."""
+        """Returns a past configuration, or the one in force for 0."""
         found = self._follower.history.find(version)
         if found is None:
             return None
@@ -113,7 +113,7 @@
                 {
                     "version": kept.version,
                     "revision": kept.revision,
-                    "in_force_s_ago": round(now - kept.since_s, 2),
+                    "in_force_s_ago": round(now - kept.in_force_since_s, 2),
                 }
             )
         return {
@@ -128,7 +128,7 @@
 def describe_upstream(
     upstream: UpstreamState, fleet: Fleet, now: float
 ) -> dict[str, object]:
-    """Returns what is believed of an upstream, with the age of its load."""
+    """Returns the known state of an upstream, with the age of its load."""
     record = upstream.record
     age_s = upstream.load_age_s(now_s=now)
     return {
@@ -139,7 +139,7 @@
         "busy": round(
             upstream.busy(now_s=now, peers_heard=fleet.peers_heard), 1
         ),
-        "load_age_s": round(age_s, 2) if age_s < NEVER_S else None,
+        "load_age_s": round(age_s, 2) if age_s < NO_REPORT_AGE_S else None,
         "in_flight": upstream.in_flight,
         "draining": record.draining,
         "paused": upstream.paused(),
--- a/almondstair/gateway/pages.py
+++ b/almondstair/gateway/pages.py
@@ -1,4 +1,4 @@
-"""The pages that the platform and callers ask besides requests."""
+"""HTTP pages for the platform, operators, peers and callers' lookups."""
 
 import abc
 
@@ -7,25 +7,25 @@
 from tornado import netutil
 from tornado import web
 
-# How long callers keep a look-up. A leaving entry serves on for this long, so
-# short ones make stops short; each caller asks once in this time.
+# How long callers cache a lookup. A stopping entry serves for this long, so a
+# short time makes stops short; each caller sends one lookup in this time.
 LOOKUP_TTL_S = 2.0
 
 
-class PageSource(abc.ABC):
-    """What the pages need from the entry."""
+class PageData(abc.ABC):
+    """Supplies the content of the pages."""
 
     @abc.abstractmethod
     def is_ready(self) -> bool:
-        """Whether the entry takes new callers."""
+        """Returns whether the entry accepts new callers."""
 
     @abc.abstractmethod
     def addresses(self, *, region: str, caller: str) -> list[str]:
-        """Returns entries for a caller of a region."""
+        """Returns addresses of entries for a caller of a region."""
 
     @abc.abstractmethod
-    def changes(self, *, source: str, after: int) -> bytes:
-        """Returns what another entry lacks of this one's picture."""
+    def mirror_changes(self, *, source: str, after: int) -> bytes:
+        """Returns the encoded store changes that another entry lacks."""
 
     @abc.abstractmethod
     def metrics(self) -> bytes:
@@ -33,72 +33,72 @@
 
     @abc.abstractmethod
     def status(self) -> dict[str, object]:
-        """Returns what this entry believes, with the age of each figure."""
+        """Returns this entry's view of the fleet, with the age of its data."""
 
     @abc.abstractmethod
     def configuration(self, *, version: int) -> dict[str, object] | None:
-        """Returns a configuration that was in force; 0 for the one that is."""
+        """Returns a past configuration, or the one in force for 0."""
 
     @abc.abstractmethod
     def lookup_ttl_s(self) -> float:
-        """Returns how long callers may keep a look-up, in seconds."""
+        """Returns how long callers may cache a lookup, in seconds."""
 
 
 class _Page(web.RequestHandler):
-    def initialize(self, source: PageSource) -> None:
-        """Takes the entry behind the page."""
+    def initialize(self, source: PageData) -> None:
+        """Sets the source of the page's content."""
         self.source = source
 
     def compute_etag(self) -> None:
-        """Saves a digest that nobody asks for."""
+        """Skips the digest of each response, which no client uses."""
 
 
 class ReadyPage(_Page):
-    """Says whether the entry takes new callers."""
+    """Shows whether the entry accepts new callers."""
 
     def get(self) -> None:
-        """Answers 200 when it does, else 503."""
+        """Responds 200 if it does, else 503."""
         if not self.source.is_ready():
             self.set_status(503)
 
 
 class ChangesPage(_Page):
-    """Tells other entries what this one took from the store."""
+    """Sends this entry's copy of the store's data to other entries."""
 
     def get(self) -> None:
-        """Answers with the changes after a number of this mirror."""
+        """Responds with the changes after a number of this mirror."""
         source = self.get_query_argument("source", "")
         after = self.get_query_argument("after", "0")
         if not after.isdigit():
             self.set_status(400)
             return
         self.set_header("Content-Type", "application/msgpack")
-        self.write(self.source.changes(source=source, after=int(after)))
+        self.write(self.source.mirror_changes(source=source, after=int(after)))
 
 
 class MetricsPage(_Page):
     """Shows counters and histograms."""
 
     def get(self) -> None:
-        """Answers in the Prometheus text format."""
+        """Responds in the Prometheus text format."""
         self.set_header("Content-Type", "text/plain; version=0.0.4")
         self.write(self.source.metrics())
 
 
 class StatusPage(_Page):
-    """Shows what this entry believes of the fleet."""
+    """Shows this entry's view of the fleet."""
 
     def get(self) -> None:
-        """Answers with JSON for `almondstairctl gateway status`."""
+        """Responds with JSON for `almondstairctl gateway status`."""
         self.set_header("Content-Type", "application/json")
         self.write(msgspec.json.encode(self.source.status()))
 
 
 class ConfigurationPage(_Page):
-    """Shows a configuration that this entry had in force."""
+    """Shows a configuration that is or was in force at this entry."""
 
     def get(self) -> None:
-        """Answers with JSON for `almondstairctl gateway config`."""
+        """Responds with JSON for `almondstairctl gateway config`."""
         version = self.get_query_argument("version", "0")
         if not version.isdigit():
             self.set_status(400)
@@ -112,10 +112,10 @@
 
 
 class LookupPage(_Page):
-    """Names the entries that a caller should use."""
+    """Resolves the entries that a caller should use."""
 
     def get(self) -> None:
-        """Answers with addresses and how long to keep them."""
+        """Responds with addresses and how long to cache them."""
         region = self.get_query_argument("region", "")
         caller = self.request.remote_ip or ""
         addresses = self.source.addresses(region=region, caller=caller)
@@ -131,19 +131,19 @@
 
 
 class Pages:
-    """Serves pages on the addresses of the settings."""
+    """Serves the pages on their addresses."""
 
-    def __init__(self, *, source: PageSource) -> None:
-        """Makes the servers.
+    def __init__(self, *, source: PageData) -> None:
+        """Creates the pages without listening.
 
         Args:
-          source: the entry behind them.
+          source: supplies their content.
         """
         self._source = source
         self._servers: list[httpserver.HTTPServer] = []
 
     def serve_ready(self, address: str) -> None:
-        """Serves the page that says whether the entry is ready."""
+        """Serves the readiness page."""
         self._listen(address, [("/ready", ReadyPage)])
 
     def serve_operators(self, address: str) -> None:
@@ -158,30 +158,32 @@
         )
 
     def serve_peers(self, address: str) -> None:
-        """Serves other entries."""
+        """Serves store changes to other entries."""
         self._listen(address, [("/changes", ChangesPage)])
 
     def serve_lookups(self, address: str) -> None:
-        """Serves look-ups."""
+        """Serves lookups."""
         self._listen(address, [("/resolve", LookupPage)])
 
     def _listen(
         self, address: str, pages: list[tuple[str, type[_Page]]]
     ) -> None:
-        rules: list[tuple[str, type[_Page], dict[str, PageSource]]] = []
+        rules: list[tuple[str, type[_Page], dict[str, PageData]]] = []
         for path, page in pages:
             rules.append((path, page, {"source": self._source}))
-        application = web.Application(list(rules), log_function=_no_log)
+        application = web.Application(
+            list(rules), log_function=_skip_access_log
+        )
         server = httpserver.HTTPServer(application)
         ip, _, port = address.rpartition(":")
         server.add_sockets(netutil.bind_sockets(int(port), address=ip))
         self._servers.append(server)
 
     def stop(self) -> None:
-        """Takes no more connections."""
+        """Stops accepting connections."""
         for server in self._servers:
             server.stop()
 
 
-def _no_log(_: web.RequestHandler) -> None:
-    """Keeps tornado from logging each page; refusals show in our own log."""
+def _skip_access_log(_: web.RequestHandler) -> None:
+    """Disables tornado's access log; rejections are in the gateway's log."""
--- a/almondstair/gateway/peer_messages.py
+++ b/almondstair/gateway/peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages that gateways send each other as datagrams."""
+"""Messages between gateways, sent as datagrams."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 class Own(msgspec.Struct, array_like=True, tag=0):
-    """One entry's requests, to the reporter of its zone."""
+    """One entry's loads, sent to its zone's reporter; see `Total`."""
 
     entry: str
     loads: Loads
@@ -17,8 +17,8 @@
     places: list[Place] = []
 
 
-class ZoneSum(msgspec.Struct, array_like=True, tag=1):
-    """A zone's requests, from its reporter to those of other zones."""
+class ZoneLoads(msgspec.Struct, array_like=True, tag=1):
+    """The sum of a zone's loads, sent to other reporters; see `Total`."""
 
     entry: str
     zone: str
@@ -29,15 +29,16 @@
 
 
 class Total(msgspec.Struct, array_like=True, tag=2):
-    """Everybody's requests, from a reporter to its zone.
+    """The total of all zones' loads, sent by a reporter to its zone.
 
     Attributes:
-      entry: the reporter.
-      complete: whether every zone's sum is in it.
-      loads: requests by the hash of the upstream's incarnation.
-      replaced: upstreams whose addresses have other incarnations now.
-      strikes: requests that may crash upstreams.
-      places: objects and upstreams that know them, found lately.
+      entry: the entry that sends it.
+      complete: whether it includes the sum of every zone.
+      loads: in-flight requests by the hash of the upstream's incarnation.
+      replaced: hashes of upstreams that were replaced at their addresses.
+      strikes: pairs of a request's fingerprint and the hash of an upstream
+        that the request may have crashed.
+      places: recently found cached objects and their upstreams.
     """
 
     entry: str
@@ -49,12 +50,12 @@
 
 
 class PlanTold(msgspec.Struct, array_like=True, tag=3):
-    """The plan in force, from its maker to other reporters, and to a zone.
+    """The plan in force, sent to other reporters and by them to their zones.
 
     Attributes:
-      entry: who tells it.
+      entry: the entry that sends it.
       zone: the zone whose reporter made it.
-      plan: how keys are dealt out to upstreams.
+      plan: the assignment of keys to upstreams.
     """
 
     entry: str
@@ -62,18 +63,18 @@
     plan: Plan
 
 
-class PlacesTold(msgspec.Struct, array_like=True, tag=4):
-    """Objects and upstreams that know them, to an entry that is new."""
+class CachedObjects(msgspec.Struct, array_like=True, tag=4):
+    """All cached objects and their upstreams, sent to a new entry."""
 
     entry: str
     places: list[Place]
 
 
-class LossTold(msgspec.Struct, array_like=True, tag=5):
-    """A request that was lost at an upstream, told before its caller knows.
+class LostRequest(msgspec.Struct, array_like=True, tag=5):
+    """A request lost at an upstream, reported before its caller hears of it.
 
     Attributes:
-      entry: who lost it.
+      entry: the entry that lost it.
       request: its fingerprint.
       upstream: hash of the upstream's incarnation.
       ran_ms: how long it had run there, in milliseconds.
@@ -85,13 +86,13 @@
     ran_ms: int
 
 
-class GoneTold(msgspec.Struct, array_like=True, tag=6):
-    """An upstream that is gone, and the requests that were lost there.
+class UpstreamGone(msgspec.Struct, array_like=True, tag=6):
+    """A gone upstream and the requests that were lost there.
 
     Attributes:
-      entry: who found it gone.
+      entry: the entry that found it gone.
       upstream: hash of its incarnation.
-      requests: fingerprints.
+      requests: fingerprints of the lost requests.
     """
 
     entry: str
@@ -99,15 +100,23 @@
     requests: list[int]
 
 
-Message = Own | ZoneSum | Total | PlanTold | PlacesTold | LossTold | GoneTold
+Message = (
+    Own
+    | ZoneLoads
+    | Total
+    | PlanTold
+    | CachedObjects
+    | LostRequest
+    | UpstreamGone
+)
 
 _DECODER = msgspec.msgpack.Decoder(Message)
 
 
 def decode(data: bytes) -> Message:
-    """Reads a datagram.
+    """Decodes a datagram.
 
     Raises:
-      msgspec.MsgspecError: it is no message of this version.
+      msgspec.MsgspecError: the datagram is not a valid message.
     """
     return _DECODER.decode(data)
--- a/almondstair/gateway/reaching.py
+++ b/almondstair/gateway/reaching.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams, and finding out which ones are back."""
+"""Opening of connections to upstreams, and probing of unreachable ones."""
 
 import asyncio
 from collections.abc import Iterable
@@ -12,35 +12,35 @@
 from almondstair.gateway.upstream_connection import UpstreamConnection
 from almondstair.gateway.upstream_pool import UpstreamPool
 
-# Longest time for a new connection. A round trip between the farthest regions
-# is 0.11 s; an upstream that needs longer than twice that is not there.
+# A round trip between the farthest regions takes 0.11 s; an upstream that needs
+# more than twice that to accept a connection is unreachable.
 CONNECT_TIMEOUT_S = 0.3
-# Round trip to another region before the first connection to it.
-FIRST_ROUND_TRIP_S = 0.05
-# Weight of the newest connection in the mean round trip to a region.
+# Assumed round trip to another region before the first connection to it.
+INITIAL_ROUND_TRIP_S = 0.05
+# Weight of the newest sample in the average round trip to a region.
 ROUND_TRIP_WEIGHT = 0.2
-# Pause until the upstream of a lost answer is connected to, and how long after
-# the answer it has to keep that connection to be taken for one that lives: one
-# that crashes may still accept connections in the first moment.
+# Pause after a lost response before the upstream is probed, and how long after
+# the loss it must keep the probe's connection to count as alive: a crashing
+# upstream may still accept connections for a moment.
 FIRST_CHECK_S = 0.005
-SETTLED_S = 0.025
-# How long after a lost answer that connection goes on being watched.
+ALIVE_AFTER_S = 0.025
+# How long after a lost response the probe's connection is watched.
 LOOK_AFTER_S = 0.15
-# How often a connection that has to be kept is looked at.
-CHECK_POLL_S = 0.005
-# Pause before the first look at an upstream that could not be reached, how much
-# longer each next one is, and the longest. One that crashed is back after some
-# seconds; a look takes a connection and no caller's time.
+# How often a watched connection is checked.
+OPEN_POLL_S = 0.005
+# First pause between probes of an unreachable upstream, growth factor and
+# maximum. A crashed upstream is back after some seconds; a probe costs one
+# connection and delays no caller.
 FIRST_LOOK_S = 0.5
-LOOK_GROWTH = 1.5
-LONGEST_LOOK_S = 8.0
+PROBE_BACKOFF_FACTOR = 1.5
+MAX_PROBE_PAUSE_S = 8.0
 
 
 class Reaching:
-    """Opens connections to upstreams and looks after those that are gone.
+    """Opens connections to upstreams and probes unreachable ones.
 
     Attributes:
-      round_trips_s: round trip to each other region, in seconds.
+      round_trips_s: average round trip to each other region, in seconds.
     """
 
     def __init__(
@@ -52,49 +52,49 @@
         own_region: str,
         regions: Iterable[str],
     ) -> None:
-        """Makes the opener of one entry.
+        """Creates the connector of one entry.
 
         Args:
-          fleet: what is known of the deployment.
-          pool: keeps connections.
-          suspects: requests that may crash upstreams.
+          fleet: the view of the deployment.
+          pool: connections to upstreams.
+          suspects: reports on requests that may crash upstreams.
           own_region: region of this entry.
-          regions: every region.
+          regions: all regions.
         """
         self._fleet = fleet
         self._pool = pool
-        self._suspects = suspects
-        self._looks: dict[str, asyncio.Task[None]] = {}
+        self._crash_reports = suspects
+        self._probes: dict[str, asyncio.Task[None]] = {}
         self._lost_at_s: dict[str, float] = {}
         self._own_region = own_region
         self.round_trips_s: dict[str, float] = {}
         self.know_regions(regions)
 
     def know_regions(self, regions: Iterable[str]) -> None:
-        """Starts to measure the way to regions that are new."""
+        """Adds regions to which round trips are measured."""
         for region in regions:
             if region != self._own_region:
-                self.round_trips_s.setdefault(region, FIRST_ROUND_TRIP_S)
+                self.round_trips_s.setdefault(region, INITIAL_ROUND_TRIP_S)
 
     async def open(self, upstream: UpstreamState) -> UpstreamConnection | None:
-        """Opens a connection for a request; None when there is no answer."""
+        """Opens a connection for a request; None if that fails."""
         connection = await self._connect(upstream)
         if connection is None:
-            self._look(upstream, FIRST_LOOK_S)
+            self._start_probe(upstream, FIRST_LOOK_S)
         return connection
 
     def look_after(self, upstream: UpstreamState) -> None:
-        """Finds out whether an upstream that lost an answer is gone.
+        """Probes an upstream after a lost response.
 
-        What goes wrong without: nobody connects to it for a while, and what
-        ended it is sent to the next upstream meanwhile.
+        Otherwise nothing might connect to it for a while, and the request that
+        crashed it would be sent to the next upstream in the meantime.
         """
         self._lost_at_s[upstream.incarnation] = now_s()
-        self._look(upstream, FIRST_CHECK_S)
+        self._start_probe(upstream, FIRST_CHECK_S)
 
     def close(self) -> None:
-        """Looks no more."""
-        for task in list(self._looks.values()):
+        """Cancels all probes."""
+        for task in list(self._probes.values()):
             task.cancel()
 
     async def _connect(
@@ -108,12 +108,12 @@
             )
         except (OSError, TimeoutError) as error:
             upstream.note_unreachable(now_s=now_s())
-            self._suspects.note_gone(upstream)
+            self._crash_reports.note_gone(upstream)
             log.event(
                 log.Event.UPSTREAM_UNREACHABLE,
                 upstream=record.upstream_id,
                 address=record.address,
-                detail=str(error) or "no answer to a connection",
+                detail=str(error) or "connection timed out",
             )
             return None
         self._note_round_trip(upstream.region, now_s() - began_s)
@@ -126,37 +126,39 @@
             sample_s - before_s
         )
 
-    def _look(self, upstream: UpstreamState, first_s: float) -> None:
+    def _start_probe(self, upstream: UpstreamState, first_s: float) -> None:
         incarnation = upstream.incarnation
-        if incarnation in self._looks:
+        if incarnation in self._probes:
             return
-        self._looks[incarnation] = asyncio.ensure_future(
-            self._look_until_back(upstream, first_s)
+        self._probes[incarnation] = asyncio.ensure_future(
+            self._probe_until_back(upstream, first_s)
         )
 
-    async def _look_until_back(
+    async def _probe_until_back(
         self, upstream: UpstreamState, first_s: float
     ) -> None:
-        """Connects now and then until an upstream answers or is not listed.
+        """Probes an upstream until it is reachable or no longer registered.
 
-        What goes wrong if requests find that out: each entry sends some to each
-        upstream that is gone, and each of them is late by the time to connect;
-        the lines of event 411 tell.
+        Without probes, each entry would send requests to each gone upstream to
+        find out, and each would be delayed by the connection timeout; the log
+        lines of event 411 show this.
         """
         pause_s = first_s
         try:
-            while not await self._is_back(upstream, pause_s):
+            while not await self._probe_once(upstream, pause_s):
                 if upstream.was_unreachable:
-                    pause_s = max(FIRST_LOOK_S, LOOK_GROWTH * pause_s)
-                    pause_s = min(LONGEST_LOOK_S, pause_s)
+                    pause_s = max(FIRST_LOOK_S, PROBE_BACKOFF_FACTOR * pause_s)
+                    pause_s = min(MAX_PROBE_PAUSE_S, pause_s)
         finally:
-            # Before anything else runs: a request that finds it gone again
-            # would take this look for one that goes on, and nobody would look.
-            self._looks.pop(upstream.incarnation, None)
+            # Before any other task runs: a request that finds the upstream
+            # gone again would assume that this probe continues.
+            self._probes.pop(upstream.incarnation, None)
             self._lost_at_s.pop(upstream.incarnation, None)
 
-    async def _is_back(self, upstream: UpstreamState, pause_s: float) -> bool:
-        """Whether an upstream answers after a pause, or needs no more looks."""
+    async def _probe_once(
+        self, upstream: UpstreamState, pause_s: float
+    ) -> bool:
+        """Probes once after a pause; returns whether to stop probing."""
         await asyncio.sleep(pause_s)
         name = upstream.name_hash
         if self._fleet.by_hash.get(name) is not upstream:
@@ -172,12 +174,12 @@
     async def _stays_open(
         self, connection: UpstreamConnection, upstream: UpstreamState
     ) -> bool:
-        """Whether an upstream keeps a connection while it may be ending."""
+        """Returns whether a connection stays open after a lost response."""
         while connection.usable:
             lost_s = self._lost_at_s.get(upstream.incarnation, -math.inf)
-            if now_s() >= lost_s + SETTLED_S:
-                self._suspects.note_lives(upstream)
+            if now_s() >= lost_s + ALIVE_AFTER_S:
+                self._crash_reports.note_lives(upstream)
             if now_s() >= lost_s + LOOK_AFTER_S:
                 return True
-            await asyncio.sleep(CHECK_POLL_S)
+            await asyncio.sleep(OPEN_POLL_S)
         return False
--- a/almondstair/gateway/registering.py
+++ b/almondstair/gateway/registering.py
@@ -1,4 +1,4 @@
-"""Registers this entry in the platform's store while it lives."""
+"""Registration of this entry in the platform's store."""
 
 import asyncio
 import random
@@ -10,22 +10,22 @@
 from almondstair.platform import documents
 from almondstair.platform.kv import KvClient
 
-# Life of the registration without renewal: a killed entry is out of look-ups
-# within this time and a poll, 4 s in all, under the 6 s that the operators
-# allow; longer than the pauses that a busy store makes.
+# TTL of the registration. A killed entry is out of lookups after the TTL and
+# a poll, 4 s in all, within the 6 s that the operators allow. The TTL is longer
+# than the pauses of a busy store.
 LEASE_S = 3.0
-# Two renewals a lease. They are most of an entry's calls to the store; at
-# 1.0 s there were 1.4 times as many.
-RENEWAL_S = 1.4
+# Two renewals in a TTL. Renewals are most of an entry's calls to the store; an
+# interval of 1.0 s made 1.4 times as many.
+RENEWAL_INTERVAL_S = 1.4
 RENEWAL_JITTER = 0.1
-# Pauses after renewals that failed, one after the other. What goes wrong
-# without: an answer that is lost takes 1 s to be given up, the next renewal
-# comes after the lease's end, and a live entry is out of look-ups.
-RETRIES_S = (0.1, 0.3, 0.9)
+# Pauses after consecutive failed renewals. A lost response takes 1 s to time
+# out; after the full interval, the next renewal would come after the lease has
+# expired, and a live entry would be missing from lookups.
+RETRY_PAUSES_S = (0.1, 0.3, 0.9)
 
 
 class Registration:
-    """Keeps this entry's key under a lease of its own."""
+    """Keeps this entry's key in the store under a lease."""
 
     def __init__(
         self,
@@ -36,14 +36,14 @@
         record: documents.EntryRecord,
         shortest_lease_s: float,
     ) -> None:
-        """Makes the registration of an entry.
+        """Creates the registration of an entry.
 
         Args:
-          client: the store.
-          fleet: is told until when this entry is surely registered.
+          client: client of the store.
+          fleet: gets the time until which this entry is certainly registered.
           name: name of this entry's VM.
-          record: what is registered.
-          shortest_lease_s: shortest life of a lease that the store grants.
+          record: the registered value.
+          shortest_lease_s: shortest lease that the store grants, in seconds.
         """
         self._client = client
         self._fleet = fleet
@@ -76,25 +76,29 @@
             ):
                 return
             self._lease = lease
-        # The lease runs from the call's arrival, which was not before this.
+        # The lease starts when the call arrives, not before `began_s`.
         self._fleet.note_registered(
             until_s=began_s + self._ttl_s, anew=anew, now_s=now_s()
         )
 
     async def end(self) -> None:
-        """Takes the registration away at a planned stop."""
+        """Ends the lease at a planned stop, which removes the registration."""
         if not self._lease:
             return
         try:
             await self._client.end_lease(self._lease)
         except AlmondstairError as error:
-            # The lease ends by itself; callers meet a closing entry until then.
+            # The lease expires; until then, callers find a closing entry.
             log.event(log.Event.REGISTRATION_LATE, detail=error.detail)
 
 
 def _pause_s(failed: int) -> float:
-    """Returns the time to the next renewal after failures in a row."""
-    pause_s = RENEWAL_S
-    if 0 < failed <= len(RETRIES_S):
-        pause_s = RETRIES_S[failed - 1]
+    """Returns the pause before the next renewal, with jitter.
+
+    Args:
+      failed: number of consecutive failures.
+    """
+    pause_s = RENEWAL_INTERVAL_S
+    if 0 < failed <= len(RETRY_PAUSES_S):
+        pause_s = RETRY_PAUSES_S[failed - 1]
     return pause_s * random.uniform(1 - RENEWAL_JITTER, 1 + RENEWAL_JITTER)
--- a/almondstair/gateway/registrations.py
+++ b/almondstair/gateway/registrations.py
@@ -1,4 +1,4 @@
-"""Takes registrations of upstreams and entries into the fleet's picture."""
+"""Registrations of upstreams and entries, applied to the view of the fleet."""
 
 from collections import OrderedDict
 from collections.abc import Collection
@@ -8,81 +8,80 @@
 from almondstair.core.fleet import Fleet
 from almondstair.core.registered import Entry
 from almondstair.core.upstream_state import UpstreamRecord
-from almondstair.gateway.change_lines import ChangeLines
+from almondstair.gateway.change_lines import ChangeLog
 from almondstair.gateway.mirror import Mirror
 from almondstair.gateway.upstream_pool import UpstreamPool
 from almondstair.platform import documents
 from almondstair.platform.kv import Item
 
-# Keys whose unreadable registrations were logged; each is logged once as long
-# as it is remembered. Another writer's may change many times a second.
-LOGGED_KEYS = 256
+# Keys whose unreadable registrations are logged only once. A foreign writer may
+# change its key many times a second.
+MAX_LOGGED_KEYS = 256
 
 
 class Registrations:
-    """Keeps upstreams and entries as they are registered.
+    """Applies registrations of upstreams and entries.
 
-    What names none to use changes nothing: one that had a good registration
-    keeps it until the key is removed.
+    An unreadable registration changes nothing: an earlier valid one stays in
+    force until its key is removed.
 
     Attributes:
-      lines: log lines on what changes.
+      change_log: logs the changes.
     """
 
     def __init__(
         self, *, fleet: Fleet, pool: UpstreamPool, mirror: Mirror
     ) -> None:
-        """Makes the taker of one entry's follower.
+        """Creates the registrations that one entry knows.
 
         Args:
-          fleet: the picture to keep.
+          fleet: the view to update.
           pool: connections to upstreams; those of gone ones are closed.
-          mirror: what other entries are told.
+          mirror: gets the changes that other entries need.
         """
         self._fleet = fleet
         self._pool = pool
         self._mirror = mirror
-        self.lines = ChangeLines()
-        # Revision of the last registration taken, by the upstream's id.
-        self._registered_at: dict[str, int] = {}
+        self.change_log = ChangeLog()
+        # Revision of the last applied registration, by the upstream's id.
+        self._revisions: dict[str, int] = {}
         self._logged: OrderedDict[str, None] = OrderedDict()
 
-    def count_anew(self) -> None:
-        """The store is another one: its revisions count from elsewhere."""
-        self._registered_at.clear()
+    def reset_revisions(self) -> None:
+        """Forgets the revisions of a store that was replaced by another."""
+        self._revisions.clear()
 
-    def take_upstream(self, item: Item) -> None:
-        """Takes a registration of an upstream, or its removal."""
+    def apply_upstream(self, item: Item) -> None:
+        """Applies a registration of an upstream, or its removal."""
         upstream_id = item.key.removeprefix(documents.UPSTREAM_PREFIX)
         if item.value is None:
             self._remove_upstream(upstream_id, item.revision)
             return
         record = documents.read_upstream(item.key, item.value)
         if record is None:
-            self._note_bad(item)
+            self._log_unreadable(item)
             return
-        if item.revision <= self._registered_at.get(upstream_id, 0):
-            # A peer that is asked for the first time tells everything, each
-            # upstream as of its last change: renewals after that are not told
-            # on. Taken as of now, a registration from an upstream's start
-            # would make it cold for as long as it said then, and its service
-            # would refuse requests with free slots meanwhile.
+        if item.revision <= self._revisions.get(upstream_id, 0):
+            # A peer's first response has each upstream's last change, without
+            # later renewals. Applied as current, a registration from an
+            # upstream's start would make it cold for as long as it reported
+            # then, and its service would reject requests despite free slots.
             record = record._replace(cold_left_s=0.0)
         taken = self._fleet.take_upstream(record, now_s=now_s())
         if taken.ended:
             self._pool.forget(incarnation=taken.ended)
-            self.lines.write(
+            self.change_log.write(
                 log.Event.UPSTREAM_GONE,
                 group=record.service,
                 upstream=taken.ended,
             )
         if taken.used:
-            known = self._registered_at.get(upstream_id, 0)
-            self._registered_at[upstream_id] = max(known, item.revision)
+            known = self._revisions.get(upstream_id, 0)
+            self._revisions[upstream_id] = max(known, item.revision)
         if not taken.changed:
             return
         self._mirror.put(item.key, item.value, item.revision)
-        self.lines.write(
+        self.change_log.write(
             log.Event.UPSTREAM_CHANGED,
             group=f"{record.service} {record.availability_zone}",
             upstream=record.incarnation,
@@ -94,26 +93,26 @@
         )
 
     def _remove_upstream(self, upstream_id: str, revision: int) -> None:
-        if revision < self._registered_at.get(upstream_id, 0):
-            # It is of the incarnation before the one that is registered: a
-            # peer's word that is older than what the store told meanwhile.
+        if revision < self._revisions.get(upstream_id, 0):
+            # The removal concerns an earlier incarnation: a peer's data is
+            # older than what the store has sent since.
             return
         record = self._fleet.drop_upstream(upstream_id, now_s=now_s())
         if record is not None:
             self.upstream_gone(record, revision=revision)
 
     def upstream_gone(self, record: UpstreamRecord, *, revision: int) -> None:
-        """Closes what belongs to an upstream that is not registered any more.
+        """Cleans up after an upstream that is no longer registered.
 
         Args:
           record: its last registration.
-          revision: the store's revision as of which it is gone.
+          revision: the store's revision of its removal.
         """
-        self._registered_at.pop(record.upstream_id, None)
+        self._revisions.pop(record.upstream_id, None)
         self._pool.forget(incarnation=record.incarnation)
         key = documents.UPSTREAM_PREFIX + record.upstream_id
         self._mirror.remove(key, revision)
-        self.lines.write(
+        self.change_log.write(
             log.Event.UPSTREAM_GONE,
             group=record.service,
             upstream=record.incarnation,
@@ -122,11 +121,11 @@
     def drop_unlisted_upstreams(
         self, keys: Collection[str], *, revision: int
     ) -> None:
-        """Drops the upstreams that a whole listing lacks.
+        """Drops the upstreams that are missing from a full listing.
 
         Args:
-          keys: every key of the listing.
-          revision: the store's revision that it is as of.
+          keys: all keys of the listing.
+          revision: the store's revision of the listing.
         """
         listed = set()
         for key in keys:
@@ -135,14 +134,14 @@
         for record in self._fleet.forget_unlisted(listed, now_s=now_s()):
             self.upstream_gone(record, revision=revision)
 
-    def take_entry(self, item: Item) -> None:
-        """Takes a registration of an entry."""
+    def apply_entry(self, item: Item) -> None:
+        """Applies a registration of an entry."""
         if item.value is None:
             return
         name = item.key.removeprefix(documents.ENTRY_PREFIX)
         record = documents.read_entry(item.value)
         if record is None or not name:
-            self._note_bad(item)
+            self._log_unreadable(item)
             return
         entry = Entry(
             name=name,
@@ -155,7 +154,7 @@
         )
         if self._fleet.take_entry(entry):
             self._mirror.put(item.key, item.value, item.revision)
-            self.lines.write(
+            self.change_log.write(
                 log.Event.ENTRY_CHANGED,
                 group=entry.availability_zone,
                 entry=name,
@@ -163,11 +162,11 @@
                 revision=item.revision,
             )
 
-    def _note_bad(self, item: Item) -> None:
+    def _log_unreadable(self, item: Item) -> None:
         if item.key in self._logged:
             return
         self._logged[item.key] = None
-        if len(self._logged) > LOGGED_KEYS:
+        if len(self._logged) > MAX_LOGGED_KEYS:
             self._logged.popitem(last=False)
         log.event(
             log.Event.REGISTRATION_BAD, key=item.key, revision=item.revision
--- a/almondstair/gateway/settings_watch.py
+++ b/almondstair/gateway/settings_watch.py
@@ -1,8 +1,7 @@
-"""Takes changes of the settings file into the running process.
+"""Applies changes of the settings file to the running process.
 
-What goes wrong without: the platform rewrites the file, with a signal or
-without one, and the process keeps to bounds, zones and a store's address that
-are no longer true until it is started anew.
+The platform rewrites the file, with or without a signal. Without the watch, the
+process would use outdated bounds, zones and store addresses until a restart.
 """
 
 import asyncio
@@ -13,10 +12,10 @@
 from almondstair.errors import AlmondstairError
 from almondstair.platform import boot
 
-# How often the file is looked at. A new bound is in force well within the
-# operators' shortest one, 2 s; reading 4 kB takes 15 us (a loop).
-LOOK_S = 1.0
-# What sockets, names and registrations were made from.
+# How often the file is read. A new bound comes into force well within the
+# operators' shortest one, 2 s; reading 4 kB takes 15 us.
+POLL_INTERVAL_S = 1.0
+# Settings that need a restart: sockets, names and registrations depend on them.
 FIXED_FIELDS = (
     "entry_name",
     "region",
@@ -28,34 +27,34 @@
 )
 
 
-class SettingsWatch:
-    """Reads the settings file again when its text has changed."""
+class SettingsWatcher:
+    """Reloads the settings file when its text has changed."""
 
     def __init__(
         self,
         *,
         path: str,
         settings: boot.BootSettings,
-        take: Callable[[boot.BootSettings], None],
+        apply: Callable[[boot.BootSettings], None],
     ) -> None:
-        """Makes a watch.
+        """Creates a watcher.
 
         Args:
           path: the file that `settings` came from.
-          settings: what is in force.
-          take: puts new settings in force; what needs a restart is as before
-            in them.
+          settings: the settings in force.
+          apply: puts new settings into force; those that need a restart are
+            unchanged in them.
         """
         self._path = path
         self._settings = settings
-        self._take = take
+        self._apply = apply
         self._text: bytes | None = None
 
     async def run(self) -> None:
-        """Looks at the file until it is cancelled."""
+        """Polls the file until it is cancelled."""
         self._text = self._read()
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             text = self._read()
             if text is not None and text != self._text:
                 self._text = text
@@ -65,12 +64,12 @@
         try:
             return Path(self._path).read_bytes()
         except OSError:
-            # Between two files while it is replaced; the next look finds it.
-            # A signal's reload tells of a file that is gone.
+            # The file is being replaced; the next poll finds it. A reload by
+            # a signal logs a missing file.
             return None
 
     def reload(self) -> None:
-        """Reads the file and puts in force what can be."""
+        """Reads the file and applies what does not need a restart."""
         try:
             read = boot.load(self._path)
         except AlmondstairError as error:
@@ -78,11 +77,11 @@
             return
         fixed = {name: getattr(self._settings, name) for name in FIXED_FIELDS}
         wanted = read._replace(**fixed)
-        changed = _differing(self._settings, wanted)
-        after_restart = _differing(wanted, read)
+        changed = _changed_fields(self._settings, wanted)
+        after_restart = _changed_fields(wanted, read)
         self._settings = wanted
         if changed:
-            self._take(wanted)
+            self._apply(wanted)
         log.event(
             log.Event.GATEWAY_RELOADED,
             changed=changed,
@@ -90,7 +89,9 @@
         )
 
 
-def _differing(one: boot.BootSettings, other: boot.BootSettings) -> list[str]:
+def _changed_fields(
+    one: boot.BootSettings, other: boot.BootSettings
+) -> list[str]:
     found = []
     for name in boot.BootSettings._fields:
         if getattr(one, name) != getattr(other, name):
--- a/almondstair/gateway/sources.py
+++ b/almondstair/gateway/sources.py
@@ -1,4 +1,4 @@
-"""Where an entry learns what is in the store: from it, or from a peer."""
+"""Sources of the store's data: the store itself, or a peer."""
 
 import abc
 from typing import NamedTuple
@@ -14,21 +14,21 @@
 from almondstair.platform.kv import Item
 from almondstair.platform.kv import KvClient
 
-# A peer of the same zone answers in a millisecond, one of the farthest region
-# in 0.11 s and a connection more.
+# A peer of the same zone responds in 1 ms, one of the farthest region in 0.11 s
+# and the time to connect.
 PEER_TIMEOUT_S = 0.5
 _PAGE = msgspec.msgpack.Decoder(MirrorPage)
 
 
 class Batch(NamedTuple):
-    """What a source gave.
+    """Changes from a source, or a full listing.
 
     Attributes:
-      items: what has changed, or everything.
-      listing: whether the items are all there are.
-      revision: the store's revision that they are as of.
-      age_s: how long ago the store told it, in seconds.
-      from_store: whether it comes from the store itself.
+      items: the changed items, or all.
+      listing: whether the items are a full listing.
+      revision: the store's revision that they reflect.
+      age_s: time since the store sent them, in seconds.
+      from_store: whether they come from the store itself.
     """
 
     items: list[Item]
@@ -39,11 +39,11 @@
 
 
 class Source(abc.ABC):
-    """A place to learn from what is in the store."""
+    """Supplies the store's data."""
 
     @abc.abstractmethod
     async def fetch(self, *, after: int) -> Batch:
-        """Returns what has changed after a revision, or a whole listing.
+        """Returns the changes after a revision, or a full listing.
 
         Raises:
           AlmondstairError: `platform_unavailable`.
@@ -54,11 +54,11 @@
     """The store itself."""
 
     def __init__(self, *, client: KvClient) -> None:
-        """Makes the source of a client."""
+        """Creates a source that uses a client of the store."""
         self._client = client
 
     async def fetch(self, *, after: int) -> Batch:
-        """Asks for changes; lists everything where they are not to be had."""
+        """Fetches changes, or a full listing if they are not available."""
         if after:
             page = await self._client.changes(prefix="", after=after, wait_ms=0)
             if page is not None:
@@ -72,10 +72,10 @@
         return await self._list()
 
     async def _list(self) -> Batch:
-        """Lists all pages.
+        """Returns a full listing, page by page.
 
-        Pages are not a snapshot: what changes meanwhile is in the changes
-        since the first page.
+        Pages are not a snapshot: concurrent changes are in the changes after
+        the first page's revision.
         """
         items: list[Item] = []
         after = ""
@@ -100,24 +100,24 @@
     """Another entry's mirror of the store."""
 
     def __init__(self, *, address: str) -> None:
-        """Makes the source of a peer at `ip:port`."""
+        """Creates the source of a peer at `ip:port`."""
         self.address = address
         self._caller = HttpCaller(address=address)
         self._mirror = ""
         self._number = 0
 
     def close(self) -> None:
-        """Closes the connections."""
+        """Closes the connections to the peer."""
         self._caller.close()
 
     async def fetch(self, *, after: int) -> Batch:
-        """Asks for what the mirror has that this entry lacks."""
+        """Fetches what the mirror has and this entry lacks."""
         query = {"source": self._mirror, "after": self._number}
         path = "/changes?" + parse.urlencode(query)
         page = await self._ask(path)
         if page.revision < after:
-            # Older than what this entry knows: applying it would bring back
-            # what is gone.
+            # Older than this entry's data: applying it would restore what was
+            # removed since.
             raise AlmondstairError(
                 kind=ErrorKind.PLATFORM_UNAVAILABLE,
                 detail=f"peer {self.address} is behind",
@@ -137,7 +137,7 @@
         items = []
         for told in page.items:
             try:
-                value = told.unpacked()
+                value = told.decompressed()
             except zlib.error as error:
                 raise AlmondstairError(
                     kind=ErrorKind.PLATFORM_UNAVAILABLE,
@@ -157,7 +157,7 @@
                 raise OSError(f"status {status}")
             return _PAGE.decode(body)
         except (OSError, TimeoutError, msgspec.MsgspecError) as error:
-            cause = str(error) or "no answer in time"
+            cause = str(error) or "timed out"
             raise AlmondstairError(
                 kind=ErrorKind.PLATFORM_UNAVAILABLE,
                 detail=f"peer {self.address}: {cause}",
--- a/almondstair/gateway/upstream_pool.py
+++ b/almondstair/gateway/upstream_pool.py
@@ -1,27 +1,27 @@
-"""Kept connections to upstreams, by incarnation."""
+"""Pool of idle connections to upstreams, by incarnation."""
 
 import asyncio
 
 from almondstair.gateway.upstream_connection import UpstreamConnection
 
-# A request that must not repeat is lost if it crosses the other side's close,
-# so it takes only connections that were used within this part of the idle
-# time.
-UNSAFE_USED_SHARE = 0.5
+# A request that is not idempotent fails if it arrives while the other side
+# closes the connection. It uses only connections that have been idle for less
+# than this share of the idle limit.
+NON_IDEMPOTENT_IDLE_SHARE = 0.5
 
 
 class UpstreamPool:
-    """Opens connections to upstreams and keeps them for later requests.
+    """Opens connections and keeps idle ones for later requests.
 
     Attributes:
       opened: connections opened since the start.
     """
 
     def __init__(self, *, id_header: bytes) -> None:
-        """Makes an empty pool.
+        """Creates an empty pool.
 
         Args:
-          id_header: header in which upstreams echo a request's id.
+          id_header: header in which upstreams echo the request id.
         """
         self._id_header = id_header
         self._idle: dict[str, list[UpstreamConnection]] = {}
@@ -30,14 +30,14 @@
     def take_idle(
         self, *, incarnation: str, repeatable: bool
     ) -> UpstreamConnection | None:
-        """Returns a kept connection that may be used, if any.
+        """Returns an idle connection, None if there is no suitable one.
 
         Args:
-          incarnation: where it must lead to.
-          repeatable: whether a request may be sent again if it is lost.
+          incarnation: incarnation of the upstream.
+          repeatable: whether a lost request may be resent.
         """
         idle = self._idle.get(incarnation)
-        share = 1.0 if repeatable else UNSAFE_USED_SHARE
+        share = 1.0 if repeatable else NON_IDEMPOTENT_IDLE_SHARE
         while idle:
             connection = idle.pop()
             if not connection.usable:
@@ -46,7 +46,7 @@
                 connection.close()
                 continue
             if connection.idle_too_long(used_share=share):
-                # Good enough for a repeatable request that comes later.
+                # Still usable for a later request that may be resent.
                 idle.append(connection)
                 return None
             return connection
@@ -76,17 +76,17 @@
     def give_back(
         self, connection: UpstreamConnection, *, incarnation: str
     ) -> None:
-        """Keeps a connection that may serve another request."""
+        """Returns a connection to the pool if it is still usable."""
         if not connection.usable:
             return
         self._idle.setdefault(incarnation, []).append(connection)
 
     def forget(self, *, incarnation: str) -> None:
-        """Closes the kept connections of an upstream that is gone."""
+        """Closes the idle connections of an upstream that is gone."""
         for connection in self._idle.pop(incarnation, []):
             connection.close()
 
     def close(self) -> None:
-        """Closes every kept connection."""
+        """Closes all idle connections."""
         for incarnation in list(self._idle):
             self.forget(incarnation=incarnation)
