--- a/almondstair/gateway/call_records.py
+++ b/almondstair/gateway/call_records.py
@@ -5,7 +5,7 @@
 from almondstair.core.choosing import Choice
 from almondstair.core.fleet import Fleet
 from almondstair.errors import AlmondstairError
-from almondstair.gateway.calls import Attempt
+from almondstair.gateway.calls import AttemptResult
 from almondstair.gateway.calls import Call
 from almondstair.gateway.incoming import IncomingRequest
 from almondstair.gateway.incoming import ResponseWait
@@ -58,7 +58,7 @@
         return self._fleet.table.version if self._fleet.table else 0
 
     def record_failed_attempt(
-        self, call: Call, choice: Choice, outcome: Attempt
+        self, call: Call, choice: Choice, outcome: AttemptResult
     ) -> None:
         """Records an attempt without a response that can be passed on."""
         log.event(
@@ -78,11 +78,11 @@
     def record_failed(self, call: Call, error: AlmondstairError) -> None:
         """Records a call that ends with an error of the gateway."""
         self._count(call, str(error.kind))
-        what = log.Event.GATEWAY_REFUSED
+        event = log.Event.GATEWAY_REFUSED
         if call.may_have_run:
-            what = log.Event.REQUEST_FAILED
+            event = log.Event.REQUEST_FAILED
         log.event(
-            what,
+            event,
             request=call.log_id,
             route=call.route.name,
             service=call.service,
@@ -112,7 +112,7 @@
     def record_wait(self, wait: ResponseWait) -> None:
         """Records a ready response that waited for the preceding one."""
         delivered = str(wait.delivered).lower()
-        self._measures.waited_s.labels(delivered).observe(wait.waited_s)
+        self._measures.response_wait_s.labels(delivered).observe(wait.waited_s)
         log.event(
             log.Event.ANSWER_WAITED,
             request=_request_id(wait.request),
--- a/almondstair/gateway/calls.py
+++ b/almondstair/gateway/calls.py
@@ -8,7 +8,7 @@
 from almondstair.core.placing import Asked
 from almondstair.core.routing import Route
 from almondstair.gateway.http_wire import Headers
-from almondstair.gateway.http_wire import ResponseHead
+from almondstair.gateway.http_wire import UpstreamResponseHead
 from almondstair.gateway.http_wire import encode_head
 from almondstair.gateway.http_wire import forwarded_headers
 from almondstair.gateway.incoming import IncomingRequest
@@ -36,7 +36,7 @@
     UNKNOWN = "unknown"
 
 
-class Attempt(NamedTuple):
+class AttemptResult(NamedTuple):
     """Result of one attempt at an upstream.
 
     Attributes:
@@ -172,9 +172,9 @@
     return encode_head(first_line.encode("latin-1"), headers)
 
 
-def caller_response_head(head: ResponseHead) -> ResponseHead:
+def caller_response_head(head: UpstreamResponseHead) -> UpstreamResponseHead:
     """Returns the response head that is sent to the caller."""
-    return ResponseHead(
+    return UpstreamResponseHead(
         status=head.status,
         headers=forwarded_headers(head.headers, without=_OWN_REPLY_HEADERS),
     )
--- a/almondstair/gateway/change_lines.py
+++ b/almondstair/gateway/change_lines.py
@@ -31,19 +31,19 @@
         self._single_lines_left = 0 if first else MAX_SINGLE_LINES
         self._counts.clear()
 
-    def write(self, what: log.Event, *, group: str, **fields: Any) -> None:
+    def write(self, event: log.Event, *, group: str, **fields: Any) -> None:
         """Logs a change, or counts it once the batch has too many.
 
         Args:
-          what: the event.
+          event: the event.
           group: group in which the change is counted.
           **fields: fields of the log line.
         """
         if self._single_lines_left > 0:
             self._single_lines_left -= 1
-            log.event(what, **fields)
+            log.event(event, **fields)
             return
-        self._counts[f"{what.name.lower()} {group}"] += 1
+        self._counts[f"{event.name.lower()} {group}"] += 1
 
     def end(self, *, revision: int) -> None:
         """Ends a batch and logs a summary of the counted changes.
--- a/almondstair/gateway/configuration_history.py
+++ b/almondstair/gateway/configuration_history.py
@@ -56,7 +56,7 @@
 
     def find(self, version: int) -> HistoricConfiguration | None:
         """Returns a version, or the one in force for 0; None if not kept."""
-        for kept in self.newest_first():
-            if version in (0, kept.version):
-                return kept
+        for configuration in self.newest_first():
+            if version in (0, configuration.version):
+                return configuration
         return None
--- a/almondstair/gateway/crash_words.py
+++ b/almondstair/gateway/crash_words.py
@@ -45,20 +45,24 @@
           upstream: the upstream that ran it.
           ran_s: how long it had run there, in seconds.
         """
-        name = upstream.name_hash
-        strike = Strike(request, name)
+        upstream_hash = upstream.name_hash
+        strike = Strike(request, upstream_hash)
         if self._suspects.note_lost(strike, ran_s=ran_s, now_s=now_s()):
             ran_ms = round(ran_s * _MS_PER_S)
             self._sharing.send_all(
-                LostRequest(self._own_name, request, name, ran_ms)
+                LostRequest(self._own_name, request, upstream_hash, ran_ms)
             )
 
     def note_gone(self, upstream: UpstreamState) -> None:
         """Records a gone upstream and reports the requests lost there."""
-        name = upstream.name_hash
-        struck = self._suspects.note_gone(name, now_s=now_s())
-        if struck:
-            self._sharing.send_all(UpstreamGone(self._own_name, name, struck))
+        upstream_hash = upstream.name_hash
+        suspected_requests = self._suspects.note_gone(
+            upstream_hash, now_s=now_s()
+        )
+        if suspected_requests:
+            self._sharing.send_all(
+                UpstreamGone(self._own_name, upstream_hash, suspected_requests)
+            )
 
     def note_lives(self, upstream: UpstreamState) -> None:
         """Records that an upstream is alive after a lost response."""
--- a/almondstair/gateway/daemon.py
+++ b/almondstair/gateway/daemon.py
@@ -28,7 +28,7 @@
 from almondstair.gateway.forwarding import Forwarder
 from almondstair.gateway.load_sharing import LoadSharing
 from almondstair.gateway.measures import Measures
-from almondstair.gateway.overview import StatusReport
+from almondstair.gateway.overview import OperatorReports
 from almondstair.gateway.pages import LOOKUP_TTL_S
 from almondstair.gateway.pages import PageData
 from almondstair.gateway.pages import Pages
@@ -114,14 +114,14 @@
         )
         self._create_forwarder()
         self._registration = self._create_registration()
-        self._overview = StatusReport(
+        self._overview = OperatorReports(
             entry_name=settings.entry_name,
             fleet=self._fleet,
             pool=self._pool,
             client=self._client,
             follower=self._follower,
             measures=self._metrics,
-            running=self._forwarder.running,
+            in_flight=self._forwarder.in_flight,
         )
         self._pages = Pages(source=self)
         self._connections: set[CallerConnection] = set()
@@ -160,7 +160,7 @@
             cold_starts=self._cold_starts,
             round_trips_s=self._connector.round_trips_s,
         )
-        tries = UpstreamSender(
+        sender = UpstreamSender(
             fleet=self._fleet,
             pool=self._pool,
             cold_starts=self._cold_starts,
@@ -171,7 +171,7 @@
         )
         self._forwarder = Forwarder(
             fleet=self._fleet,
-            sender=tries,
+            sender=sender,
             placing=placing,
             retry_budget=self._retry_budget,
             crash_reports=self._crash_reports,
@@ -320,7 +320,7 @@
         began_s = now_s()
         self._leaving = True
         log.event(
-            log.Event.GATEWAY_LEAVING, running=len(self._forwarder.running)
+            log.Event.GATEWAY_LEAVING, running=len(self._forwarder.in_flight)
         )
         for connection in list(self._connections):
             connection.drain()
@@ -328,7 +328,7 @@
         await self._registration.end()
         await self._drain(began_s)
         await self._close()
-        log.event(log.Event.GATEWAY_STOPPED, cut=len(self._forwarder.running))
+        log.event(log.Event.GATEWAY_STOPPED, cut=len(self._forwarder.in_flight))
 
     async def _drain(self, began_s: float) -> None:
         """Serves while callers use cached lookups, then closes connections.
@@ -344,8 +344,8 @@
             await asyncio.sleep(STOP_POLL_INTERVAL_S)
             if now_s() < refuse_s:
                 continue
-            if not self._forwarder.refusing:
-                self._forwarder.refusing = True
+            if not self._forwarder.rejecting:
+                self._forwarder.rejecting = True
                 self._stop_listening()
             for connection in list(self._connections):
                 connection.close_if_idle()
--- a/almondstair/gateway/following.py
+++ b/almondstair/gateway/following.py
@@ -177,11 +177,13 @@
             # Just started: seeds have the data even if the store is down.
             return [self._store, *self._seeds]
         readers = self._readers(self._own_zone)
-        own = [entry for entry in readers if entry.name != self._own_name]
-        peers: list[Source] = [self._peer(entry) for entry in own]
+        zone_readers = [
+            entry for entry in readers if entry.name != self._own_name
+        ]
+        peers: list[Source] = [self._peer(entry) for entry in zone_readers]
         if now_s() < self._store_cooldown_until_s:
             return [*peers, *self._remote_peers(), self._store]
-        if len(own) < len(readers) or not readers:
+        if len(zone_readers) < len(readers) or not readers:
             return [self._store, *peers, *self._remote_peers()]
         return [*peers, self._store, *self._remote_peers()]
 
@@ -194,13 +196,13 @@
             entry.availability_zone for entry in self._fleet.entries.values()
         }
         zones.discard(self._own_zone)
-        found: list[Source] = []
+        peers: list[Source] = []
         for zone in random.sample(
             sorted(zones), k=min(REMOTE_PEERS, len(zones))
         ):
             reader = random.choice(self._readers(zone))
-            found.append(self._peer(reader))
-        return found
+            peers.append(self._peer(reader))
+        return peers
 
     def _peer(self, entry: Entry) -> PeerSource:
         peer = self._peers.get(entry.name)
@@ -248,8 +250,8 @@
                 continue
             if item.key.startswith(documents.UPSTREAM_PREFIX):
                 writers.add(item.key)
-        least = MIN_WRITERS_SHARE * self._fleet.upstream_count()
-        return len(writers) >= max(1.0, least)
+        min_writers = MIN_WRITERS_SHARE * self._fleet.upstream_count()
+        return len(writers) >= max(1.0, min_writers)
 
     # Applying changes.
 
--- a/almondstair/gateway/forwarding.py
+++ b/almondstair/gateway/forwarding.py
@@ -18,7 +18,7 @@
 from almondstair.errors import Ran
 from almondstair.gateway.call_records import CallRecorder
 from almondstair.gateway.caller_connection import RequestHandler
-from almondstair.gateway.calls import Attempt
+from almondstair.gateway.calls import AttemptResult
 from almondstair.gateway.calls import Call
 from almondstair.gateway.calls import Verdict
 from almondstair.gateway.calls import caller_response_head
@@ -53,8 +53,8 @@
     """Chooses an upstream for each request and retries where allowed.
 
     Attributes:
-      running: calls in flight.
-      refusing: whether new requests are rejected, near the end of a stop.
+      in_flight: calls in flight.
+      rejecting: whether new requests are rejected, near the end of a stop.
     """
 
     def __init__(
@@ -86,8 +86,8 @@
         self._recorder = CallRecorder(fleet=fleet, measures=measures)
         self._sender = sender
         self._slot_waits = EntryWaits()
-        self.running: dict[IncomingRequest, Call] = {}
-        self.refusing = False
+        self.in_flight: dict[IncomingRequest, Call] = {}
+        self.rejecting = False
         self._started_s = now_s()
 
     def limits(self) -> CallerLimits:
@@ -101,7 +101,7 @@
 
         A request that is not idempotent and may have started runs to its end.
         """
-        call = self.running.get(request)
+        call = self.in_flight.get(request)
         if call is None or call.route.kind.idempotent:
             return True
         return not call.may_have_run or not request.fully_read
@@ -115,7 +115,7 @@
             self._recorder.record_refused(request, error)
             request.respond_with_problem(error)
             return
-        self.running[request] = call
+        self.in_flight[request] = call
         try:
             await self._within_deadline(call)
         except AlmondstairError as error:
@@ -132,7 +132,7 @@
                 AlmondstairError(kind=ErrorKind.INTERNAL)
             )
         finally:
-            self.running.pop(request, None)
+            self.in_flight.pop(request, None)
 
     def record_wait(self, wait: ResponseWait) -> None:
         """Records a ready response that waited for the preceding one."""
@@ -148,12 +148,12 @@
         """
         ends_s = min(now_s() + READY_WAIT_S, self._started_s + STARTUP_WINDOW_S)
         while not self._fleet.ready and now_s() < ends_s:
-            if self.refusing:
+            if self.rejecting:
                 return
             await asyncio.sleep(READY_POLL_S)
 
     def _create_call(self, request: IncomingRequest) -> Call:
-        if self.refusing:
+        if self.rejecting:
             raise AlmondstairError(kind=ErrorKind.ENTRY_LEAVING)
         table = self._fleet.table
         if table is None or not self._fleet.ready:
@@ -195,7 +195,7 @@
                 call.placement_query(), choice, now_s=now_s()
             )
             outcome = await self._sender.send(call, choice)
-            self._measures.tries.labels(call.service, outcome.verdict).inc()
+            self._measures.attempts.labels(call.service, outcome.verdict).inc()
             if outcome.verdict is Verdict.ANSWERED:
                 self._send_response(call, choice, outcome.exchange)
                 return
@@ -257,7 +257,7 @@
             now_s=now,
         )
 
-    def _may_retry(self, call: Call, outcome: Attempt) -> bool:
+    def _may_retry(self, call: Call, outcome: AttemptResult) -> bool:
         if call.request.response_begun or call.request.caller_disconnected:
             return False
         if call.attempts >= call.route.attempts:
@@ -317,7 +317,7 @@
         self._recorder.record_response(call, choice, exchange)
 
 
-def _is_orderly_refusal(outcome: Attempt) -> bool:
+def _is_orderly_refusal(outcome: AttemptResult) -> bool:
     """Returns whether a working upstream rejected the request as full."""
     if outcome.exchange.end is not ExchangeEnd.COMPLETE:
         return False
--- a/almondstair/gateway/http_calls.py
+++ b/almondstair/gateway/http_calls.py
@@ -56,11 +56,11 @@
             f"Content-Length: {len(body)}\r\n\r\n"
         )
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + MAX_CALL_S
-        async with asyncio.timeout(timeout_s) as limit:
+        deadline_s = loop.time() + MAX_CALL_S
+        async with asyncio.timeout(timeout_s) as timeout:
 
             def extend() -> None:
-                limit.reschedule(min(until_s, loop.time() + timeout_s))
+                timeout.reschedule(min(deadline_s, loop.time() + timeout_s))
 
             return await self._exchange(head.encode() + body, extend)
 
--- a/almondstair/gateway/http_wire.py
+++ b/almondstair/gateway/http_wire.py
@@ -24,7 +24,7 @@
 _BODYLESS_STATUSES = frozenset((204, 304))
 
 
-class ResponseHead(NamedTuple):
+class UpstreamResponseHead(NamedTuple):
     """Status and headers of a response; header names in lower case."""
 
     status: int
@@ -33,8 +33,8 @@
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
     """Returns the first value of a header, or None."""
-    for found, value in headers:
-        if found == name:
+    for candidate, value in headers:
+        if candidate == name:
             return value
     return None
 
@@ -48,17 +48,21 @@
       headers: headers of a message, names in lower case.
       without: further names to omit.
     """
-    named = set()
+    connection_specific = set()
     connection = find_header(headers, b"connection")
     if connection is not None:
         for token in connection.split(b","):
-            named.add(token.strip().lower())
-    kept = []
+            connection_specific.add(token.strip().lower())
+    forwarded = []
     for name, value in headers:
-        if name in _HOP_BY_HOP_HEADERS or name in named or name in without:
+        if (
+            name in _HOP_BY_HOP_HEADERS
+            or name in connection_specific
+            or name in without
+        ):
             continue
-        kept.append((name, value))
-    return kept
+        forwarded.append((name, value))
+    return forwarded
 
 
 def has_no_body(status: int) -> bool:
--- a/almondstair/gateway/incoming.py
+++ b/almondstair/gateway/incoming.py
@@ -11,13 +11,13 @@
 from almondstair.errors import AlmondstairError
 from almondstair.gateway.http_wire import LAST_CHUNK
 from almondstair.gateway.http_wire import Headers
-from almondstair.gateway.http_wire import ResponseHead
+from almondstair.gateway.http_wire import UpstreamResponseHead
 from almondstair.gateway.http_wire import encode_chunk
 from almondstair.gateway.http_wire import encode_head
 from almondstair.gateway.http_wire import encode_status_line
 from almondstair.gateway.http_wire import find_header
 from almondstair.gateway.http_wire import has_no_body
-from almondstair.gateway.upstream_connection import ResponseSink
+from almondstair.gateway.upstream_connection import UpstreamResponseSink
 from almondstair.http_messages import problem_body
 
 # A body up to this size is buffered so that it can be resent; a larger one is
@@ -71,7 +71,7 @@
     ENDED = "ended"
 
 
-class IncomingRequest(ResponseSink):
+class IncomingRequest(UpstreamResponseSink):
     """A caller's request, with methods to respond to it.
 
     Attributes:
@@ -117,7 +117,7 @@
         """Whether the response has begun."""
         return self.state is not ResponseState.WAITING
 
-    def respond(self, head: ResponseHead, body: bytes) -> None:
+    def respond(self, head: UpstreamResponseHead, body: bytes) -> None:
         """Sends a response with a complete body."""
         if self.response_begun:
             return
@@ -142,11 +142,13 @@
             text = f"{error.retry_after_ms / 1000:.2f}"
             headers.append((b"retry-after", text.encode()))
         self.respond(
-            ResponseHead(status=error.rule.http_status, headers=headers),
+            UpstreamResponseHead(
+                status=error.rule.http_status, headers=headers
+            ),
             problem_body(error=error),
         )
 
-    def begin(self, head: ResponseHead) -> None:
+    def begin(self, head: UpstreamResponseHead) -> None:
         """Starts a streamed response."""
         if self.response_begun:
             return
--- a/almondstair/gateway/load_sharing.py
+++ b/almondstair/gateway/load_sharing.py
@@ -43,7 +43,7 @@
 from almondstair.gateway.peer_messages import PlanTold
 from almondstair.gateway.peer_messages import Total
 from almondstair.gateway.peer_messages import UpstreamGone
-from almondstair.gateway.peer_messages import ZoneLoads
+from almondstair.gateway.peer_messages import ZoneLoadSum
 from almondstair.gateway.upstream_pool import UpstreamPool
 
 # Reports of an entry expire after three missed heartbeats.
@@ -63,7 +63,7 @@
 MAX_CACHED_OBJECTS = 1500
 
 
-class LoadReport(NamedTuple):
+class ReceivedReport(NamedTuple):
     """The latest report of an entry or a zone.
 
     Attributes:
@@ -123,8 +123,8 @@
         self._own_zone = own_zone
         self._transport: asyncio.DatagramTransport | None = None
         self._socket: socket.socket | None = None
-        self._member_reports: dict[str, LoadReport] = {}
-        self._zone_reports: dict[str, LoadReport] = {}
+        self._member_reports: dict[str, ReceivedReport] = {}
+        self._zone_reports: dict[str, ReceivedReport] = {}
         self._last_heard_s: dict[str, float] = {}
         self._reported_loads: Loads = {}
         self._link_share = LinkShare(link_mbps=link_mbps)
@@ -207,7 +207,7 @@
         self._places.take(message.places, now_s=now)
         if isinstance(message, CachedObjects):
             return
-        heard = LoadReport(
+        report = ReceivedReport(
             at_s=now,
             entry=message.entry,
             loads=message.loads,
@@ -220,9 +220,9 @@
         if isinstance(message, Own):
             if message.entry not in self._member_reports:
                 self._send_cached_objects(message.entry, now)
-            self._member_reports[message.entry] = heard
-        elif isinstance(message, ZoneLoads):
-            self._zone_reports[message.zone] = heard
+            self._member_reports[message.entry] = report
+        elif isinstance(message, ZoneLoadSum):
+            self._zone_reports[message.zone] = report
         else:
             self._fleet.others_loads.take(
                 message.loads, own=self._reported_loads
@@ -277,8 +277,8 @@
         Args:
           names: hashes of the replaced incarnations.
         """
-        for name in names:
-            incarnation = self._fleet.note_replaced(name)
+        for upstream_hash in names:
+            incarnation = self._fleet.note_replaced(upstream_hash)
             if not incarnation:
                 continue
             self._pool.forget(incarnation=incarnation)
@@ -294,10 +294,10 @@
             self._tick(now_s())
 
     def _tick(self, now: float) -> None:
-        for heard in (self._member_reports, self._zone_reports):
-            for name in list(heard):
-                if now - heard[name].at_s > PEER_TIMEOUT_S:
-                    del heard[name]
+        for reports in (self._member_reports, self._zone_reports):
+            for name in list(reports):
+                if now - reports[name].at_s > PEER_TIMEOUT_S:
+                    del reports[name]
         reporter = self._reporter(now)
         if reporter is None or reporter.name == self._own_name:
             self._send_reports(now)
@@ -331,17 +331,17 @@
         return self._entries_by_zone.get(zone, [])
 
     def _send_own_loads(self, reporter: Entry, now: float) -> None:
-        word = Word(
+        report = Word(
             self._own_loads(),
             self._fleet.replaced(now_s=now),
             self._fresh_strikes(now),
             self._places.found_lately(now_s=now)[:MAX_CACHED_OBJECTS],
         )
-        if not self._own_schedule.due(word, now_s=now):
+        if not self._own_schedule.due(report, now_s=now):
             return
-        self._own_schedule.note_told(word, now_s=now)
-        self._reported_loads = word.loads
-        self._send(Own(self._own_name, *word), [reporter])
+        self._own_schedule.note_told(report, now_s=now)
+        self._reported_loads = report.loads
+        self._send(Own(self._own_name, *report), [reporter])
 
     def _fresh_strikes(self, now: float) -> list[tuple[int, int]]:
         fresh = self._suspects.fresh(now_s=now, for_s=STRIKE_REPORT_S)
@@ -350,11 +350,11 @@
     def _send_reports(self, now: float) -> None:
         """Sends the zone's sum to other zones and the total to its entries."""
         own = self._own_loads()
-        members = [heard.loads for heard in self._member_reports.values()]
+        members = [report.loads for report in self._member_reports.values()]
         zone_sum = add_loads([own, *members])
         others = [
-            heard.loads
-            for zone, heard in self._zone_reports.items()
+            report.loads
+            for zone, report in self._zone_reports.items()
             if zone != self._own_zone
         ]
         total = add_loads([zone_sum, *others])
@@ -370,50 +370,52 @@
             places.update(dict.fromkeys(member.places))
         # Includes other entries' strikes, which are applied on receipt.
         strikes = self._fresh_strikes(now)
-        told = list(places)[:MAX_CACHED_OBJECTS]
-        self._send_zone_sum(Word(zone_sum, list(replaced), strikes, told), now)
-        for heard in self._zone_reports.values():
-            replaced.update(heard.replaced)
-            places.update(dict.fromkeys(heard.places))
-        told = list(places)[:MAX_CACHED_OBJECTS]
-        word = Word(total, list(replaced), strikes, told)
+        cached_objects = list(places)[:MAX_CACHED_OBJECTS]
+        self._send_zone_sum(
+            Word(zone_sum, list(replaced), strikes, cached_objects), now
+        )
+        for report in self._zone_reports.values():
+            replaced.update(report.replaced)
+            places.update(dict.fromkeys(report.places))
+        cached_objects = list(places)[:MAX_CACHED_OBJECTS]
+        total_report = Word(total, list(replaced), strikes, cached_objects)
         # Both share one allowance of the link: alternate so that neither
         # starves the other.
         if self._plan_sent_last:
-            self._send_total(word, now)
+            self._send_total(total_report, now)
             self._send_plan(now)
         else:
             self._send_plan(now)
-            self._send_total(word, now)
+            self._send_total(total_report, now)
 
-    def _send_zone_sum(self, word: Word, now: float) -> None:
-        if not self._zone_sum_schedule.due(word, now_s=now):
+    def _send_zone_sum(self, report: Word, now: float) -> None:
+        if not self._zone_sum_schedule.due(report, now_s=now):
             return
-        self._zone_sum_schedule.note_told(word, now_s=now)
-        message = ZoneLoads(
+        self._zone_sum_schedule.note_told(report, now_s=now)
+        message = ZoneLoadSum(
             entry=self._own_name,
             zone=self._own_zone,
-            loads=_cut(word.loads),
-            replaced=word.replaced,
-            strikes=word.strikes,
-            places=word.places,
+            loads=_cut(report.loads),
+            replaced=report.replaced,
+            strikes=report.strikes,
+            places=report.places,
         )
         self._send(message, self._other_reporters())
 
-    def _send_total(self, word: Word, now: float) -> None:
-        if not self._total_schedule.due(word, now_s=now):
+    def _send_total(self, report: Word, now: float) -> None:
+        if not self._total_schedule.due(report, now_s=now):
             return
-        if not self._total_schedule.urgent(word):
+        if not self._total_schedule.urgent(report):
             if not self._link_share.free(now_s=now):
                 return
-        self._total_schedule.note_told(word, now_s=now)
+        self._total_schedule.note_told(report, now_s=now)
         message = Total(
             entry=self._own_name,
             complete=self._all_zones_reported(),
-            loads=_cut(word.loads),
-            replaced=word.replaced,
-            strikes=word.strikes,
-            places=word.places,
+            loads=_cut(report.loads),
+            replaced=report.replaced,
+            strikes=report.strikes,
+            places=report.places,
         )
         self._send_to_zone(message, now)
 
@@ -466,15 +468,15 @@
 
     def _other_reporters(self) -> list[Entry]:
         """Returns the first in turn of each zone, and who spoke for it last."""
-        found: dict[str, Entry] = {}
+        reporters: dict[str, Entry] = {}
         entries = self._fleet.entries
         for zone in self._other_zones():
             first = self._in_turn(zone)[0]
-            found[first.name] = first
-            heard = self._zone_reports.get(zone)
-            if heard is not None and heard.entry in entries:
-                found[heard.entry] = entries[heard.entry]
-        return list(found.values())
+            reporters[first.name] = first
+            report = self._zone_reports.get(zone)
+            if report is not None and report.entry in entries:
+                reporters[report.entry] = entries[report.entry]
+        return list(reporters.values())
 
     def send_all(self, message: Message) -> None:
         """Sends a message to all other entries before it returns."""
--- a/almondstair/gateway/measures.py
+++ b/almondstair/gateway/measures.py
@@ -41,17 +41,17 @@
             "time from a request's head to its answer, in seconds",
             ("outcome",),
         )
-        self.waited_s = self._histogram(
+        self.response_wait_s = self._histogram(
             "almondstair_answer_wait_seconds",
             "time that ready answers waited for those before them, in seconds",
             ("delivered",),
         )
-        self.run_s = self._histogram(
+        self.attempt_s = self._histogram(
             "almondstair_upstream_seconds",
             "time of a try at an upstream, in seconds",
             ("service",),
         )
-        self.tries = self._counter(
+        self.attempts = self._counter(
             "almondstair_tries",
             "tries at upstreams by service and verdict",
             ("service", "verdict"),
@@ -67,7 +67,7 @@
             "almondstair_store_age_seconds",
             "time since the store last answered, in seconds",
         )
-        self.version = self._gauge(
+        self.configuration_version = self._gauge(
             "almondstair_configuration_version",
             "version of the configuration in force",
         )
@@ -79,15 +79,15 @@
             "upstreams that may get work, by service",
             ("service",),
         )
-        self.use = self._gauge(
+        self.slot_use = self._gauge(
             "almondstair_slots_used_ratio",
             "part of a service's slots in use",
             ("service",),
         )
-        self.running = self._gauge(
+        self.requests_in_flight = self._gauge(
             "almondstair_requests_running", "requests under way"
         )
-        self.left_out = self._gauge(
+        self.dropped_log_lines = self._gauge(
             "almondstair_log_lines_left_out",
             "log lines left out by event",
             ("event",),
--- a/almondstair/gateway/mirror.py
+++ b/almondstair/gateway/mirror.py
@@ -111,9 +111,9 @@
 
     def _forget_removals(self) -> None:
         for key in list(self._changes):
-            kept = self._changes[key]
-            if kept.item.value is None:
-                self._last_forgotten = max(self._last_forgotten, kept.number)
+            change = self._changes[key]
+            if change.item.value is None:
+                self._last_forgotten = max(self._last_forgotten, change.number)
                 del self._changes[key]
 
     def page(
@@ -129,11 +129,11 @@
         """
         listing = source != self._source or after < self._last_forgotten
         items = []
-        for kept in self._changes.values():
-            if listing and kept.item.value is None:
+        for change in self._changes.values():
+            if listing and change.item.value is None:
                 continue
-            if listing or kept.number > after:
-                items.append(kept.item)
+            if listing or change.number > after:
+                items.append(change.item)
         return MirrorPage(
             source=self._source,
             number=self._number,
--- a/almondstair/gateway/overview.py
+++ b/almondstair/gateway/overview.py
@@ -15,7 +15,7 @@
 NO_REPORT_AGE_S = 1e9
 
 
-class StatusReport:
+class OperatorReports:
     """Collects the data of the operators' pages."""
 
     def __init__(
@@ -27,7 +27,7 @@
         client: KvClient,
         follower: Follower,
         measures: Measures,
-        running: Sized,
+        in_flight: Sized,
     ) -> None:
         """Creates the overview of one entry.
 
@@ -38,7 +38,7 @@
           client: client of the store, which counts its calls.
           follower: holds the age of the view and past configurations.
           measures: counters and histograms.
-          running: requests in flight.
+          in_flight: requests in flight.
         """
         self._entry_name = entry_name
         self._fleet = fleet
@@ -46,7 +46,7 @@
         self._client = client
         self._follower = follower
         self._measures = measures
-        self._running = running
+        self._in_flight = in_flight
 
     def metrics(self) -> bytes:
         """Returns the metrics with up-to-date gauges."""
@@ -55,18 +55,18 @@
         table = self._fleet.table
         measures.connections.set(self._pool.opened)
         measures.store_age_s.set(now - self._follower.heard_at_s)
-        measures.version.set(table.version if table else 0)
+        measures.configuration_version.set(table.version if table else 0)
         measures.entries.set(len(self._fleet.entries))
-        measures.running.set(len(self._running))
+        measures.requests_in_flight.set(len(self._in_flight))
         for kind, count in self._client.calls.items():
             measures.store_calls.labels(kind).set(count)
         for service in self._fleet.services():
             takers = self._fleet.takers(service)
             measures.upstreams.labels(service).set(len(takers))
             use = self._fleet.use(service, now_s=now)
-            measures.use.labels(service).set(use)
+            measures.slot_use.labels(service).set(use)
         for event, count in log.left_out().items():
-            measures.left_out.labels(event).set(count)
+            measures.dropped_log_lines.labels(event).set(count)
         return measures.render()
 
     def status(self, *, ready: bool, leaving: bool) -> dict[str, object]:
@@ -108,12 +108,12 @@
             return None
         now = now_s()
         versions = []
-        for kept in self._follower.history.newest_first():
+        for past in self._follower.history.newest_first():
             versions.append(
                 {
-                    "version": kept.version,
-                    "revision": kept.revision,
-                    "in_force_s_ago": round(now - kept.in_force_since_s, 2),
+                    "version": past.version,
+                    "revision": past.revision,
+                    "in_force_s_ago": round(now - past.in_force_since_s, 2),
                 }
             )
         return {
--- a/almondstair/gateway/pages.py
+++ b/almondstair/gateway/pages.py
@@ -122,12 +122,12 @@
         if not addresses:
             self.set_status(503)
             return
-        answer = {
+        response = {
             "addresses": addresses,
             "ttlS": self.source.lookup_ttl_s(),
         }
         self.set_header("Content-Type", "application/json")
-        self.write(msgspec.json.encode(answer))
+        self.write(msgspec.json.encode(response))
 
 
 class Pages:
--- a/almondstair/gateway/peer_messages.py
+++ b/almondstair/gateway/peer_messages.py
@@ -17,7 +17,7 @@
     places: list[Place] = []
 
 
-class ZoneLoads(msgspec.Struct, array_like=True, tag=1):
+class ZoneLoadSum(msgspec.Struct, array_like=True, tag=1):
     """The sum of a zone's loads, sent to other reporters; see `Total`."""
 
     entry: str
@@ -102,7 +102,7 @@
 
 Message = (
     Own
-    | ZoneLoads
+    | ZoneLoadSum
     | Total
     | PlanTold
     | CachedObjects
--- a/almondstair/gateway/reaching.py
+++ b/almondstair/gateway/reaching.py
@@ -160,8 +160,8 @@
     ) -> bool:
         """Probes once after a pause; returns whether to stop probing."""
         await asyncio.sleep(pause_s)
-        name = upstream.name_hash
-        if self._fleet.by_hash.get(name) is not upstream:
+        upstream_hash = upstream.name_hash
+        if self._fleet.by_hash.get(upstream_hash) is not upstream:
             return True
         connection = await self._connect(upstream)
         if connection is None:
--- a/almondstair/gateway/registrations.py
+++ b/almondstair/gateway/registrations.py
@@ -67,18 +67,18 @@
             # upstream's start would make it cold for as long as it reported
             # then, and its service would reject requests despite free slots.
             record = record._replace(cold_left_s=0.0)
-        taken = self._fleet.take_upstream(record, now_s=now_s())
-        if taken.ended:
-            self._pool.forget(incarnation=taken.ended)
+        result = self._fleet.take_upstream(record, now_s=now_s())
+        if result.ended:
+            self._pool.forget(incarnation=result.ended)
             self.change_log.write(
                 log.Event.UPSTREAM_GONE,
                 group=record.service,
-                upstream=taken.ended,
+                upstream=result.ended,
             )
-        if taken.used:
+        if result.used:
             known = self._revisions.get(upstream_id, 0)
             self._revisions[upstream_id] = max(known, item.revision)
-        if not taken.changed:
+        if not result.changed:
             return
         self._mirror.put(item.key, item.value, item.revision)
         self.change_log.write(
--- a/almondstair/gateway/settings_watch.py
+++ b/almondstair/gateway/settings_watch.py
@@ -76,12 +76,12 @@
             log.event(log.Event.SETTINGS_BAD, detail=error.detail)
             return
         fixed = {name: getattr(self._settings, name) for name in FIXED_FIELDS}
-        wanted = read._replace(**fixed)
-        changed = _changed_fields(self._settings, wanted)
-        after_restart = _changed_fields(wanted, read)
-        self._settings = wanted
+        applicable = read._replace(**fixed)
+        changed = _changed_fields(self._settings, applicable)
+        after_restart = _changed_fields(applicable, read)
+        self._settings = applicable
         if changed:
-            self._apply(wanted)
+            self._apply(applicable)
         log.event(
             log.Event.GATEWAY_RELOADED,
             changed=changed,
@@ -92,8 +92,8 @@
 def _changed_fields(
     one: boot.BootSettings, other: boot.BootSettings
 ) -> list[str]:
-    found = []
+    changed = []
     for name in boot.BootSettings._fields:
         if getattr(one, name) != getattr(other, name):
-            found.append(name)
-    return found
+            changed.append(name)
+    return changed
--- a/almondstair/gateway/sources.py
+++ b/almondstair/gateway/sources.py
@@ -135,16 +135,20 @@
 
     def _items(self, page: MirrorPage) -> list[Item]:
         items = []
-        for told in page.items:
+        for mirror_item in page.items:
             try:
-                value = told.decompressed()
+                value = mirror_item.decompressed()
             except zlib.error as error:
                 raise AlmondstairError(
                     kind=ErrorKind.PLATFORM_UNAVAILABLE,
-                    detail=f"peer {self.address}: {told.key}: {error}",
+                    detail=f"peer {self.address}: {mirror_item.key}: {error}",
                 ) from error
             items.append(
-                Item(key=told.key, value=value, revision=told.revision)
+                Item(
+                    key=mirror_item.key,
+                    value=value,
+                    revision=mirror_item.revision,
+                )
             )
         return items
 
--- a/almondstair/gateway/tries.py
+++ b/almondstair/gateway/tries.py
@@ -9,22 +9,22 @@
 from almondstair.core.fleet import Fleet
 from almondstair.core.placing import Placing
 from almondstair.core.upstream_state import UpstreamState
-from almondstair.gateway.calls import Attempt
+from almondstair.gateway.calls import AttemptResult
 from almondstair.gateway.calls import Call
 from almondstair.gateway.calls import Verdict
 from almondstair.gateway.calls import caller_response_head
 from almondstair.gateway.calls import upstream_request_head
 from almondstair.gateway.crash_words import CrashWords
 from almondstair.gateway.http_wire import Headers
-from almondstair.gateway.http_wire import ResponseHead
+from almondstair.gateway.http_wire import UpstreamResponseHead
 from almondstair.gateway.http_wire import find_header
 from almondstair.gateway.incoming import IncomingRequest
 from almondstair.gateway.measures import Measures
 from almondstair.gateway.reaching import Reaching
 from almondstair.gateway.upstream_connection import Exchange
 from almondstair.gateway.upstream_connection import ExchangeEnd
-from almondstair.gateway.upstream_connection import ResponseSink
 from almondstair.gateway.upstream_connection import UpstreamConnection
+from almondstair.gateway.upstream_connection import UpstreamResponseSink
 from almondstair.gateway.upstream_pool import UpstreamPool
 from almondstair.platform import headers as names
 
@@ -69,7 +69,7 @@
         self._connector = connector
         self._placing = placing
 
-    async def send(self, call: Call, choice: Choice) -> Attempt:
+    async def send(self, call: Call, choice: Choice) -> AttemptResult:
         """Sends a call to the chosen upstream and classifies the outcome."""
         upstream = choice.upstream
         call.tried.append(upstream.record.upstream_id)
@@ -147,18 +147,20 @@
     ) -> Exchange:
         """Sends the request and records how long it took."""
         began_s = now_s()
-        answered = False
+        duration_valid = False
         try:
             exchange = await self._exchange(call, choice, connection)
             head = exchange.head
-            answered = head is not None and head.status in _SUCCESS
+            duration_valid = head is not None and head.status in _SUCCESS
             return exchange
         except asyncio.CancelledError:
-            answered = True
+            duration_valid = True
             raise
         finally:
-            self._measures.run_s.labels(call.service).observe(now_s() - began_s)
-            if answered:
+            self._measures.attempt_s.labels(call.service).observe(
+                now_s() - began_s
+            )
+            if duration_valid:
                 now = now_s()
                 self._placing.note_run(
                     call.placement_query(),
@@ -190,16 +192,16 @@
 
     def _classify(
         self, call: Call, choice: Choice, exchange: Exchange
-    ) -> Attempt:
+    ) -> AttemptResult:
         upstream = choice.upstream
         head = exchange.head
         if exchange.end is ExchangeEnd.NOT_SENT:
-            return Attempt(Verdict.NOT_RUN, exchange, "connection closed")
+            return AttemptResult(Verdict.NOT_RUN, exchange, "connection closed")
         if exchange.end is not ExchangeEnd.COMPLETE or head is None:
             # The next connection shows whether the upstream is gone; one that
             # only loses responses remains in use, but less.
             upstream.note_answer(good=False, now_s=now_s())
-            return Attempt(
+            return AttemptResult(
                 Verdict.UNKNOWN, exchange, f"response {exchange.end.value}"
             )
         self._note_load(upstream_headers=head.headers, choice=choice)
@@ -207,23 +209,25 @@
         if head.status == _MISDIRECTED:
             self._record_replaced(choice)
             call.attempts -= 1
-            return Attempt(Verdict.NOT_RUN, exchange, "upstream replaced")
+            return AttemptResult(Verdict.NOT_RUN, exchange, "upstream replaced")
         if find_header(head.headers, names.NOT_RUN) is not None:
             upstream.note_answer(good=False, now_s=now_s())
-            return Attempt(Verdict.NOT_RUN, exchange, f"refused {head.status}")
+            return AttemptResult(
+                Verdict.NOT_RUN, exchange, f"refused {head.status}"
+            )
         if cause:
-            return Attempt(Verdict.UNKNOWN, exchange, cause)
+            return AttemptResult(Verdict.UNKNOWN, exchange, cause)
         upstream.note_answer(good=head.status < _SERVER_ERROR, now_s=now_s())
         self._crash_reports.note_answered(call.fingerprint())
-        return Attempt(Verdict.ANSWERED, exchange)
+        return AttemptResult(Verdict.ANSWERED, exchange)
 
     def _note_load(self, *, upstream_headers: Headers, choice: Choice) -> None:
         value = find_header(upstream_headers, names.LOAD)
         if value is None:
             return
-        told = names.read_load(value)
-        if told is not None:
-            choice.upstream.take_load(told, now_s=now_s())
+        load = names.read_load(value)
+        if load is not None:
+            choice.upstream.take_load(load, now_s=now_s())
 
     def _record_replaced(self, choice: Choice) -> None:
         record = choice.upstream.record
@@ -232,14 +236,14 @@
         log.event(log.Event.UPSTREAM_GONE, upstream=record.incarnation)
 
 
-def _not_sent(call: Call, cause: str) -> Attempt:
+def _not_sent(call: Call, cause: str) -> AttemptResult:
     """Returns an attempt that sent nothing to the chosen upstream."""
     call.tried.pop()
     exchange = Exchange(end=ExchangeEnd.NOT_SENT)
-    return Attempt(Verdict.NOT_RUN, exchange, cause)
+    return AttemptResult(Verdict.NOT_RUN, exchange, cause)
 
 
-def _unusable_cause(head: ResponseHead) -> str:
+def _unusable_cause(head: UpstreamResponseHead) -> str:
     """Returns why a response must not reach the caller, empty if it may."""
     if head.status in _NOT_RUN_STATUSES:
         # The caller would infer that the request did not run, which the
@@ -253,13 +257,13 @@
     return ""
 
 
-class _ForwardingSink(ResponseSink):
+class _ForwardingSink(UpstreamResponseSink):
     """Streams a long response to the caller, without hop-by-hop headers."""
 
     def __init__(self, request: IncomingRequest) -> None:
         self._request = request
 
-    def begin(self, head: ResponseHead) -> None:
+    def begin(self, head: UpstreamResponseHead) -> None:
         self._request.begin(caller_response_head(head))
 
     async def write(self, data: bytes) -> None:
--- a/almondstair/gateway/upstream_connection.py
+++ b/almondstair/gateway/upstream_connection.py
@@ -18,7 +18,7 @@
 from almondstair.clock import now_s
 from almondstair.gateway.http_wire import LAST_CHUNK
 from almondstair.gateway.http_wire import Headers
-from almondstair.gateway.http_wire import ResponseHead
+from almondstair.gateway.http_wire import UpstreamResponseHead
 from almondstair.gateway.http_wire import encode_chunk
 from almondstair.gateway.http_wire import find_header
 from almondstair.gateway.http_wire import has_no_body
@@ -67,16 +67,16 @@
     """
 
     end: ExchangeEnd
-    head: ResponseHead | None = None
+    head: UpstreamResponseHead | None = None
     body: bytes = b""
     streamed: bool = False
 
 
-class ResponseSink(abc.ABC):
+class UpstreamResponseSink(abc.ABC):
     """Receives a response that is too long to be buffered."""
 
     @abc.abstractmethod
-    def begin(self, head: ResponseHead) -> None:
+    def begin(self, head: UpstreamResponseHead) -> None:
         """Starts the response with its head."""
 
     @abc.abstractmethod
@@ -112,21 +112,21 @@
         self._ended: asyncio.Future[ExchangeEnd] | None = None
         self._request_id = b""
         self._without_body = False
-        self._sink: ResponseSink | None = None
+        self._sink: UpstreamResponseSink | None = None
         self._body_task: asyncio.Task[None] | None = None
         self._sink_task: asyncio.Task[None] | None = None
         self._body_unfinished = False
         self._caller_disconnected = False
-        self._exchanges = 0
+        self._exchange_count = 0
         self._reset_response()
 
     def _reset_response(self) -> None:
         self._headers: Headers = []
         self._head_bytes = 0
-        self._head: ResponseHead | None = None
+        self._head: UpstreamResponseHead | None = None
         self._matches_request = True
         self._in_message = False
-        self._until_close = False
+        self._ends_at_close = False
         self._buffered: list[bytes] = []
         self._buffered_bytes = 0
         self._streamed = False
@@ -156,7 +156,7 @@
     def eof_received(self) -> bool:
         """Ends a response that is framed by the end of the connection."""
         self.usable = False
-        if self._until_close and self._head is not None:
+        if self._ends_at_close and self._head is not None:
             self._finish(ExchangeEnd.COMPLETE)
         return False
 
@@ -206,13 +206,13 @@
             self._matches_request = False
             return
         self._matches_request = True
-        self._head = ResponseHead(status=status, headers=self._headers)
+        self._head = UpstreamResponseHead(status=status, headers=self._headers)
         framed = (
             find_header(self._headers, b"content-length") is not None
             or find_header(self._headers, b"transfer-encoding") is not None
             or has_no_body(status)
         )
-        self._until_close = not framed
+        self._ends_at_close = not framed
         self._read_idle_limit()
         if self._without_body:
             self.usable = False
@@ -229,7 +229,7 @@
             return True
         echoed = find_header(self._headers, self._id_header)
         if echoed is None:
-            return self._exchanges <= 1
+            return self._exchange_count <= 1
         return echoed == self._request_id
 
     def on_body(self, data: bytes) -> None:
@@ -303,7 +303,7 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def idle_too_long(self, *, used_share: float = 1.0) -> bool:
+    def is_idle_too_long(self, *, used_share: float = 1.0) -> bool:
         """Returns whether the other side may be about to close it.
 
         Args:
@@ -320,7 +320,7 @@
         chunked: bool = False,
         request_id: bytes = b"",
         without_body: bool = False,
-        sink: ResponseSink | None = None,
+        sink: UpstreamResponseSink | None = None,
     ) -> Exchange:
         """Sends one request and returns its result.
 
@@ -338,7 +338,7 @@
         if not self.usable or self._transport is None:
             return Exchange(end=ExchangeEnd.NOT_SENT)
         self._parser = httptools.HttpResponseParser(self)
-        self._exchanges += 1
+        self._exchange_count += 1
         self._reset_response()
         self._request_id = request_id
         self._without_body = without_body
--- a/almondstair/gateway/upstream_pool.py
+++ b/almondstair/gateway/upstream_pool.py
@@ -42,10 +42,10 @@
             connection = idle.pop()
             if not connection.usable:
                 continue
-            if connection.idle_too_long(used_share=1.0):
+            if connection.is_idle_too_long(used_share=1.0):
                 connection.close()
                 continue
-            if connection.idle_too_long(used_share=share):
+            if connection.is_idle_too_long(used_share=share):
                 # Still usable for a later request that may be resent.
                 idle.append(connection)
                 return None
@@ -63,13 +63,15 @@
         ip, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
 
-        def make() -> UpstreamConnection:
+        def create_protocol() -> UpstreamConnection:
             return UpstreamConnection(
                 address=address, id_header=self._id_header
             )
 
         async with asyncio.timeout(timeout_s):
-            _, connection = await loop.create_connection(make, ip, int(port))
+            _, connection = await loop.create_connection(
+                create_protocol, ip, int(port)
+            )
         self.opened += 1
         return connection
 
