--- a/almondstair/gateway/call_records.py
+++ b/almondstair/gateway/call_records.py
@@ -6,29 +6,29 @@
 from almondstair.core.fleet import Fleet
 from almondstair.errors import AlmondstairError
 from almondstair.gateway.calls import AttemptResult
-from almondstair.gateway.calls import Call
-from almondstair.gateway.incoming import IncomingRequest
+from almondstair.gateway.calls import ForwardedCall
+from almondstair.gateway.incoming import CallerRequest
 from almondstair.gateway.incoming import ResponseWait
 from almondstair.gateway.measures import Measures
-from almondstair.gateway.upstream_connection import Exchange
+from almondstair.gateway.upstream_connection import UpstreamExchange
 from almondstair.platform import headers as names
 
 
 class CallRecorder:
     """Logs and counts calls, with the inputs of each routing decision."""
 
-    def __init__(self, *, fleet: Fleet, measures: Measures) -> None:
+    def __init__(self, *, fleet: Fleet, metrics: Measures) -> None:
         """Creates the recorder of one entry.
 
         Args:
           fleet: supplies the configuration version and the slot utilisation.
-          measures: counters and histograms.
+          metrics: counters and histograms.
         """
         self._fleet = fleet
-        self._measures = measures
+        self._metrics = metrics
 
     def record_response(
-        self, call: Call, choice: Choice, exchange: Exchange
+        self, call: ForwardedCall, choice: Choice, exchange: UpstreamExchange
     ) -> None:
         """Records an upstream's response."""
         assert exchange.head is not None
@@ -58,7 +58,7 @@
         return self._fleet.table.version if self._fleet.table else 0
 
     def record_failed_attempt(
-        self, call: Call, choice: Choice, outcome: AttemptResult
+        self, call: ForwardedCall, choice: Choice, outcome: AttemptResult
     ) -> None:
         """Records an attempt without a response that can be passed on."""
         log.event(
@@ -70,12 +70,14 @@
             left_ms=round(call.remaining_s() * 1000),
         )
 
-    def _count(self, call: Call, outcome: str) -> None:
+    def _count(self, call: ForwardedCall, outcome: str) -> None:
         took_s = now_s() - call.request.arrived_s
-        self._measures.requests.labels(call.route.name, outcome).inc()
-        self._measures.latency_s.labels(outcome).observe(took_s)
+        self._metrics.requests.labels(call.route.name, outcome).inc()
+        self._metrics.latency_s.labels(outcome).observe(took_s)
 
-    def record_failed(self, call: Call, error: AlmondstairError) -> None:
+    def record_failed(
+        self, call: ForwardedCall, error: AlmondstairError
+    ) -> None:
         """Records a call that ends with an error of the gateway."""
         self._count(call, str(error.kind))
         event = log.Event.GATEWAY_REFUSED
@@ -90,14 +92,14 @@
             kind=str(error.kind),
             detail=error.detail,
             tried=call.tried,
-            held_back=sorted(call.held_back),
+            held_back=sorted(call.excluded_regions),
             use=round(self._fleet.use(call.service, now_s=now_s()), 2),
             upstreams=len(self._fleet.takers(call.service)),
             after_ms=call.age_ms(),
             left_ms=round(call.remaining_s() * 1000),
         )
 
-    def record_abandoned(self, call: Call) -> None:
+    def record_abandoned(self, call: ForwardedCall) -> None:
         """Records a call whose caller disconnected."""
         self._count(call, "abandoned")
         log.event(
@@ -112,7 +114,7 @@
     def record_wait(self, wait: ResponseWait) -> None:
         """Records a ready response that waited for the preceding one."""
         delivered = str(wait.delivered).lower()
-        self._measures.response_wait_s.labels(delivered).observe(wait.waited_s)
+        self._metrics.response_wait_s.labels(delivered).observe(wait.waited_s)
         log.event(
             log.Event.ANSWER_WAITED,
             request=_request_id(wait.request),
@@ -122,7 +124,7 @@
         )
 
     def record_refused(
-        self, request: IncomingRequest, error: AlmondstairError
+        self, request: CallerRequest, error: AlmondstairError
     ) -> None:
         """Records a request that was rejected before it became a call."""
         log.event(
@@ -134,5 +136,5 @@
         )
 
 
-def _request_id(request: IncomingRequest) -> str:
+def _request_id(request: CallerRequest) -> str:
     return (request.header(names.REQUEST_ID) or b"").decode("latin-1")
--- a/almondstair/gateway/caller_connection.py
+++ b/almondstair/gateway/caller_connection.py
@@ -16,8 +16,8 @@
 from almondstair.core.routing import CallerLimits
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
-from almondstair.gateway.incoming import IncomingRequest
-from almondstair.gateway.incoming import ResponseState
+from almondstair.gateway.incoming import CallerRequest
+from almondstair.gateway.incoming import ResponseProgress
 from almondstair.gateway.incoming import ResponseWait
 from almondstair.gateway.incoming import ResponseWriter
 
@@ -43,11 +43,11 @@
         """Returns the limits on callers' requests."""
 
     @abc.abstractmethod
-    async def handle(self, request: IncomingRequest) -> None:
+    async def handle(self, request: CallerRequest) -> None:
         """Responds to a request whose body may still be arriving."""
 
     @abc.abstractmethod
-    def is_cancellable(self, request: IncomingRequest) -> bool:
+    def is_cancellable(self, request: CallerRequest) -> bool:
         """Returns whether to cancel a request whose caller disconnected."""
 
     @abc.abstractmethod
@@ -79,9 +79,9 @@
         self._limits = handler.limits()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._pending: deque[IncomingRequest] = deque()
-        self._current: IncomingRequest | None = None
-        self._last_answered: IncomingRequest | None = None
+        self._pending: deque[CallerRequest] = deque()
+        self._current: CallerRequest | None = None
+        self._last_answered: CallerRequest | None = None
         self._url = b""
         self._head_bytes = 0
         self._reading_ended = False
@@ -122,13 +122,13 @@
             self._report_wait(request, behind=self._pending[0], delivered=False)
             self._on_disconnect(request)
 
-    def _on_disconnect(self, request: IncomingRequest) -> None:
+    def _on_disconnect(self, request: CallerRequest) -> None:
         request.caller_disconnected = True
         if not request.fully_read:
             request.body.abort()
         if request.task is None or request.task.done():
             return
-        if request.state is ResponseState.ENDED:
+        if request.state is ResponseProgress.ENDED:
             return
         if self._handler.is_cancellable(request):
             request.task.cancel()
@@ -166,7 +166,7 @@
         """
         request = self._current
         if request is None or request.task is not None:
-            request = IncomingRequest(connection=self)
+            request = CallerRequest(connection=self)
         if request not in self._pending:
             self._pending.append(request)
         self._stop_reading(request)
@@ -175,7 +175,7 @@
             AlmondstairError(kind=ErrorKind.BAD_REQUEST, detail=detail)
         )
 
-    def _stop_reading(self, request: IncomingRequest) -> None:
+    def _stop_reading(self, request: CallerRequest) -> None:
         self._reading_ended = True
         self._current = None
         request.close_after = True
@@ -186,7 +186,7 @@
         """Starts a request and the timeout of its head."""
         if self._reading_ended:
             return
-        self._current = IncomingRequest(connection=self)
+        self._current = CallerRequest(connection=self)
         self._url = b""
         self._head_bytes = 0
         loop = asyncio.get_running_loop()
@@ -253,7 +253,7 @@
         if (request.header(b"expect") or b"").lower() == b"100-continue":
             self._send_continue(request)
 
-    def _send_continue(self, request: IncomingRequest) -> None:
+    def _send_continue(self, request: CallerRequest) -> None:
         if request is self._pending[0] and self._transport is not None:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -293,7 +293,7 @@
         if len(self._pending) >= MAX_PIPELINED_REQUESTS:
             self._pause()
 
-    def _start(self, request: IncomingRequest) -> None:
+    def _start(self, request: CallerRequest) -> None:
         request.task = asyncio.ensure_future(self._handler.handle(request))
 
     def _pause(self) -> None:
@@ -311,7 +311,7 @@
 
     # Responses.
 
-    async def wait_writable(self, request: IncomingRequest) -> None:
+    async def wait_writable(self, request: CallerRequest) -> None:
         """Waits until more of a response can be written."""
         while self._pending and self._pending[0] is not request:
             if request.caller_disconnected:
@@ -329,7 +329,7 @@
             if request.output:
                 self._transport.write(b"".join(request.output))
                 request.output.clear()
-            if request.state is not ResponseState.ENDED:
+            if request.state is not ResponseProgress.ENDED:
                 return
             self._pending.popleft()
             self._report_wait(
@@ -351,9 +351,9 @@
 
     def _report_wait(
         self,
-        request: IncomingRequest,
+        request: CallerRequest,
         *,
-        behind: IncomingRequest | None,
+        behind: CallerRequest | None,
         delivered: bool,
     ) -> None:
         """Reports a ready response that could not be sent immediately.
@@ -375,7 +375,7 @@
             )
         )
 
-    def _close_gracefully(self, request: IncomingRequest) -> None:
+    def _close_gracefully(self, request: CallerRequest) -> None:
         assert self._transport is not None
         self._reading_ended = True
         if not request.fully_read or self._discarding:
@@ -423,7 +423,7 @@
         self._idle_timer = loop.call_later(limit_s / 4, self._check_idle)
 
 
-def _body_length(request: IncomingRequest) -> int | None:
+def _body_length(request: CallerRequest) -> int | None:
     """Returns the Content-Length in bytes, None when the body is chunked."""
     encoding = request.header(b"transfer-encoding")
     if encoding is not None:
@@ -437,7 +437,7 @@
     return int(length) if length is not None else 0
 
 
-def _check_target(request: IncomingRequest, limits: CallerLimits) -> None:
+def _check_target(request: CallerRequest, limits: CallerLimits) -> None:
     if not request.target.startswith("/"):
         raise AlmondstairError(
             kind=ErrorKind.BAD_REQUEST,
--- a/almondstair/gateway/calls.py
+++ b/almondstair/gateway/calls.py
@@ -11,8 +11,8 @@
 from almondstair.gateway.http_wire import UpstreamResponseHead
 from almondstair.gateway.http_wire import encode_head
 from almondstair.gateway.http_wire import forwarded_headers
-from almondstair.gateway.incoming import IncomingRequest
-from almondstair.gateway.upstream_connection import Exchange
+from almondstair.gateway.incoming import CallerRequest
+from almondstair.gateway.upstream_connection import UpstreamExchange
 from almondstair.platform import headers as names
 
 # Deadline of requests without a Deadline-Ms header.
@@ -21,7 +21,7 @@
 _OWN_REPLY_HEADERS = frozenset((names.LOAD, names.COLD_LEFT, names.NOT_RUN))
 
 
-class Verdict(enum.StrEnum):
+class AttemptVerdict(enum.StrEnum):
     """Outcome of an attempt at an upstream.
 
     Attributes:
@@ -45,12 +45,12 @@
       cause: why there is no response, for logs and errors.
     """
 
-    verdict: Verdict
-    exchange: Exchange
+    verdict: AttemptVerdict
+    exchange: UpstreamExchange
     cause: str = ""
 
 
-class Call:
+class ForwardedCall:
     """A request in flight.
 
     Attributes:
@@ -64,14 +64,14 @@
       attempts: number of upstreams that received it; another incarnation at
         an upstream's address does not count.
       may_have_run: whether an upstream may have run it.
-      exposed: hashes of the upstreams that it may have crashed, as of its
-        last placement.
-      held_back: regions excluded at its last placement because traffic is
-        shifted between regions gradually.
+      possibly_crashed: hashes of the upstreams that it may have crashed, as
+        of its last placement.
+      excluded_regions: regions excluded at its last placement because traffic
+        is shifted between regions gradually.
     """
 
     def __init__(
-        self, *, request: IncomingRequest, route: Route, service: str
+        self, *, request: CallerRequest, route: Route, service: str
     ) -> None:
         """Creates a call from a request whose head has been read."""
         self.request = request
@@ -86,8 +86,8 @@
         self.tried: list[str] = []
         self.attempts = 0
         self.may_have_run = False
-        self.exposed: frozenset[int] = frozenset()
-        self.held_back: frozenset[str] = frozenset()
+        self.possibly_crashed: frozenset[int] = frozenset()
+        self.excluded_regions: frozenset[str] = frozenset()
         self._fingerprint: int | None = None
 
     @property
@@ -110,16 +110,16 @@
         """Returns the request's id for logs."""
         return self.request_id.decode("latin-1", "replace")
 
-    def placement_query(self) -> Asked:
+    def placement_request(self) -> Asked:
         """Returns the inputs of the call's placement."""
         return Asked(
             route=self.route,
             service=self.service,
-            key=self.resend_key if self.exposed else self.key,
+            key=self.resend_key if self.possibly_crashed else self.key,
             arrived_s=self.request.arrived_s,
             ends_s=self.deadline_s,
             tried=self.tried,
-            exposed=self.exposed,
+            exposed=self.possibly_crashed,
         )
 
     def remaining_s(self) -> float:
@@ -143,7 +143,7 @@
 
 
 def upstream_request_head(
-    call: Call, *, upstream_id: str, chunked: bool
+    call: ForwardedCall, *, upstream_id: str, chunked: bool
 ) -> bytes:
     """Returns the encoded request head that is sent to an upstream.
 
--- a/almondstair/gateway/daemon.py
+++ b/almondstair/gateway/daemon.py
@@ -75,7 +75,7 @@
           path: their file, which is watched for changes.
         """
         self._settings = settings
-        self._settings_watch = SettingsWatcher(
+        self._settings_watcher = SettingsWatcher(
             path=path, settings=settings, apply=self._apply_settings
         )
         self._fleet = Fleet(
@@ -96,13 +96,13 @@
         self._lookups = LookUps()
         self._entries_version = -1
         self._metrics = Measures()
-        self._places = KnownPlaces()
+        self._cached_locations = KnownPlaces()
         suspects = CrashSuspects()
         self._load_exchange = LoadSharing(
             fleet=self._fleet,
             pool=self._pool,
             suspects=suspects,
-            places=self._places,
+            places=self._cached_locations,
             own_name=settings.entry_name,
             own_zone=settings.availability_zone,
             link_mbps=settings.means.link_mbps,
@@ -114,13 +114,13 @@
         )
         self._create_forwarder()
         self._registration = self._create_registration()
-        self._overview = OperatorReports(
+        self._reports = OperatorReports(
             entry_name=settings.entry_name,
             fleet=self._fleet,
             pool=self._pool,
             client=self._client,
             follower=self._follower,
-            measures=self._metrics,
+            metrics=self._metrics,
             in_flight=self._forwarder.in_flight,
         )
         self._pages = Pages(source=self)
@@ -137,10 +137,10 @@
             slack=bounds.retry_slack,
             window_s=bounds.retry_window_s,
         )
-        self._region_shares = RegionShares(
+        self._region_limiter = RegionShares(
             own_region=settings.region, most_change=bounds.region_change
         )
-        self._cold_starts = ColdStarts(
+        self._cold_start_limiter = ColdStarts(
             own_name=settings.entry_name,
             over=bounds.cold_over,
             slack=bounds.cold_slack,
@@ -155,27 +155,27 @@
         placing = Placing(
             fleet=self._fleet,
             run_times=RunTimes(),
-            places=self._places,
-            region_shares=self._region_shares,
-            cold_starts=self._cold_starts,
+            places=self._cached_locations,
+            region_shares=self._region_limiter,
+            cold_starts=self._cold_start_limiter,
             round_trips_s=self._connector.round_trips_s,
         )
         sender = UpstreamSender(
             fleet=self._fleet,
             pool=self._pool,
-            cold_starts=self._cold_starts,
+            cold_start_limiter=self._cold_start_limiter,
             crash_reports=self._crash_reports,
-            measures=self._metrics,
+            metrics=self._metrics,
             connector=self._connector,
-            placing=placing,
+            placer=placing,
         )
         self._forwarder = Forwarder(
             fleet=self._fleet,
             sender=sender,
-            placing=placing,
+            placer=placing,
             retry_budget=self._retry_budget,
             crash_reports=self._crash_reports,
-            measures=self._metrics,
+            metrics=self._metrics,
         )
 
     def _create_registration(self) -> Registration:
@@ -223,17 +223,17 @@
 
     def metrics(self) -> bytes:
         """Returns the metrics with up-to-date gauges."""
-        return self._overview.metrics()
+        return self._reports.metrics()
 
     def status(self) -> dict[str, object]:
         """Returns this entry's view of the fleet, with the age of its data."""
-        return self._overview.status(
+        return self._reports.status(
             ready=self.is_ready(), leaving=self._leaving
         )
 
     def configuration(self, *, version: int) -> dict[str, object] | None:
         """Returns a past configuration, or the one in force for 0."""
-        return self._overview.configuration(version=version)
+        return self._reports.configuration(version=version)
 
     # Lifecycle.
 
@@ -261,7 +261,7 @@
         # VM.
         self._pages.serve_ready(listen.ready)
         self._start_task("log", _flush_log)
-        self._start_task("settings", self._settings_watch.run)
+        self._start_task("settings", self._settings_watcher.run)
         self._start_task("loads", self._load_exchange.run)
         self._start_task("store", self._follower.run)
         self._start_task("lapses", self._follower.expire)
@@ -287,7 +287,7 @@
 
     def reload(self) -> None:
         """Reloads the settings file; changed addresses need a restart."""
-        self._settings_watch.reload()
+        self._settings_watcher.reload()
 
     def _apply_settings(self, settings: boot.BootSettings) -> None:
         before = self._settings
@@ -298,8 +298,8 @@
             slack=bounds.retry_slack,
             window_s=bounds.retry_window_s,
         )
-        self._region_shares.most_change = bounds.region_change
-        self._cold_starts.set_bounds(
+        self._region_limiter.most_change = bounds.region_change
+        self._cold_start_limiter.set_bounds(
             over=bounds.cold_over, slack=bounds.cold_slack
         )
         if settings.zones != before.zones:
--- a/almondstair/gateway/following.py
+++ b/almondstair/gateway/following.py
@@ -125,7 +125,7 @@
             lapsed = self._fleet.expire(now_s=now_s())
             self._registrations.change_log.begin(first=False)
             for record in lapsed.upstreams:
-                self._registrations.upstream_gone(
+                self._registrations.clean_up_upstream(
                     record, revision=self.revision
                 )
             for name in lapsed.entries:
--- a/almondstair/gateway/forwarding.py
+++ b/almondstair/gateway/forwarding.py
@@ -19,17 +19,17 @@
 from almondstair.gateway.call_records import CallRecorder
 from almondstair.gateway.caller_connection import RequestHandler
 from almondstair.gateway.calls import AttemptResult
-from almondstair.gateway.calls import Call
-from almondstair.gateway.calls import Verdict
+from almondstair.gateway.calls import AttemptVerdict
+from almondstair.gateway.calls import ForwardedCall
 from almondstair.gateway.calls import caller_response_head
 from almondstair.gateway.crash_words import CrashWords
 from almondstair.gateway.incoming import MAX_BUFFERED_BODY_BYTES
-from almondstair.gateway.incoming import IncomingRequest
+from almondstair.gateway.incoming import CallerRequest
 from almondstair.gateway.incoming import ResponseWait
 from almondstair.gateway.measures import Measures
 from almondstair.gateway.tries import UpstreamSender
-from almondstair.gateway.upstream_connection import Exchange
 from almondstair.gateway.upstream_connection import ExchangeEnd
+from almondstair.gateway.upstream_connection import UpstreamExchange
 
 # Limits on callers' requests before the first configuration.
 DEFAULT_LIMITS = CallerLimits(
@@ -63,9 +63,9 @@
         fleet: Fleet,
         sender: UpstreamSender,
         retry_budget: SecondTries,
-        placing: Placing,
+        placer: Placing,
         crash_reports: CrashWords,
-        measures: Measures,
+        metrics: Measures,
     ) -> None:
         """Creates a forwarder.
 
@@ -73,20 +73,20 @@
           fleet: the view of the deployment.
           sender: sends requests to upstreams.
           retry_budget: limits retries.
-          placing: chooses upstreams.
+          placer: chooses upstreams.
           crash_reports: requests that may crash upstreams.
-          measures: counters and histograms.
+          metrics: counters and histograms.
         """
         self._fleet = fleet
         self._retry_budget = retry_budget
-        self._placing = placing
+        self._placer = placer
         self._crash_reports = crash_reports
-        self._measures = measures
+        self._metrics = metrics
         self._service_turns = WeightedTurns()
-        self._recorder = CallRecorder(fleet=fleet, measures=measures)
+        self._recorder = CallRecorder(fleet=fleet, metrics=metrics)
         self._sender = sender
         self._slot_waits = EntryWaits()
-        self.in_flight: dict[IncomingRequest, Call] = {}
+        self.in_flight: dict[CallerRequest, ForwardedCall] = {}
         self.rejecting = False
         self._started_s = now_s()
 
@@ -96,7 +96,7 @@
             return DEFAULT_LIMITS
         return self._fleet.table.configuration.limits
 
-    def is_cancellable(self, request: IncomingRequest) -> bool:
+    def is_cancellable(self, request: CallerRequest) -> bool:
         """Returns whether to cancel a request whose caller disconnected.
 
         A request that is not idempotent and may have started runs to its end.
@@ -106,7 +106,7 @@
             return True
         return not call.may_have_run or not request.fully_read
 
-    async def handle(self, request: IncomingRequest) -> None:
+    async def handle(self, request: CallerRequest) -> None:
         """Responds to a request."""
         await self._wait_until_ready()
         try:
@@ -152,7 +152,7 @@
                 return
             await asyncio.sleep(READY_POLL_S)
 
-    def _create_call(self, request: IncomingRequest) -> Call:
+    def _create_call(self, request: CallerRequest) -> ForwardedCall:
         if self.rejecting:
             raise AlmondstairError(kind=ErrorKind.ENTRY_LEAVING)
         table = self._fleet.table
@@ -167,9 +167,9 @@
                 detail=f"no route for {host}{path} in version {table.version}",
             )
         service = self._service_turns.next_service(route=route)
-        return Call(request=request, route=route, service=service)
+        return ForwardedCall(request=request, route=route, service=service)
 
-    async def _within_deadline(self, call: Call) -> None:
+    async def _within_deadline(self, call: ForwardedCall) -> None:
         try:
             async with asyncio.timeout(max(0.0, call.remaining_s())):
                 await self._serve(call)
@@ -182,7 +182,7 @@
                 kind=ErrorKind.NO_SLOT, detail="no response before the deadline"
             ) from error
 
-    async def _serve(self, call: Call) -> None:
+    async def _serve(self, call: ForwardedCall) -> None:
         self._retry_budget.note_request(service=call.service, now_s=now_s())
         cause = ""
         while True:
@@ -191,22 +191,22 @@
                 raise self._no_capacity_error(call, cause)
             if call.tried and not self._acquire_retry(call):
                 raise self._attempts_spent_error(call, cause)
-            self._placing.note_sent(
-                call.placement_query(), choice, now_s=now_s()
+            self._placer.note_sent(
+                call.placement_request(), choice, now_s=now_s()
             )
             outcome = await self._sender.send(call, choice)
-            self._measures.attempts.labels(call.service, outcome.verdict).inc()
-            if outcome.verdict is Verdict.ANSWERED:
+            self._metrics.attempts.labels(call.service, outcome.verdict).inc()
+            if outcome.verdict is AttemptVerdict.ANSWERED:
                 self._send_response(call, choice, outcome.exchange)
                 return
             cause = outcome.cause
             if not _is_orderly_refusal(outcome):
-                self._placing.note_disturbed(now_s=now_s())
+                self._placer.note_disturbed(now_s=now_s())
             self._recorder.record_failed_attempt(call, choice, outcome)
             if not self._may_retry(call, outcome):
                 raise self._attempts_spent_error(call, cause)
 
-    async def _choose_or_wait(self, call: Call) -> Choice | None:
+    async def _choose_or_wait(self, call: ForwardedCall) -> Choice | None:
         """Returns the upstream for a call, waiting for capacity if it helps.
 
         A retry does not wait: its caller has already waited for the first
@@ -226,7 +226,7 @@
                 choice = self._choose_upstream(call)
         return choice
 
-    def _choose_upstream(self, call: Call) -> Choice | None:
+    def _choose_upstream(self, call: ForwardedCall) -> Choice | None:
         """Returns the upstream for a call, None when none has capacity.
 
         Raises:
@@ -236,19 +236,19 @@
         standing = self._crash_reports.standing(request)
         if standing in (Standing.UNSETTLED, Standing.REFUSED):
             raise self._quarantine_error(call, standing)
-        call.exposed = self._crash_reports.exposed(request)
-        placed = self._placing.place(call.placement_query(), now_s=now_s())
+        call.possibly_crashed = self._crash_reports.exposed(request)
+        placed = self._placer.place(call.placement_request(), now_s=now_s())
         if placed.unsettled:
             raise self._quarantine_error(call, Standing.UNSETTLED)
-        call.held_back = placed.held_back
+        call.excluded_regions = placed.held_back
         return placed.choice
 
-    def _should_wait(self, call: Call) -> bool:
+    def _should_wait(self, call: ForwardedCall) -> bool:
         if call.request.caller_disconnected:
             return False
-        return self._placing.waits_on(call.placement_query(), now_s=now_s())
+        return self._placer.waits_on(call.placement_request(), now_s=now_s())
 
-    def _acquire_retry(self, call: Call) -> bool:
+    def _acquire_retry(self, call: ForwardedCall) -> bool:
         now = now_s()
         return self._retry_budget.take(
             service=call.service,
@@ -257,7 +257,7 @@
             now_s=now,
         )
 
-    def _may_retry(self, call: Call, outcome: AttemptResult) -> bool:
+    def _may_retry(self, call: ForwardedCall, outcome: AttemptResult) -> bool:
         if call.request.response_begun or call.request.caller_disconnected:
             return False
         if call.attempts >= call.route.attempts:
@@ -265,12 +265,14 @@
         body = call.request.body
         if body.consumed:
             return False
-        if outcome.verdict is Verdict.UNKNOWN:
+        if outcome.verdict is AttemptVerdict.UNKNOWN:
             return call.route.kind.idempotent
         return True
 
     @staticmethod
-    def _quarantine_error(call: Call, standing: Standing) -> AlmondstairError:
+    def _quarantine_error(
+        call: ForwardedCall, standing: Standing
+    ) -> AlmondstairError:
         if call.may_have_run:
             return AlmondstairError(
                 kind=ErrorKind.UPSTREAM_LOST,
@@ -284,7 +286,9 @@
             retry_after_ms=SUSPECT_RETRY_AFTER_MS,
         )
 
-    def _no_capacity_error(self, call: Call, cause: str) -> AlmondstairError:
+    def _no_capacity_error(
+        self, call: ForwardedCall, cause: str
+    ) -> AlmondstairError:
         if call.may_have_run:
             return self._attempts_spent_error(call, cause)
         if not self._fleet.takers(call.service):
@@ -297,7 +301,9 @@
             retry_after_ms=NO_ROOM_RETRY_MS,
         )
 
-    def _attempts_spent_error(self, call: Call, cause: str) -> AlmondstairError:
+    def _attempts_spent_error(
+        self, call: ForwardedCall, cause: str
+    ) -> AlmondstairError:
         if call.may_have_run:
             return AlmondstairError(
                 kind=ErrorKind.UPSTREAM_LOST, detail=cause, ran=Ran.UNKNOWN
@@ -305,7 +311,7 @@
         return AlmondstairError(kind=ErrorKind.TRIES_SPENT, detail=cause)
 
     def _send_response(
-        self, call: Call, choice: Choice, exchange: Exchange
+        self, call: ForwardedCall, choice: Choice, exchange: UpstreamExchange
     ) -> None:
         assert exchange.head is not None
         if exchange.streamed:
@@ -321,4 +327,4 @@
     """Returns whether a working upstream rejected the request as full."""
     if outcome.exchange.end is not ExchangeEnd.COMPLETE:
         return False
-    return outcome.verdict is Verdict.NOT_RUN
+    return outcome.verdict is AttemptVerdict.NOT_RUN
--- a/almondstair/gateway/incoming.py
+++ b/almondstair/gateway/incoming.py
@@ -35,8 +35,8 @@
       delivered: whether it was sent; otherwise the caller disconnected first.
     """
 
-    request: "IncomingRequest"
-    behind: "IncomingRequest"
+    request: "CallerRequest"
+    behind: "CallerRequest"
     waited_s: float
     delivered: bool
 
@@ -55,7 +55,7 @@
         """Writes ready responses in the order of their requests."""
 
     @abc.abstractmethod
-    async def wait_writable(self, request: "IncomingRequest") -> None:
+    async def wait_writable(self, request: "CallerRequest") -> None:
         """Waits until more of a response can be written."""
 
     @abc.abstractmethod
@@ -63,7 +63,7 @@
         """Closes immediately, even in the middle of a response."""
 
 
-class ResponseState(enum.Enum):
+class ResponseProgress(enum.Enum):
     """Progress of the response to a request."""
 
     WAITING = "waiting"
@@ -71,7 +71,7 @@
     ENDED = "ended"
 
 
-class IncomingRequest(UpstreamResponseSink):
+class CallerRequest(UpstreamResponseSink):
     """A caller's request, with methods to respond to it.
 
     Attributes:
@@ -100,7 +100,7 @@
         self.body_length: int | None = 0
         self.arrived_s = 0.0
         self.response_ready_s = 0.0
-        self.state = ResponseState.WAITING
+        self.state = ResponseProgress.WAITING
         self.fully_read = False
         self.close_after = False
         self.caller_disconnected = False
@@ -115,7 +115,7 @@
     @property
     def response_begun(self) -> bool:
         """Whether the response has begun."""
-        return self.state is not ResponseState.WAITING
+        return self.state is not ResponseProgress.WAITING
 
     def respond(self, head: UpstreamResponseHead, body: bytes) -> None:
         """Sends a response with a complete body."""
@@ -131,7 +131,7 @@
 
     def respond_with_problem(self, error: AlmondstairError) -> None:
         """Sends a problem document, or closes a response that has begun."""
-        if self.state is ResponseState.STREAMING:
+        if self.state is ResponseProgress.STREAMING:
             self.abort()
             return
         headers: Headers = [
@@ -152,17 +152,17 @@
         """Starts a streamed response."""
         if self.response_begun:
             return
-        self.state = ResponseState.STREAMING
+        self.state = ResponseProgress.STREAMING
         self._chunked = True
         headers = list(head.headers)
         headers.append((b"transfer-encoding", b"chunked"))
         self._write_start(head.status, headers)
-        self.state = ResponseState.STREAMING
+        self.state = ResponseProgress.STREAMING
         self._connection.flush()
 
     async def write(self, data: bytes) -> None:
         """Writes a chunk and waits while the caller reads slowly."""
-        if self.state is not ResponseState.STREAMING:
+        if self.state is not ResponseProgress.STREAMING:
             return
         if self.method != "HEAD":
             self.output.append(encode_chunk(data))
@@ -171,7 +171,7 @@
 
     def end_stream(self) -> None:
         """Ends a streamed response."""
-        if self.state is not ResponseState.STREAMING:
+        if self.state is not ResponseProgress.STREAMING:
             return
         if self.method != "HEAD":
             self.output.append(LAST_CHUNK)
@@ -179,7 +179,7 @@
 
     def abort(self) -> None:
         """Aborts the connection so that the caller notices the truncation."""
-        self.state = ResponseState.ENDED
+        self.state = ResponseProgress.ENDED
         self._connection.abort()
 
     def _write_start(self, status: int, headers: Headers) -> None:
@@ -189,6 +189,6 @@
         self.output.append(encode_head(encode_status_line(status), headers))
 
     def _finish(self) -> None:
-        self.state = ResponseState.ENDED
+        self.state = ResponseProgress.ENDED
         self.response_ready_s = now_s()
         self._connection.flush()
--- a/almondstair/gateway/load_sharing.py
+++ b/almondstair/gateway/load_sharing.py
@@ -71,14 +71,14 @@
       entry: name of the entry that sent it.
       loads: in-flight requests by the hash of the upstream.
       replaced: hashes of upstreams that were replaced at their addresses.
-      places: recently found cached objects and their upstreams.
+      cached_locations: recently found cached objects and their upstreams.
     """
 
     at_s: float
     entry: str
     loads: Loads
     replaced: list[int]
-    places: list[Place]
+    cached_locations: list[Place]
 
 
 def add_loads(parts: Iterable[Loads]) -> Loads:
@@ -212,7 +212,7 @@
             entry=message.entry,
             loads=message.loads,
             replaced=message.replaced,
-            places=message.places,
+            cached_locations=message.places,
         )
         self._drop_replaced(message.replaced)
         for strike in message.strikes:
@@ -251,9 +251,9 @@
         entry = self._fleet.entries.get(name)
         if entry is None:
             return
-        places = self._places.all_places(now_s=now)
-        for begin in range(0, len(places), MAX_CACHED_OBJECTS):
-            part = places[begin : begin + MAX_CACHED_OBJECTS]
+        locations = self._places.all_places(now_s=now)
+        for begin in range(0, len(locations), MAX_CACHED_OBJECTS):
+            part = locations[begin : begin + MAX_CACHED_OBJECTS]
             self._send(CachedObjects(self._own_name, part), [entry])
 
     def _apply_plan(self, message: PlanTold) -> None:
@@ -272,7 +272,7 @@
         return min([self._own_zone, *self._zone_reports])
 
     def _drop_replaced(self, names: list[int]) -> None:
-        """Forgets upstreams that other entries found to be replaced.
+        """Forgets replaced upstreams, as reported, without a request to each.
 
         Args:
           names: hashes of the replaced incarnations.
@@ -364,20 +364,20 @@
         if self._all_zones_reported():
             self._total_at_s = now
         replaced = set(self._fleet.replaced(now_s=now))
-        places = dict.fromkeys(self._places.found_lately(now_s=now))
+        cached_locations = dict.fromkeys(self._places.found_lately(now_s=now))
         for member in self._member_reports.values():
             replaced.update(member.replaced)
-            places.update(dict.fromkeys(member.places))
+            cached_locations.update(dict.fromkeys(member.cached_locations))
         # Includes other entries' strikes, which are applied on receipt.
         strikes = self._fresh_strikes(now)
-        cached_objects = list(places)[:MAX_CACHED_OBJECTS]
+        cached_objects = list(cached_locations)[:MAX_CACHED_OBJECTS]
         self._send_zone_sum(
             Word(zone_sum, list(replaced), strikes, cached_objects), now
         )
         for report in self._zone_reports.values():
             replaced.update(report.replaced)
-            places.update(dict.fromkeys(report.places))
-        cached_objects = list(places)[:MAX_CACHED_OBJECTS]
+            cached_locations.update(dict.fromkeys(report.cached_locations))
+        cached_objects = list(cached_locations)[:MAX_CACHED_OBJECTS]
         total_report = Word(total, list(replaced), strikes, cached_objects)
         # Both share one allowance of the link: alternate so that neither
         # starves the other.
@@ -467,7 +467,7 @@
         ]
 
     def _other_reporters(self) -> list[Entry]:
-        """Returns the first in turn of each zone, and who spoke for it last."""
+        """Returns the first entry and the last reporter of each other zone."""
         reporters: dict[str, Entry] = {}
         entries = self._fleet.entries
         for zone in self._other_zones():
--- a/almondstair/gateway/mirror.py
+++ b/almondstair/gateway/mirror.py
@@ -10,7 +10,8 @@
 # later than that, instead of twice a second, gets a full listing.
 MAX_KEYS = 2000
 # Values from this size on are compressed. Registrations have a few hundred
-# bytes; a configuration with 1,400 routes has 292 kB, and 8.9 kB compressed.
+# bytes; an emulator configuration with 1,400 routes has 292 kB, and 8.9 kB
+# compressed.
 MIN_COMPRESSED_BYTES = 4096
 COMPRESSION_LEVEL = 1
 
--- a/almondstair/gateway/overview.py
+++ b/almondstair/gateway/overview.py
@@ -26,7 +26,7 @@
         pool: UpstreamPool,
         client: KvClient,
         follower: Follower,
-        measures: Measures,
+        metrics: Measures,
         in_flight: Sized,
     ) -> None:
         """Creates the overview of one entry.
@@ -37,7 +37,7 @@
           pool: connections to upstreams.
           client: client of the store, which counts its calls.
           follower: holds the age of the view and past configurations.
-          measures: counters and histograms.
+          metrics: counters and histograms.
           in_flight: requests in flight.
         """
         self._entry_name = entry_name
@@ -45,12 +45,12 @@
         self._pool = pool
         self._client = client
         self._follower = follower
-        self._measures = measures
+        self._metrics = metrics
         self._in_flight = in_flight
 
     def metrics(self) -> bytes:
         """Returns the metrics with up-to-date gauges."""
-        measures = self._measures
+        measures = self._metrics
         now = now_s()
         table = self._fleet.table
         measures.connections.set(self._pool.opened)
--- a/almondstair/gateway/reaching.py
+++ b/almondstair/gateway/reaching.py
@@ -78,7 +78,7 @@
 
     async def open(self, upstream: UpstreamState) -> UpstreamConnection | None:
         """Opens a connection for a request; None if that fails."""
-        connection = await self._connect(upstream)
+        connection = await self._try_connect(upstream)
         if connection is None:
             self._start_probe(upstream, FIRST_LOOK_S)
         return connection
@@ -97,7 +97,7 @@
         for task in list(self._probes.values()):
             task.cancel()
 
-    async def _connect(
+    async def _try_connect(
         self, upstream: UpstreamState
     ) -> UpstreamConnection | None:
         record = upstream.record
@@ -116,11 +116,11 @@
                 detail=str(error) or "connection timed out",
             )
             return None
-        self._note_round_trip(upstream.region, now_s() - began_s)
+        self._record_round_trip(upstream.region, now_s() - began_s)
         self._fleet.note_reached(upstream, now_s=now_s())
         return connection
 
-    def _note_round_trip(self, region: str, sample_s: float) -> None:
+    def _record_round_trip(self, region: str, sample_s: float) -> None:
         before_s = self.round_trips_s.get(region, sample_s)
         self.round_trips_s[region] = before_s + ROUND_TRIP_WEIGHT * (
             sample_s - before_s
@@ -163,7 +163,7 @@
         upstream_hash = upstream.name_hash
         if self._fleet.by_hash.get(upstream_hash) is not upstream:
             return True
-        connection = await self._connect(upstream)
+        connection = await self._try_connect(upstream)
         if connection is None:
             return False
         if not await self._stays_open(connection, upstream):
--- a/almondstair/gateway/registrations.py
+++ b/almondstair/gateway/registrations.py
@@ -99,9 +99,11 @@
             return
         record = self._fleet.drop_upstream(upstream_id, now_s=now_s())
         if record is not None:
-            self.upstream_gone(record, revision=revision)
+            self.clean_up_upstream(record, revision=revision)
 
-    def upstream_gone(self, record: UpstreamRecord, *, revision: int) -> None:
+    def clean_up_upstream(
+        self, record: UpstreamRecord, *, revision: int
+    ) -> None:
         """Cleans up after an upstream that is no longer registered.
 
         Args:
@@ -132,7 +134,7 @@
             if key.startswith(documents.UPSTREAM_PREFIX):
                 listed.add(key.removeprefix(documents.UPSTREAM_PREFIX))
         for record in self._fleet.forget_unlisted(listed, now_s=now_s()):
-            self.upstream_gone(record, revision=revision)
+            self.clean_up_upstream(record, revision=revision)
 
     def apply_entry(self, item: Item) -> None:
         """Applies a registration of an entry."""
--- a/almondstair/gateway/sources.py
+++ b/almondstair/gateway/sources.py
@@ -51,7 +51,7 @@
 
 
 class StoreSource(Source):
-    """The store itself."""
+    """Reads from the store itself."""
 
     def __init__(self, *, client: KvClient) -> None:
         """Creates a source that uses a client of the store."""
@@ -97,7 +97,7 @@
 
 
 class PeerSource(Source):
-    """Another entry's mirror of the store."""
+    """Reads from another entry's mirror of the store."""
 
     def __init__(self, *, address: str) -> None:
         """Creates the source of a peer at `ip:port`."""
--- a/almondstair/gateway/tries.py
+++ b/almondstair/gateway/tries.py
@@ -10,20 +10,20 @@
 from almondstair.core.placing import Placing
 from almondstair.core.upstream_state import UpstreamState
 from almondstair.gateway.calls import AttemptResult
-from almondstair.gateway.calls import Call
-from almondstair.gateway.calls import Verdict
+from almondstair.gateway.calls import AttemptVerdict
+from almondstair.gateway.calls import ForwardedCall
 from almondstair.gateway.calls import caller_response_head
 from almondstair.gateway.calls import upstream_request_head
 from almondstair.gateway.crash_words import CrashWords
 from almondstair.gateway.http_wire import Headers
 from almondstair.gateway.http_wire import UpstreamResponseHead
 from almondstair.gateway.http_wire import find_header
-from almondstair.gateway.incoming import IncomingRequest
+from almondstair.gateway.incoming import CallerRequest
 from almondstair.gateway.measures import Measures
 from almondstair.gateway.reaching import Reaching
-from almondstair.gateway.upstream_connection import Exchange
 from almondstair.gateway.upstream_connection import ExchangeEnd
 from almondstair.gateway.upstream_connection import UpstreamConnection
+from almondstair.gateway.upstream_connection import UpstreamExchange
 from almondstair.gateway.upstream_connection import UpstreamResponseSink
 from almondstair.gateway.upstream_pool import UpstreamPool
 from almondstair.platform import headers as names
@@ -44,38 +44,38 @@
         *,
         fleet: Fleet,
         pool: UpstreamPool,
-        cold_starts: ColdStarts,
+        cold_start_limiter: ColdStarts,
         crash_reports: CrashWords,
-        measures: Measures,
+        metrics: Measures,
         connector: Reaching,
-        placing: Placing,
+        placer: Placing,
     ) -> None:
         """Creates the sender of one entry.
 
         Args:
           fleet: the view of the deployment.
           pool: connections to upstreams.
-          cold_starts: counts requests to cold upstreams.
+          cold_start_limiter: counts requests to cold upstreams.
           crash_reports: requests that may crash upstreams.
-          measures: counters and histograms.
+          metrics: counters and histograms.
           connector: opens connections.
-          placing: records how long requests run.
+          placer: records how long requests run.
         """
         self._fleet = fleet
         self._pool = pool
-        self._cold_starts = cold_starts
+        self._cold_start_limiter = cold_start_limiter
         self._crash_reports = crash_reports
-        self._measures = measures
+        self._metrics = metrics
         self._connector = connector
-        self._placing = placing
+        self._placer = placer
 
-    async def send(self, call: Call, choice: Choice) -> AttemptResult:
+    async def send(self, call: ForwardedCall, choice: Choice) -> AttemptResult:
         """Sends a call to the chosen upstream and classifies the outcome."""
         upstream = choice.upstream
         call.tried.append(upstream.record.upstream_id)
         now = now_s()
         if upstream.cold(now_s=now):
-            self._cold_starts.note_sent(
+            self._cold_start_limiter.note_sent(
                 incarnation=upstream.incarnation, now_s=now
             )
         upstream.note_sent()
@@ -100,21 +100,21 @@
         if exchange.end is ExchangeEnd.LOST:
             self._report_loss(call, upstream, ran_s=now_s() - began_s)
         outcome = self._classify(call, choice, exchange)
-        if outcome.verdict is Verdict.NOT_RUN:
+        if outcome.verdict is AttemptVerdict.NOT_RUN:
             call.may_have_run = ran_before
         return outcome
 
-    def _newly_suspected(self, call: Call) -> bool:
+    def _newly_suspected(self, call: ForwardedCall) -> bool:
         """Returns whether a call came under suspicion after its placement.
 
         While the connection is opened, the same request may crash upstreams
         elsewhere; it must not crash another one here.
         """
-        exposed = self._crash_reports.exposed_now(call.fingerprint())
-        return not exposed <= call.exposed
+        possibly_crashed = self._crash_reports.exposed_now(call.fingerprint())
+        return not possibly_crashed <= call.possibly_crashed
 
     def _report_loss(
-        self, call: Call, upstream: UpstreamState, ran_s: float
+        self, call: ForwardedCall, upstream: UpstreamState, ran_s: float
     ) -> None:
         """Reports a lost response and probes the upstream."""
         self._crash_reports.note_lost(call.fingerprint(), upstream, ran_s=ran_s)
@@ -124,7 +124,7 @@
         self._connector.look_after(upstream)
 
     async def _get_connection(
-        self, call: Call, choice: Choice
+        self, call: ForwardedCall, choice: Choice
     ) -> UpstreamConnection | None:
         """Returns an idle or a new connection; None if connecting fails.
 
@@ -143,8 +143,11 @@
         return await self._connector.open(choice.upstream)
 
     async def _timed_exchange(
-        self, call: Call, choice: Choice, connection: UpstreamConnection
-    ) -> Exchange:
+        self,
+        call: ForwardedCall,
+        choice: Choice,
+        connection: UpstreamConnection,
+    ) -> UpstreamExchange:
         """Sends the request and records how long it took."""
         began_s = now_s()
         duration_valid = False
@@ -157,21 +160,24 @@
             duration_valid = True
             raise
         finally:
-            self._measures.attempt_s.labels(call.service).observe(
+            self._metrics.attempt_s.labels(call.service).observe(
                 now_s() - began_s
             )
             if duration_valid:
                 now = now_s()
-                self._placing.note_run(
-                    call.placement_query(),
+                self._placer.note_run(
+                    call.placement_request(),
                     choice,
                     took_s=now - began_s,
                     now_s=now,
                 )
 
     async def _exchange(
-        self, call: Call, choice: Choice, connection: UpstreamConnection
-    ) -> Exchange:
+        self,
+        call: ForwardedCall,
+        choice: Choice,
+        connection: UpstreamConnection,
+    ) -> UpstreamExchange:
         request = call.request
         upstream_id = choice.upstream.record.upstream_id
         chunked = request.body_length is None and not request.body.replayable
@@ -191,37 +197,45 @@
         return exchange
 
     def _classify(
-        self, call: Call, choice: Choice, exchange: Exchange
+        self, call: ForwardedCall, choice: Choice, exchange: UpstreamExchange
     ) -> AttemptResult:
         upstream = choice.upstream
         head = exchange.head
         if exchange.end is ExchangeEnd.NOT_SENT:
-            return AttemptResult(Verdict.NOT_RUN, exchange, "connection closed")
+            return AttemptResult(
+                AttemptVerdict.NOT_RUN, exchange, "connection closed"
+            )
         if exchange.end is not ExchangeEnd.COMPLETE or head is None:
             # The next connection shows whether the upstream is gone; one that
             # only loses responses remains in use, but less.
             upstream.note_answer(good=False, now_s=now_s())
             return AttemptResult(
-                Verdict.UNKNOWN, exchange, f"response {exchange.end.value}"
+                AttemptVerdict.UNKNOWN,
+                exchange,
+                f"response {exchange.end.value}",
             )
-        self._note_load(upstream_headers=head.headers, choice=choice)
+        self._record_load(upstream_headers=head.headers, choice=choice)
         cause = _unusable_cause(head)
         if head.status == _MISDIRECTED:
             self._record_replaced(choice)
             call.attempts -= 1
-            return AttemptResult(Verdict.NOT_RUN, exchange, "upstream replaced")
+            return AttemptResult(
+                AttemptVerdict.NOT_RUN, exchange, "upstream replaced"
+            )
         if find_header(head.headers, names.NOT_RUN) is not None:
             upstream.note_answer(good=False, now_s=now_s())
             return AttemptResult(
-                Verdict.NOT_RUN, exchange, f"refused {head.status}"
+                AttemptVerdict.NOT_RUN, exchange, f"refused {head.status}"
             )
         if cause:
-            return AttemptResult(Verdict.UNKNOWN, exchange, cause)
+            return AttemptResult(AttemptVerdict.UNKNOWN, exchange, cause)
         upstream.note_answer(good=head.status < _SERVER_ERROR, now_s=now_s())
         self._crash_reports.note_answered(call.fingerprint())
-        return AttemptResult(Verdict.ANSWERED, exchange)
+        return AttemptResult(AttemptVerdict.ANSWERED, exchange)
 
-    def _note_load(self, *, upstream_headers: Headers, choice: Choice) -> None:
+    def _record_load(
+        self, *, upstream_headers: Headers, choice: Choice
+    ) -> None:
         value = find_header(upstream_headers, names.LOAD)
         if value is None:
             return
@@ -236,11 +250,11 @@
         log.event(log.Event.UPSTREAM_GONE, upstream=record.incarnation)
 
 
-def _not_sent(call: Call, cause: str) -> AttemptResult:
+def _not_sent(call: ForwardedCall, cause: str) -> AttemptResult:
     """Returns an attempt that sent nothing to the chosen upstream."""
     call.tried.pop()
-    exchange = Exchange(end=ExchangeEnd.NOT_SENT)
-    return AttemptResult(Verdict.NOT_RUN, exchange, cause)
+    exchange = UpstreamExchange(end=ExchangeEnd.NOT_SENT)
+    return AttemptResult(AttemptVerdict.NOT_RUN, exchange, cause)
 
 
 def _unusable_cause(head: UpstreamResponseHead) -> str:
@@ -260,7 +274,7 @@
 class _ForwardingSink(UpstreamResponseSink):
     """Streams a long response to the caller, without hop-by-hop headers."""
 
-    def __init__(self, request: IncomingRequest) -> None:
+    def __init__(self, request: CallerRequest) -> None:
         self._request = request
 
     def begin(self, head: UpstreamResponseHead) -> None:
--- a/almondstair/gateway/upstream_connection.py
+++ b/almondstair/gateway/upstream_connection.py
@@ -56,7 +56,7 @@
     CALLER_DISCONNECTED = "caller_gone"
 
 
-class Exchange(NamedTuple):
+class UpstreamExchange(NamedTuple):
     """Result of one request.
 
     Attributes:
@@ -321,7 +321,7 @@
         request_id: bytes = b"",
         without_body: bool = False,
         sink: UpstreamResponseSink | None = None,
-    ) -> Exchange:
+    ) -> UpstreamExchange:
         """Sends one request and returns its result.
 
         Cancellation closes the connection, which makes the upstream drop the
@@ -336,7 +336,7 @@
           sink: receives a response that is too long to be buffered.
         """
         if not self.usable or self._transport is None:
-            return Exchange(end=ExchangeEnd.NOT_SENT)
+            return UpstreamExchange(end=ExchangeEnd.NOT_SENT)
         self._parser = httptools.HttpResponseParser(self)
         self._exchange_count += 1
         self._reset_response()
@@ -363,10 +363,10 @@
         self._idle_since_s = now_s()
         return self._result(end)
 
-    def _result(self, end: ExchangeEnd) -> Exchange:
+    def _result(self, end: ExchangeEnd) -> UpstreamExchange:
         if self._caller_disconnected:
-            return Exchange(end=ExchangeEnd.CALLER_DISCONNECTED)
-        return Exchange(
+            return UpstreamExchange(end=ExchangeEnd.CALLER_DISCONNECTED)
+        return UpstreamExchange(
             end=end,
             head=self._head,
             body=b"".join(self._buffered),
