--- a/almondstair/gateway/measures.py
+++ b/almondstair/gateway/measures.py
@@ -1,13 +1,13 @@
-"""Counters and histograms of a gateway, in the Prometheus text format.
+"""Metrics of a gateway in the Prometheus text format.
 
-docs/METRICS.md lists every name; a test keeps the two equal.
+docs/METRICS.md lists every name; a test checks that both agree.
 """
 
 import prometheus_client
 from prometheus_client import registry
 
-# Bounds of the buckets in seconds: the aims of routes lie between 0.3 and 2 s.
-LATENCY_BOUNDS_S = (
+# Latency targets of routes lie between 0.3 and 2 s.
+LATENCY_BUCKETS_S = (
     0.005,
     0.02,
     0.05,
@@ -26,10 +26,10 @@
 
 
 class Measures:
-    """Everything that a gateway counts."""
+    """Holds the counters, gauges and histograms of a gateway."""
 
     def __init__(self) -> None:
-        """Makes the collection; each gateway has one of its own."""
+        """Creates all metrics in a registry of their own."""
         self.registry = registry.CollectorRegistry(auto_describe=False)
         self.requests = self._counter(
             "almondstair_requests",
@@ -41,17 +41,17 @@
             "time from a request's head to its answer, in seconds",
             ("outcome",),
         )
-        self.waited_s = self._histogram(
+        self.response_wait_s = self._histogram(
             "almondstair_answer_wait_seconds",
             "time that ready answers waited for those before them, in seconds",
             ("delivered",),
         )
-        self.run_s = self._histogram(
+        self.attempt_s = self._histogram(
             "almondstair_upstream_seconds",
             "time of a try at an upstream, in seconds",
             ("service",),
         )
-        self.tries = self._counter(
+        self.attempts = self._counter(
             "almondstair_tries",
             "tries at upstreams by service and verdict",
             ("service", "verdict"),
@@ -67,7 +67,7 @@
             "almondstair_store_age_seconds",
             "time since the store last answered, in seconds",
         )
-        self.version = self._gauge(
+        self.configuration_version = self._gauge(
             "almondstair_configuration_version",
             "version of the configuration in force",
         )
@@ -79,15 +79,15 @@
             "upstreams that may get work, by service",
             ("service",),
         )
-        self.use = self._gauge(
+        self.slot_use = self._gauge(
             "almondstair_slots_used_ratio",
             "part of a service's slots in use",
             ("service",),
         )
-        self.running = self._gauge(
+        self.requests_in_flight = self._gauge(
             "almondstair_requests_running", "requests under way"
         )
-        self.left_out = self._gauge(
+        self.dropped_log_lines = self._gauge(
             "almondstair_log_lines_left_out",
             "log lines left out by event",
             ("event",),
@@ -115,9 +115,9 @@
             text,
             labels,
             registry=self.registry,
-            buckets=LATENCY_BOUNDS_S,
+            buckets=LATENCY_BUCKETS_S,
         )
 
-    def text(self) -> bytes:
-        """Returns all of them in the text format."""
+    def render(self) -> bytes:
+        """Returns all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
