--- a/almondstair/admitting.py
+++ b/almondstair/admitting.py
@@ -83,7 +83,7 @@
         """Decides what waits for a service, after anything has changed."""
         queue = self._queue(service)
         for decision in queue.advance(now_s=time.monotonic()):
-            self._decide(service, decision.number, decision.result)
+            self._resolve(service, decision.number, decision.result)
         self._set_timer(service, queue)
 
     def advance_all(self) -> None:
@@ -113,12 +113,12 @@
             return await future
         except asyncio.CancelledError:
             queue.cancel(number=waiting.number)
-            self._return_unused(future, service)
+            self._release_unused(future, service)
             raise
         finally:
             self._futures.pop(key, None)
 
-    def _return_unused(
+    def _release_unused(
         self, future: "asyncio.Future[_Result]", service: str
     ) -> None:
         # The slot came in the same turn of the loop as the cancellation. Left
@@ -134,7 +134,7 @@
                 work="",
             )
 
-    def _decide(self, service: str, number: int, result: _Result) -> None:
+    def _resolve(self, service: str, number: int, result: _Result) -> None:
         future = self._futures.get((service, number))
         if future is not None and not future.done():
             future.set_result(result)
--- a/almondstair/answers.py
+++ b/almondstair/answers.py
@@ -18,7 +18,7 @@
 from almondstair.http_messages import problem_body
 from almondstair.http_messages import problem_head
 
-HOLD_LIMIT_BYTES = 64 * 1024
+BUFFER_LIMIT_BYTES = 64 * 1024
 _NO_CONTENT = 204
 
 
@@ -52,8 +52,8 @@
         self.caller_gone = False
         self.pace: Pace = no_pace
         self._head: ResponseHead | None = None
-        self._held: list[bytes] = []
-        self._held_bytes = 0
+        self._buffered: list[bytes] = []
+        self._buffered_bytes = 0
 
     @abc.abstractmethod
     def write_head(self, head: ResponseHead, chunk: bytes) -> Awaitable[None]:
@@ -97,41 +97,41 @@
         """Holds or passes on a chunk of the body."""
         size_bytes = await self.pace(len(chunk))
         while size_bytes < len(chunk):
-            await self._take(chunk[:size_bytes])
+            await self._buffer_or_send(chunk[:size_bytes])
             chunk = chunk[size_bytes:]
             size_bytes = await self.pace(len(chunk))
-        await self._take(chunk)
+        await self._buffer_or_send(chunk)
 
-    async def _take(self, chunk: bytes) -> None:
-        if self.caller_gone and self._held_bytes >= HOLD_LIMIT_BYTES:
+    async def _buffer_or_send(self, chunk: bytes) -> None:
+        if self.caller_gone and self._buffered_bytes >= BUFFER_LIMIT_BYTES:
             return
         if self.state is AnswerState.STARTED:
             await self._send(self.write_chunk(chunk))
             return
-        self._held.append(chunk)
-        self._held_bytes += len(chunk)
-        if self._held_bytes >= HOLD_LIMIT_BYTES and not self.caller_gone:
-            await self._send(self._start())
+        self._buffered.append(chunk)
+        self._buffered_bytes += len(chunk)
+        if self._buffered_bytes >= BUFFER_LIMIT_BYTES and not self.caller_gone:
+            await self._send(self._flush())
 
     def held_answer(self) -> tuple[ResponseHead, bytes] | None:
         """Returns a whole answer that was small enough to hold, else None."""
         if self._head is None or self.state is not AnswerState.NOTHING:
             return None
-        if self._held_bytes >= HOLD_LIMIT_BYTES:
+        if self._buffered_bytes >= BUFFER_LIMIT_BYTES:
             return None
-        return self._head, b"".join(self._held)
+        return self._head, b"".join(self._buffered)
 
     def reset(self) -> None:
         """Forgets what is held, before another try."""
         self._head = None
-        self._held.clear()
-        self._held_bytes = 0
+        self._buffered.clear()
+        self._buffered_bytes = 0
 
     async def complete(self) -> None:
         """Sends what is still held and ends the answer."""
         if self.state is AnswerState.NOTHING and not self.caller_gone:
-            await self._send(self._start())
-        self._end()
+            await self._send(self._flush())
+        self._finish()
 
     def problem(self, error: AlmondstairError) -> None:
         """Answers with an error of the closed list, at once.
@@ -146,9 +146,9 @@
         self.reset()
         body = problem_body(error=error)
         self._head = self.problem_head(error, len(body))
-        self._held.append(body)
-        self._start()
-        self._end()
+        self._buffered.append(body)
+        self._flush()
+        self._finish()
 
     def problem_head(
         self, error: AlmondstairError, size_bytes: int
@@ -163,13 +163,13 @@
         self.state = AnswerState.CUT
         self.close_connection()
 
-    def _start(self) -> Awaitable[None]:
+    def _flush(self) -> Awaitable[None]:
         assert self._head is not None
-        chunk = b"".join(self._held)
+        chunk = b"".join(self._buffered)
         self.state = AnswerState.STARTED
         return self.write_head(self._head, chunk)
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         if self.state is AnswerState.STARTED:
             self.state = AnswerState.FINISHED
             self.write_end()
--- a/almondstair/body.py
+++ b/almondstair/body.py
@@ -33,7 +33,7 @@
         self._aborted = False
         self._chunks: deque[bytes] = deque()
         self._buffered_bytes = 0
-        self._first = xxhash.xxh3_128()
+        self._digest = xxhash.xxh3_128()
         self._readable: asyncio.Future[None] | None = None
         self._writable: asyncio.Future[None] | None = None
 
@@ -44,7 +44,7 @@
 
     def digest(self) -> str:
         """Returns a digest of what of the body came before it streamed."""
-        return self._first.hexdigest()
+        return self._digest.hexdigest()
 
     def put(self, chunk: bytes) -> asyncio.Future[None] | None:
         """Adds a chunk; returns a future to wait for when the buffer is full.
@@ -54,7 +54,7 @@
         """
         self.size_bytes += len(chunk)
         if not self.streaming:
-            self._first.update(chunk)
+            self._digest.update(chunk)
         self._chunks.append(chunk)
         self._buffered_bytes += len(chunk)
         self._wake_reader()
@@ -103,13 +103,13 @@
         return chunk
 
     def _wake_reader(self) -> None:
-        waiting = self._readable
+        waiter = self._readable
         self._readable = None
-        if waiting is not None and not waiting.done():
-            waiting.set_result(None)
+        if waiter is not None and not waiter.done():
+            waiter.set_result(None)
 
     def _wake_writer(self) -> None:
-        waiting = self._writable
+        waiter = self._writable
         self._writable = None
-        if waiting is not None and not waiting.done():
-            waiting.set_result(None)
+        if waiter is not None and not waiter.done():
+            waiter.set_result(None)
--- a/almondstair/claims.py
+++ b/almondstair/claims.py
@@ -19,12 +19,12 @@
 from almondstair.key_value import base
 from almondstair.settling import Settling
 
-LEASE_PERIOD_S = 3600.0
-MAX_FIRST_SEEN = 10_000
-LOOK_TIMEOUT_S = 0.25
+LEASE_ROTATION_S = 3600.0
+MAX_OBSERVED_CLAIMS = 10_000
+LOOKUP_TIMEOUT_S = 0.25
 # How long a refusal waits for its released claim to be written. A write takes a
 # few milliseconds; two to a region farther away, one behind the other, 0.2 s.
-RELEASE_WAIT_S = 0.4
+MAX_RELEASE_WAIT_S = 0.4
 NONCE_BYTES = 16
 
 
@@ -93,13 +93,13 @@
         self._lease = batching.SharedLease(
             service=service,
             keep_s=retention_s,
-            period_s=LEASE_PERIOD_S,
+            period_s=LEASE_ROTATION_S,
             now=now,
         )
         self._gate = OutageGate()
-        self._open: dict[str, ledger.ClaimRecord] = {}
-        self._first_seen_s: dict[bytes, float] = {}
-        self._settling = Settling(
+        self._open_claims: dict[str, ledger.ClaimRecord] = {}
+        self._first_seen_at_s: dict[bytes, float] = {}
+        self._outcomes = Settling(
             write=self._write, delay_s=settle_delay_s, now=now
         )
 
@@ -109,9 +109,9 @@
         return ClaimCounts(
             writes=self._batcher.counts.writes,
             calls=self._batcher.counts.calls,
-            unsettled=self._settling.unsettled,
-            dropped=self._settling.dropped,
-            overtaken=self._settling.overtaken,
+            unsettled=self._outcomes.unsettled,
+            dropped=self._outcomes.dropped,
+            overtaken=self._outcomes.overtaken,
         )
 
     async def claim(
@@ -135,37 +135,37 @@
             request will not run by this call; `claim_in_flight`,
             `outcome_unknown` or `key_reused` for a repeat.
         """
-        place = ledger.service_key(service=service, key=key)
-        wanted = self._wanted(key, fingerprint, deadline_s)
-        answer = self._look_here(place, wanted)
-        if answer is not None:
-            return answer
+        store_key = ledger.service_key(service=service, key=key)
+        new_record = self._make_record(key, fingerprint, deadline_s)
+        recorded = self._repeat_response(store_key, new_record)
+        if recorded is not None:
+            return recorded
         if not self._gate.lets_through(now_s=self._now()):
             raise AlmondstairError(
                 kind=ErrorKind.CLAIM_UNAVAILABLE,
                 detail="the platform did not answer the last claims",
             )
-        claiming = ledger.Claiming(wanted=wanted, look=self._look_beside)
-        self._open[place] = wanted
+        claiming = ledger.Claiming(wanted=new_record, look=self._observe)
+        self._open_claims[store_key] = new_record
         held = False
         try:
-            await self._make(claiming, place, deadline_s)
+            await self._write_claim(claiming, store_key, deadline_s)
             if claiming.verdict is ledger.Verdict.OURS:
                 held = self._now() < deadline_s
         finally:
             if not held:
-                del self._open[place]
-                self._give_up(claiming, place)
+                del self._open_claims[store_key]
+                self._release_unheld(claiming, store_key)
         if held:
             return ledger.Claim(
-                place=place,
-                record=wanted,
+                place=store_key,
+                record=new_record,
                 mod_revision=claiming.mod_revision,
                 deadline_s=deadline_s,
             )
-        return self._refuse(claiming, deadline_s)
+        return self._refuse_or_replay(claiming, deadline_s)
 
-    def _wanted(
+    def _make_record(
         self, key: str, fingerprint: bytes, deadline_s: float
     ) -> ledger.ClaimRecord:
         return ledger.ClaimRecord(
@@ -197,29 +197,31 @@
           AlmondstairError: `claim_in_flight`, `outcome_unknown` or
             `key_reused`, for a key that is not free.
         """
-        place = ledger.service_key(service=service, key=key)
-        wanted = self._wanted(key, fingerprint, deadline_s)
-        answer = self._look_here(place, wanted)
-        if answer is not None:
-            return answer
+        store_key = ledger.service_key(service=service, key=key)
+        new_record = self._make_record(key, fingerprint, deadline_s)
+        recorded = self._repeat_response(store_key, new_record)
+        if recorded is not None:
+            return recorded
         if not self._gate.lets_through(now_s=self._now()):
             return None
-        until_s = min(deadline_s, self._now() + LOOK_TIMEOUT_S)
+        until_s = min(deadline_s, self._now() + LOOKUP_TIMEOUT_S)
         try:
-            current = await self._read(place, until_s)
+            current = await self._read(store_key, until_s)
         except base.PlatformError:
             self._gate.failed(now_s=self._now())
             return None
         if current is None:
             return None
         record = ledger.decode_record(current.value)
-        seen = ledger.Bystander(False, False, False)
+        observation = ledger.Bystander(False, False, False)
         if record is not None:
-            seen = self._look_beside(record)
-        verdict = ledger.judge(record=record, wanted=wanted, seen=seen)
+            observation = self._observe(record)
+        verdict = ledger.judge(
+            record=record, wanted=new_record, seen=observation
+        )
         if verdict is ledger.Verdict.CLAIMABLE:
             return None
-        return _answer_or_raise(verdict, record)
+        return _recorded_or_raise(verdict, record)
 
     async def record(
         self, claim: ledger.Claim, answer: ledger.RecordedAnswer
@@ -231,12 +233,12 @@
         answered from memory.
         """
         claim.close(ledger.ClaimPhase.DONE)
-        self._end(claim, ledger.RecordState.DONE, answer)
+        self._write_outcome(claim, ledger.RecordState.DONE, answer)
 
     async def record_unknown(self, claim: ledger.Claim) -> None:
         """Ends a claim that may have run, without a whole answer."""
         claim.close(ledger.ClaimPhase.UNKNOWN)
-        self._end(claim, ledger.RecordState.UNKNOWN, None)
+        self._write_outcome(claim, ledger.RecordState.UNKNOWN, None)
 
     async def release(self, claim: ledger.Claim) -> None:
         """Ends a claim whose request certainly did not run, and will not.
@@ -250,12 +252,12 @@
         failed write.
         """
         claim.close(ledger.ClaimPhase.RELEASED)
-        self._end(claim, ledger.RecordState.RELEASED, None)
-        began_s = self._now()
-        until_s = min(claim.deadline_s, began_s + RELEASE_WAIT_S)
+        self._write_outcome(claim, ledger.RecordState.RELEASED, None)
+        started_s = self._now()
+        until_s = min(claim.deadline_s, started_s + MAX_RELEASE_WAIT_S)
         nonce = claim.record.nonce
-        if not await self._settling.until_tried(nonce=nonce, until_s=until_s):
-            waited_s = round(self._now() - began_s, 3)
+        if not await self._outcomes.until_tried(nonce=nonce, until_s=until_s):
+            waited_s = round(self._now() - started_s, 3)
             log.event(log.Event.RELEASE_LATE, waited_s=waited_s)
 
     async def drain(self, *, timeout_s: float) -> bool:
@@ -264,58 +266,60 @@
         Returns:
           Whether it has.
         """
-        return await self._settling.drain(timeout_s=timeout_s)
+        return await self._outcomes.drain(timeout_s=timeout_s)
 
     def close(self) -> None:
         """Stops bringing in outcomes."""
-        self._settling.close()
+        self._outcomes.close()
 
-    def _look_here(
-        self, place: str, wanted: ledger.ClaimRecord
+    def _repeat_response(
+        self, store_key: str, new_record: ledger.ClaimRecord
     ) -> ledger.RecordedAnswer | None:
         """Answers a repeat from memory; None when the service must be asked."""
-        known = self._open.get(place)
-        known = known or self._settling.outcome(place=place)
-        if known is None:
+        local = self._open_claims.get(store_key)
+        local = local or self._outcomes.outcome(place=store_key)
+        if local is None:
             return None
-        here = ledger.Bystander(
+        observation = ledger.Bystander(
             holder_live=True, deadline_passed=False, never_dispatched=False
         )
-        verdict = ledger.judge(record=known, wanted=wanted, seen=here)
-        return _answer_or_raise(verdict, known)
+        verdict = ledger.judge(
+            record=local, wanted=new_record, seen=observation
+        )
+        return _recorded_or_raise(verdict, local)
 
-    def _look_beside(self, record: ledger.ClaimRecord) -> ledger.Bystander:
+    def _observe(self, record: ledger.ClaimRecord) -> ledger.Bystander:
         now_s = self._now()
-        seen_s = self._first_seen_s.setdefault(record.nonce, now_s)
-        if len(self._first_seen_s) > MAX_FIRST_SEEN:
-            del self._first_seen_s[next(iter(self._first_seen_s))]
+        first_seen_s = self._first_seen_at_s.setdefault(record.nonce, now_s)
+        if len(self._first_seen_at_s) > MAX_OBSERVED_CLAIMS:
+            del self._first_seen_at_s[next(iter(self._first_seen_at_s))]
         # The claim was made before it was first seen here, so its deadline is
         # no later than this, by whatever clock.
-        last_s = seen_s + record.time_left_ms / 1000
+        latest_deadline_s = first_seen_s + record.time_left_ms / 1000
         return ledger.Bystander(
-            holder_live=self._holder_live(record),
-            deadline_passed=now_s > last_s,
-            never_dispatched=self._settling.is_released(nonce=record.nonce),
+            holder_live=self._is_holder_live(record),
+            deadline_passed=now_s > latest_deadline_s,
+            never_dispatched=self._outcomes.is_released(nonce=record.nonce),
         )
 
-    def _holder_live(self, record: ledger.ClaimRecord) -> bool:
+    def _is_holder_live(self, record: ledger.ClaimRecord) -> bool:
         if record.incarnation == self._incarnation:
             # Claims that this process holds are answered from memory. This one
             # is not among them: its outcome was dropped.
             return False
         return self._is_live(record.entry, record.incarnation)
 
-    async def _make(
-        self, claiming: ledger.Claiming, place: str, deadline_s: float
+    async def _write_claim(
+        self, claiming: ledger.Claiming, store_key: str, deadline_s: float
     ) -> None:
         until_s = min(deadline_s, self._now() + self._claim_timeout_s)
         while claiming.action is not ledger.ClaimAction.STOP:
             try:
                 if claiming.action is ledger.ClaimAction.READ_BACK:
-                    claiming.on_read(await self._read(place, until_s))
+                    claiming.on_read(await self._read(store_key, until_s))
                     continue
                 write = base.ConditionalWrite(
-                    key=place,
+                    key=store_key,
                     value=ledger.encode_record(claiming.wanted),
                     mod_revision=claiming.base_revision,
                 )
@@ -327,10 +331,10 @@
                 claiming.may_be_written = True
                 raise
 
-    async def _read(self, place: str, until_s: float) -> base.Record | None:
+    async def _read(self, store_key: str, until_s: float) -> base.Record | None:
         try:
             async with asyncio.timeout_at(until_s):
-                record = await self._service.get(key=place)
+                record = await self._service.get(key=store_key)
         except TimeoutError as error:
             raise base.PlatformError(
                 failure=base.PlatformFailure.UNAVAILABLE, detail="timeout"
@@ -369,20 +373,22 @@
                 detail="no lease in time",
             ) from error
 
-    def _give_up(self, claiming: ledger.Claiming, place: str) -> None:
+    def _release_unheld(
+        self, claiming: ledger.Claiming, store_key: str
+    ) -> None:
         """Sees to it that a claim which nobody holds is claimable again."""
         mod_revision = claiming.mod_revision
         if claiming.verdict is not ledger.Verdict.OURS:
             if not claiming.may_be_written:
                 return
             mod_revision = claiming.base_revision
-        self._settling.settle(
-            place=place,
+        self._outcomes.settle(
+            place=store_key,
             record=claiming.wanted._replace(state=ledger.RecordState.RELEASED),
             mod_revision=mod_revision,
         )
 
-    def _refuse(
+    def _refuse_or_replay(
         self, claiming: ledger.Claiming, deadline_s: float
     ) -> ledger.RecordedAnswer:
         verdict = claiming.verdict
@@ -395,22 +401,22 @@
             raise AlmondstairError(
                 kind=ErrorKind.CLAIM_UNAVAILABLE, detail=detail
             )
-        return _answer_or_raise(verdict, claiming.found)
+        return _recorded_or_raise(verdict, claiming.found)
 
-    def _end(
+    def _write_outcome(
         self,
         claim: ledger.Claim,
         state: ledger.RecordState,
         answer: ledger.RecordedAnswer | None,
     ) -> None:
-        self._open.pop(claim.place, None)
+        self._open_claims.pop(claim.place, None)
         record = claim.record._replace(state=state, answer=answer)
-        self._settling.settle(
+        self._outcomes.settle(
             place=claim.place, record=record, mod_revision=claim.mod_revision
         )
 
 
-def _answer_or_raise(
+def _recorded_or_raise(
     verdict: ledger.Verdict, record: ledger.ClaimRecord | None
 ) -> ledger.RecordedAnswer:
     if verdict is not ledger.Verdict.ANSWERED:
--- a/almondstair/dispatch.py
+++ b/almondstair/dispatch.py
@@ -189,9 +189,9 @@
                 headers[ALONE_HEADER] = "1"
         refusal = None
         if to_entry:
-            refusal = _entry_refusal
+            refusal = _entry_refusal_header
             if call.head.request_class.idempotent:
-                refusal = _entry_failure
+                refusal = _entry_error_header
         exchange = await client.exchange(
             address=address,
             stream=stream,
@@ -204,14 +204,14 @@
             pace=pace,
             refusal=refusal,
             wait_for_continue=to_entry,
-            after_write=_still_in_time(call, may_write),
+            after_write=_deadline_check(call, may_write),
         )
-        if _surely_not_run(exchange):
+        if _did_not_run(exchange):
             call.progress.not_run()
         return exchange
 
 
-def _still_in_time(
+def _deadline_check(
     call: Call, may_write: Callable[[], bool]
 ) -> Callable[[], bool]:
     """Returns the check that follows the write of a request's head.
@@ -227,7 +227,7 @@
     return check
 
 
-def _entry_refusal(head: ResponseHead) -> str:
+def _entry_refusal_header(head: ResponseHead) -> str:
     """Returns another entry's word that it did not run a request."""
     value = head.headers.get(ANSWER_HEADER, "")
     answer = read_entry_answer(value=value)
@@ -236,7 +236,7 @@
     return value
 
 
-def _entry_failure(head: ResponseHead) -> str:
+def _entry_error_header(head: ResponseHead) -> str:
     """Returns another entry's error, whether or not the request ran.
 
     The other entry makes one attempt and leaves the next to this one. Taken
@@ -249,7 +249,7 @@
     return value
 
 
-def _surely_not_run(exchange: Exchange) -> bool:
+def _did_not_run(exchange: Exchange) -> bool:
     if exchange.sent in (Sent.NOT_SENT, Sent.TOO_LATE):
         return True
     if exchange.sent is not Sent.REFUSED:
--- a/almondstair/frontend.py
+++ b/almondstair/frontend.py
@@ -115,23 +115,23 @@
         self, *, door: FrontDoor, connection: httputil.HTTPConnection
     ) -> None:
         """Receives a request that arrived at `door` on `connection`."""
-        self._door = door
+        self._listener = door
         self._connection = connection
-        self._answer = ConnectionAnswer(
+        self._response = ConnectionAnswer(
             connection=connection, for_entry=door.for_entries
         )
-        self._answer.end_connection = self._end_answer
+        self._response.end_connection = self._end_response
         self._body = RequestBody()
         self._call: Call | None = None
         self._task: asyncio.Task[None] | None = None
         self._lookup_service: str | None = None
         self._expects_continue = False
         self._started = False
-        self._read = False
-        self._ended = False
+        self._request_read = False
+        self._response_ended = False
         self._body_limit_bytes = 0
         self._discard_timer: asyncio.TimerHandle | None = None
-        self._late_timer: asyncio.TimerHandle | None = None
+        self._body_timer: asyncio.TimerHandle | None = None
 
     def headers_received(
         self,
@@ -144,8 +144,8 @@
         if self._expects_continue:
             # The server looks for it in lower case only.
             headers["Expect"] = headers["Expect"].lower()
-        self._answer.method = start_line.method
-        self._answer.close_after = self._door.handler.leaving()
+        self._response.method = start_line.method
+        self._response.close_after = self._listener.handler.leaving()
         try:
             length = check_request_framing(
                 start_line=start_line, headers=headers
@@ -158,7 +158,7 @@
         except AlmondstairError as error:
             self._refuse(error)
             return None
-        return self._early_start()
+        return self._start_before_body()
 
     def _open_call(
         self,
@@ -167,21 +167,21 @@
         length: int | None,
     ) -> None:
         path, _, query = start_line.path.partition("?")
-        if path == LOOKUP_PATH and not self._door.for_entries:
+        if path == LOOKUP_PATH and not self._listener.for_entries:
             self._lookup_service = _service_argument(start_line, query)
             return
-        service, rest = split_path(path=start_line.path)
+        service, service_path = split_path(path=start_line.path)
         request_class = find_class(
-            configuration=self._door.handler.configuration(),
+            configuration=self._listener.handler.configuration(),
             service=service,
             method=start_line.method,
-            path=rest,
+            path=service_path,
         )
-        if self._door.handler.refusing():
+        if self._listener.handler.refusing():
             raise AlmondstairError(kind=ErrorKind.ENTRY_LEAVING)
         self._body_limit_bytes = request_class.body_limit_bytes
         if length is not None and length > self._body_limit_bytes:
-            raise _too_large(self._body_limit_bytes)
+            raise _body_too_large(self._body_limit_bytes)
         if length is None and start_line.method not in _STREAMING_METHODS:
             raise AlmondstairError(
                 kind=ErrorKind.BAD_REQUEST,
@@ -192,7 +192,7 @@
             service=service,
             request_class=request_class,
             method=start_line.method,
-            path=rest,
+            path=service_path,
             key=check_key(request_class=request_class, key=key),
             deadline_s=deadline_s(
                 request_class=request_class,
@@ -200,15 +200,15 @@
                 now_s=time.monotonic(),
             ),
         )
-        zone = self._door.own_zone
-        if self._door.for_entries:
+        zone = self._listener.own_zone
+        if self._listener.for_entries:
             zone = headers.get(CALLER_ZONE_HEADER, zone)
-        from_entry = self._door.for_entries
+        from_entry = self._listener.for_entries
         self._call = Call(
             head=head,
             headers=end_to_end_headers(headers=headers),
             body=self._body,
-            answer=self._answer,
+            answer=self._response,
             progress=RequestProgress(),
             traceparent=headers.get(TRACE_HEADER, ""),
             caller_zone=zone,
@@ -219,11 +219,11 @@
         if length == 0:
             self._body.end()
             return
-        self._late_timer = asyncio.get_running_loop().call_later(
-            max(0.0, head.deadline_s - time.monotonic()), self._body_is_late
+        self._body_timer = asyncio.get_running_loop().call_later(
+            max(0.0, head.deadline_s - time.monotonic()), self._on_body_timeout
         )
 
-    def _early_start(self) -> Awaitable[None] | None:
+    def _start_before_body(self) -> Awaitable[None] | None:
         """Starts a call whose body waits for a go-ahead.
 
         Another entry asks `100-continue` before a long body: it is admitted
@@ -231,14 +231,14 @@
         """
         if not self._expects_continue or self._call is None:
             return None
-        if not self._door.for_entries:
+        if not self._listener.for_entries:
             return None
         self._body.streaming = True
         self._start()
         assert self._task is not None
-        return self._until_dispatched()
+        return self._wait_until_admitted()
 
-    async def _until_dispatched(self) -> None:
+    async def _wait_until_admitted(self) -> None:
         assert self._call is not None
         assert self._task is not None
         admitted = self._call.answer.admitted
@@ -250,12 +250,12 @@
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
         """Takes a chunk of the body."""
-        if self._call is None or self._ended:
+        if self._call is None or self._response_ended:
             self._discard(chunk)
             return None
         size_bytes = self._body.size_bytes + len(chunk)
         if size_bytes > self._body_limit_bytes:
-            self._over_limit()
+            self._refuse_oversized_body()
             return None
         wait = self._body.put(chunk)
         if not self._started and self._body.overflows():
@@ -263,14 +263,14 @@
             self._start()
         return wait
 
-    def _body_is_late(self) -> None:
+    def _on_body_timeout(self) -> None:
         """Gives up a body that did not arrive before its deadline.
 
         A call starts when its body is whole or too long to hold, and its
         deadline is kept from then on. A sender that stops before that would
         keep its connection for good.
         """
-        if self._started or self._ended:
+        if self._started or self._response_ended:
             return
         self._body.abort()
         self._call = None
@@ -281,9 +281,9 @@
             )
         )
 
-    def _over_limit(self) -> None:
+    def _refuse_oversized_body(self) -> None:
         assert self._call is not None
-        error = _too_large(self._body_limit_bytes)
+        error = _body_too_large(self._body_limit_bytes)
         if self._call.progress.may_have_run:
             error = AlmondstairError(
                 kind=error.kind, detail=error.detail, ran=Ran.UNKNOWN
@@ -301,14 +301,14 @@
 
     def finish(self) -> None:
         """Takes the end of the request."""
-        self._read = True
-        if self._ended:
+        self._request_read = True
+        if self._response_ended:
             if self._discard_timer is not None:
                 self._finish_connection()
             return
         self._body.end()
         if self._lookup_service is not None:
-            self._answer_lookup(self._lookup_service)
+            self._respond_to_lookup(self._lookup_service)
             return
         if self._call is None:
             return
@@ -321,22 +321,22 @@
             self._connection, "set_close_callback", None
         )
         if set_close_callback is not None:
-            set_close_callback(self._caller_gone)
+            set_close_callback(self._on_caller_disconnect)
 
     def on_connection_close(self) -> None:
         """The sender went away before the end of its request."""
-        if self._late_timer is not None:
-            self._late_timer.cancel()
+        if self._body_timer is not None:
+            self._body_timer.cancel()
         self._body.abort()
-        self._caller_gone()
+        self._on_caller_disconnect()
 
-    def _caller_gone(self) -> None:
+    def _on_caller_disconnect(self) -> None:
         """Cancels what nobody waits for any more.
 
         Work that must not repeat and may have started goes on to its end: its
         outcome is recorded, and the caller's repeat gets it.
         """
-        self._answer.caller_gone = True
+        self._response.caller_gone = True
         if self._call is None or self._task is None:
             return
         if not self._call.head.key:
@@ -351,34 +351,34 @@
     def _start(self) -> None:
         assert self._call is not None
         self._started = True
-        if self._late_timer is not None:
-            self._late_timer.cancel()
+        if self._body_timer is not None:
+            self._body_timer.cancel()
         self._task = asyncio.ensure_future(self._run(self._call))
-        self._door.running.add(self._task)
-        self._task.add_done_callback(self._door.running.discard)
+        self._listener.running.add(self._task)
+        self._task.add_done_callback(self._listener.running.discard)
 
     async def _run(self, call: Call) -> None:
         try:
-            await self._door.handler.handle(call)
+            await self._listener.handler.handle(call)
         except asyncio.CancelledError:
             raise
         except Exception as error:
             log.event(log.Event.REQUEST_BROKEN, error=error)
             if not call.progress.answer():
-                self._answer.abort()
+                self._response.abort()
                 return
             ran = Ran.NO
             if call.progress.may_have_run:
                 ran = Ran.UNKNOWN
-            self._answer.problem(
+            self._response.problem(
                 AlmondstairError(kind=ErrorKind.INTERNAL, ran=ran)
             )
 
-    def _answer_lookup(self, service: str) -> None:
+    def _respond_to_lookup(self, service: str) -> None:
         context = getattr(self._connection, "context", None)
         caller_ip = getattr(context, "remote_ip", "") or ""
         try:
-            body = self._door.handler.lookup(
+            body = self._listener.handler.lookup(
                 service=service, caller_ip=caller_ip
             )
         except AlmondstairError as error:
@@ -392,15 +392,15 @@
                 "Cache-Control": f"max-age={body['ttl_s']}",
             }
         )
-        if self._answer.close_after:
+        if self._response.close_after:
             headers["Connection"] = "close"
         start_line = httputil.ResponseStartLine("HTTP/1.1", 200, "OK")
         self._connection.write_headers(start_line, headers, content)
         self._finish_connection()
 
     def _refuse_and_close(self, error: AlmondstairError) -> None:
-        self._answer.close_after = True
-        self._read = True
+        self._response.close_after = True
+        self._request_read = True
         self._write_problem(error)
 
     def _refuse(self, error: AlmondstairError) -> None:
@@ -411,10 +411,10 @@
         instead of the refusal.
         """
         self._call = None
-        if not self._answer.untouched:
-            self._answer.abort()
+        if not self._response.untouched:
+            self._response.abort()
             return
-        if self._expects_continue and not self._read:
+        if self._expects_continue and not self._request_read:
             self._refuse_and_close(error)
             return
         self._write_problem(error)
@@ -423,15 +423,15 @@
         log.event(
             log.Event.REQUEST_REFUSED, kind=str(error.kind), detail=error.detail
         )
-        self._answer.problem(error)
+        self._response.problem(error)
 
-    def _end_answer(self) -> None:
+    def _end_response(self) -> None:
         """Ends the exchange, or waits a while for the rest of the request."""
-        self._ended = True
+        self._response_ended = True
         self._body.abort()
         # The sender of an unsent body waits for a go-ahead: nothing to drop.
-        waits = self._expects_continue and self._body.size_bytes == 0
-        if self._read or waits:
+        awaits_continue = self._expects_continue and self._body.size_bytes == 0
+        if self._request_read or awaits_continue:
             self._finish_connection()
             return
         if self._discard_timer is None:
@@ -461,7 +461,7 @@
     return values[0].decode("utf-8", "replace")
 
 
-def _too_large(limit_bytes: int) -> AlmondstairError:
+def _body_too_large(limit_bytes: int) -> AlmondstairError:
     return AlmondstairError(
         kind=ErrorKind.BODY_TOO_LARGE,
         detail=f"the body may have {limit_bytes} bytes",
--- a/almondstair/http_client.py
+++ b/almondstair/http_client.py
@@ -23,9 +23,9 @@
 from almondstair.http_messages import ResponseHead
 from almondstair.http_messages import answer_is_framed
 
-IDLE_LIMIT_S = 4.0
+MAX_IDLE_S = 4.0
 FRESH_LIMIT_S = 0.5
-IDLE_LIMIT_PER_ADDRESS = 16
+MAX_IDLE_PER_ADDRESS = 16
 CHUNK_BYTES = 64 * 1024
 MAX_BUFFER_BYTES = 1 << 20
 MAX_BODY_BYTES = 1 << 50
@@ -34,9 +34,9 @@
 # this much in each round trip, so far regions take larger ones.
 RECEIVE_BUFFER_BYTES = 16 * 1024
 READ_CHUNK_BYTES = 16 * 1024
-CONTINUE = 100
+STATUS_CONTINUE = 100
 # Start line and headers of a small message, counted against a link with it.
-HEAD_BYTES = 512
+HEAD_ESTIMATE_BYTES = 512
 _NO_LENGTH_METHODS = frozenset(("GET", "HEAD", "DELETE", "OPTIONS"))
 
 _PARAMETERS = http1connection.HTTP1ConnectionParameters(
@@ -112,7 +112,7 @@
         size_bytes -= await pace(size_bytes)
 
 
-class _AnswerDelegate(httputil.HTTPMessageDelegate):
+class _ResponseDelegate(httputil.HTTPMessageDelegate):
     """Receives one answer from tornado's parser."""
 
     def __init__(self, *, method: str, sink: AnswerSink) -> None:
@@ -120,12 +120,12 @@
         self.sink = sink
         self.response: ResponseHead | None = None
         self.refused = ""
-        self.whole = False
+        self.complete = False
         self.framed = True
-        self.answer_bytes = 0
-        self.go_ahead = asyncio.Event()
-        self.on_whole: Callable[[], None] = lambda: None
-        self.before_head: Callable[[ResponseHead], str] = _upstream_refusal
+        self.response_bytes = 0
+        self.continue_received = asyncio.Event()
+        self.on_complete: Callable[[], None] = lambda: None
+        self.find_refusal: Callable[[ResponseHead], str] = _upstream_refusal
 
     def headers_received(
         self,
@@ -133,14 +133,14 @@
         headers: httputil.HTTPHeaders,
     ) -> None:
         assert isinstance(start_line, httputil.ResponseStartLine)
-        if start_line.code == CONTINUE:
-            self.go_ahead.set()
+        if start_line.code == STATUS_CONTINUE:
+            self.continue_received.set()
             return
         if start_line.code < 200:
             return
         head = ResponseHead(start_line.code, start_line.reason, headers)
         self.response = head
-        self.refused = self.before_head(head)
+        self.refused = self.find_refusal(head)
         # Without a length only the closing of the connection ends the body,
         # and a crash looks the same: such an answer cannot be called whole.
         self.framed = answer_is_framed(method=self.method, head=head)
@@ -151,15 +151,15 @@
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
         if self.refused or not self.framed:
             return None
-        self.answer_bytes += len(chunk)
+        self.response_bytes += len(chunk)
         return self.sink.data(chunk)
 
     def finish(self) -> None:
-        self.whole = True
-        self.on_whole()
+        self.complete = True
+        self.on_complete()
 
     def on_connection_close(self) -> None:
-        self.go_ahead.set()
+        self.continue_received.set()
 
 
 def _upstream_refusal(head: ResponseHead) -> str:
@@ -193,16 +193,16 @@
                 stream.close()
         self._idle.clear()
 
-    def _take_idle(
-        self, address: str, limit_s: float
+    def _pop_idle(
+        self, address: str, max_idle_s: float
     ) -> iostream.IOStream | None:
         streams = self._idle.get(address, [])
         now_s = time.monotonic()
         while streams:
-            stream, since_s = streams.pop()
+            stream, idle_since_s = streams.pop()
             if stream.closed():
                 continue
-            if now_s - since_s > limit_s:
+            if now_s - idle_since_s > max_idle_s:
                 stream.close()
                 continue
             return stream
@@ -252,8 +252,8 @@
           OSError: the connection could not be made.
           TimeoutError: it took too long.
         """
-        limit_s = FRESH_LIMIT_S if fresh else IDLE_LIMIT_S
-        stream = self._take_idle(address, limit_s)
+        max_idle_s = FRESH_LIMIT_S if fresh else MAX_IDLE_S
+        stream = self._pop_idle(address, max_idle_s)
         if stream is not None:
             return stream
         try:
@@ -263,9 +263,9 @@
         except iostream.StreamClosedError as error:
             raise OSError(f"{address} refused the connection") from error
 
-    def _keep(self, address: str, stream: iostream.IOStream) -> None:
+    def _return_to_pool(self, address: str, stream: iostream.IOStream) -> None:
         streams = self._idle.setdefault(address, [])
-        if len(streams) >= IDLE_LIMIT_PER_ADDRESS:
+        if len(streams) >= MAX_IDLE_PER_ADDRESS:
             stream.close()
             return
         # Reading in idle times is what makes tornado notice a close.
@@ -306,13 +306,13 @@
         Returns:
           How it ended; a cancelled call closes the connection.
         """
-        call = _Call(
+        exchange = _ConnectionExchange(
             stream=stream, method=start_line.method, sink=sink, body=body
         )
         if refusal is not None:
-            call.delegate.before_head = refusal
+            exchange.delegate.find_refusal = refusal
         try:
-            result = await call.run(
+            result = await exchange.run(
                 start_line=start_line,
                 headers=headers,
                 pace=pace,
@@ -320,16 +320,16 @@
                 after_write=after_write,
             )
         except BaseException:
-            call.close()
+            exchange.close()
             raise
-        if call.reusable:
-            self._keep(address, stream)
+        if exchange.reusable:
+            self._return_to_pool(address, stream)
         else:
-            call.close()
+            exchange.close()
         return result
 
 
-class _Call:
+class _ConnectionExchange:
     """One exchange on one connection."""
 
     def __init__(
@@ -342,8 +342,8 @@
     ) -> None:
         self.stream = stream
         self.body = body
-        self.delegate = _AnswerDelegate(method=method, sink=sink)
-        self.delegate.on_whole = self._answer_is_whole
+        self.delegate = _ResponseDelegate(method=method, sink=sink)
+        self.delegate.on_complete = self._on_response_complete
         self.connection = http1connection.HTTP1Connection(
             stream,
             True,
@@ -351,7 +351,7 @@
         )
         self.request_bytes = 0
         self.request_written = False
-        self.caller_gone = False
+        self.sender_disconnected = False
         self.reusable = False
         self._pump: asyncio.Task[None] | None = None
 
@@ -360,7 +360,7 @@
             self._pump.cancel()
         self.connection.close()
 
-    def _answer_is_whole(self) -> None:
+    def _on_response_complete(self) -> None:
         # An answer before the end of the request: nobody wants the rest.
         if not self.request_written:
             self.close()
@@ -374,25 +374,27 @@
         wait_for_continue: bool,
         after_write: Callable[[], bool],
     ) -> Exchange:
-        whole_body = None
+        complete_body = None
         if self.body.replayable:
-            whole_body = self.body.replay()
-            headers["Content-Length"] = str(len(whole_body))
-            await pace_whole(pace, len(whole_body) + HEAD_BYTES)
-            if not whole_body and start_line.method in _NO_LENGTH_METHODS:
+            complete_body = self.body.replay()
+            headers["Content-Length"] = str(len(complete_body))
+            await pace_whole(pace, len(complete_body) + HEAD_ESTIMATE_BYTES)
+            if not complete_body and start_line.method in _NO_LENGTH_METHODS:
                 del headers["Content-Length"]
         elif wait_for_continue:
             headers["Expect"] = "100-continue"
         if self.stream.closed():
             # Closed while the body waited for its pace: nothing was written.
             return Exchange(sent=Sent.NOT_SENT)
-        write = self.connection.write_headers(start_line, headers, whole_body)
-        write.add_done_callback(_consume)
+        write = self.connection.write_headers(
+            start_line, headers, complete_body
+        )
+        write.add_done_callback(_mark_exception_retrieved)
         if not after_write():
             self.close()
             return Exchange(sent=Sent.WITHDRAWN)
-        if whole_body is not None:
-            self.request_bytes = len(whole_body)
+        if complete_body is not None:
+            self.request_bytes = len(complete_body)
             self.request_written = True
             self.connection.finish()
         else:
@@ -404,13 +406,13 @@
     async def _pump_body(self, pace: Pace, wait_for_continue: bool) -> None:
         try:
             if wait_for_continue:
-                await self.delegate.go_ahead.wait()
+                await self.delegate.continue_received.wait()
             while chunk := await self.body.read():
                 await self._write_paced(pace, chunk)
             self.request_written = True
             self.connection.finish()
         except BodyAbortedError:
-            self.caller_gone = True
+            self.sender_disconnected = True
             self.connection.close()
         except (iostream.StreamClosedError, httputil.HTTPOutputError):
             self.connection.close()
@@ -418,54 +420,54 @@
     async def _write_paced(self, pace: Pace, chunk: bytes) -> None:
         while chunk:
             size_bytes = await pace(len(chunk))
-            piece = chunk
+            part = chunk
             if size_bytes < len(chunk):
-                piece = chunk[:size_bytes]
-            await self.connection.write(piece)
+                part = chunk[:size_bytes]
+            await self.connection.write(part)
             self.request_bytes += size_bytes
             chunk = chunk[size_bytes:]
 
     async def _read(self, headers: httputil.HTTPHeaders) -> Exchange:
-        open_after = False
+        stays_open = False
         try:
-            open_after = await self.connection.read_response(self.delegate)
+            stays_open = await self.connection.read_response(self.delegate)
         except (iostream.StreamClosedError, iostream.UnsatisfiableReadError):
-            open_after = False
+            stays_open = False
         if self._pump is not None and not self._pump.done():
             self._pump.cancel()
-        self.reusable = self._may_be_reused(open_after)
+        self.reusable = self._may_be_reused(stays_open)
         return Exchange(
-            sent=self._how_it_ended(),
+            sent=self._outcome(),
             head=self.delegate.response,
             refused=self.delegate.refused,
-            answer_bytes=self.delegate.answer_bytes,
+            answer_bytes=self.delegate.response_bytes,
             request_bytes=self.request_bytes,
         )
 
-    def _may_be_reused(self, open_after: bool) -> bool:
-        if not open_after or self.stream.closed():
+    def _may_be_reused(self, stays_open: bool) -> bool:
+        if not stays_open or self.stream.closed():
             return False
-        if not self.delegate.whole or not self.request_written:
+        if not self.delegate.complete or not self.request_written:
             return False
         assert self.delegate.response is not None
         connection = self.delegate.response.headers.get("Connection", "")
         return connection.lower() != "close"
 
-    def _how_it_ended(self) -> Sent:
+    def _outcome(self) -> Sent:
         if self.delegate.refused:
             return Sent.REFUSED
-        if self.caller_gone:
+        if self.sender_disconnected:
             return Sent.CALLER_GONE
         if self.delegate.response is None:
             return Sent.LOST
         if not self.delegate.framed:
             return Sent.CUT
-        if not self.delegate.whole:
+        if not self.delegate.complete:
             return Sent.CUT
         return Sent.WHOLE
 
 
-def _consume(future: "asyncio.Future[None]") -> None:
+def _mark_exception_retrieved(future: "asyncio.Future[None]") -> None:
     # A write that fails is seen again by the reader of the answer; without
     # this the loop would log a "never retrieved" error for each lost peer.
     if not future.cancelled():
--- a/almondstair/http_messages.py
+++ b/almondstair/http_messages.py
@@ -18,7 +18,7 @@
 TRACE_HEADER = "Traceparent"
 OWN_PREFIX = "Almondstair-"
 # An entry's own answer towards another entry, as `kind;ran;retry_after_ms`.
-ANSWER_PARTS = 3
+ANSWER_HEADER_PARTS = 3
 ANSWER_HEADER = "Almondstair-Answer"
 # An upstream's documented refusal: it did not run the request.
 REFUSED_HEADER = "Almondstair-Refused"
@@ -42,8 +42,8 @@
     )
 )
 # What no Connection header may take off a message.
-_FRAMING = frozenset(("Content-Length", "Transfer-Encoding"))
-_LENGTH = re.compile(r"[0-9]{1,18}\Z")
+_FRAMING_HEADERS = frozenset(("Content-Length", "Transfer-Encoding"))
+_LENGTH_PATTERN = re.compile(r"[0-9]{1,18}\Z")
 _STATUS_WITHOUT_BODY = frozenset((204, 304))
 
 
@@ -75,11 +75,11 @@
     for name, value in headers.get_all():
         size_bytes += len(name) + len(value) + 4
     if size_bytes > MAX_HEADER_BYTES:
-        raise _bad(f"the headers are over {MAX_HEADER_BYTES} bytes")
-    if not _FRAMING.isdisjoint(_named_by_connection(headers)):
+        raise _bad_request(f"the headers are over {MAX_HEADER_BYTES} bytes")
+    if not _FRAMING_HEADERS.isdisjoint(_connection_tokens(headers)):
         # Dropped as a header of one hop, the length would be missing on the
         # next: the upstream would read the body as further requests.
-        raise _bad("Connection may not name the body's length")
+        raise _bad_request("Connection may not name the body's length")
     return _body_length(start_line, headers)
 
 
@@ -89,23 +89,25 @@
     lengths = headers.get_list("Content-Length")
     encodings = headers.get_list("Transfer-Encoding")
     if lengths and encodings:
-        raise _bad("Content-Length and Transfer-Encoding exclude each other")
+        raise _bad_request(
+            "Content-Length and Transfer-Encoding exclude each other"
+        )
     if len(lengths) > 1 or len(encodings) > 1:
-        raise _bad("the body's length is given twice")
+        raise _bad_request("the body's length is given twice")
     if encodings:
         if encodings[0].lower() != "chunked":
-            raise _bad("Transfer-Encoding must be chunked")
+            raise _bad_request("Transfer-Encoding must be chunked")
         if start_line.version == "HTTP/1.0":
-            raise _bad("HTTP/1.0 has no Transfer-Encoding")
+            raise _bad_request("HTTP/1.0 has no Transfer-Encoding")
         return None
     if lengths:
-        if not _LENGTH.match(lengths[0]):
-            raise _bad("Content-Length is not a whole number")
+        if not _LENGTH_PATTERN.match(lengths[0]):
+            raise _bad_request("Content-Length is not a whole number")
         return int(lengths[0])
     return 0
 
 
-def _bad(detail: str) -> AlmondstairError:
+def _bad_request(detail: str) -> AlmondstairError:
     return AlmondstairError(kind=ErrorKind.BAD_REQUEST, detail=detail)
 
 
@@ -126,7 +128,7 @@
     Those of one hop stay behind, and those in which entries talk to each
     other.
     """
-    named = _named_by_connection(headers) - _FRAMING
+    named = _connection_tokens(headers) - _FRAMING_HEADERS
     kept = httputil.HTTPHeaders()
     for name, value in headers.get_all():
         if name in _HOP_BY_HOP or name in named:
@@ -137,7 +139,7 @@
     return kept
 
 
-def _named_by_connection(headers: httputil.HTTPHeaders) -> frozenset[str]:
+def _connection_tokens(headers: httputil.HTTPHeaders) -> frozenset[str]:
     value = headers.get("Connection", "")
     if not value:
         return frozenset()
@@ -194,7 +196,7 @@
 def read_entry_answer(*, value: str) -> EntryAnswer | None:
     """Reads `Almondstair-Answer`; None when it is absent or unreadable."""
     parts = value.split(";")
-    if len(parts) != ANSWER_PARTS:
+    if len(parts) != ANSWER_HEADER_PARTS:
         return None
     kind, ran, retry_after_ms = parts
     try:
--- a/almondstair/link_shares.py
+++ b/almondstair/link_shares.py
@@ -16,8 +16,8 @@
 from almondstair.pacing import LinkPacers
 from almondstair.pacing import window_bytes
 
-OUTWARD = ">"
-INWARD = "<"
+OUTBOUND = ">"
+INBOUND = "<"
 
 
 class LinkShares:
@@ -46,8 +46,8 @@
         self._shares: dict[str, LinkShare] = {}
         self._links: dict[str, Link] = {}
         self._table = EntryTable()
-        self._table_is_fresh = False
-        self._heard_epochs: dict[str, int] = {}
+        self._table_from_platform = False
+        self._acknowledged_epochs: dict[str, int] = {}
 
     def configure(self, *, configuration: Configuration) -> None:
         """Takes the links of this availability zone."""
@@ -80,13 +80,13 @@
           from_platform: whether this process read it from the platform.
         """
         self._table = table
-        self._table_is_fresh = self._table_is_fresh or from_platform
+        self._table_from_platform = self._table_from_platform or from_platform
         for share in self._shares.values():
-            self._tell_table(share, from_platform)
+            self._apply_table(share, from_platform)
 
     def heard_epoch(self, *, entry: str, epoch: int) -> None:
         """Takes another entry's acknowledgement."""
-        self._heard_epochs[entry] = epoch
+        self._acknowledged_epochs[entry] = epoch
         now_s = time.monotonic()
         for share in self._shares.values():
             share.on_acknowledged(entry=entry, epoch=epoch, now_s=now_s)
@@ -142,8 +142,8 @@
     def _add(self, link: Link) -> None:
         self._pacers.add(
             region=link.region,
-            outward=LinkPacer(share=self._make_share(link, OUTWARD)),
-            inward=LinkPacer(share=self._make_share(link, INWARD)),
+            outward=LinkPacer(share=self._make_share(link, OUTBOUND)),
+            inward=LinkPacer(share=self._make_share(link, INBOUND)),
         )
 
     def _make_share(self, link: Link, direction: str) -> LinkShare:
@@ -157,12 +157,12 @@
             now_s=now_s,
         )
         self._shares[name] = share
-        self._tell_table(share, self._table_is_fresh)
-        for entry, epoch in self._heard_epochs.items():
+        self._apply_table(share, self._table_from_platform)
+        for entry, epoch in self._acknowledged_epochs.items():
             share.on_acknowledged(entry=entry, epoch=epoch, now_s=now_s)
         return share
 
-    def _tell_table(self, share: LinkShare, from_platform: bool) -> None:
+    def _apply_table(self, share: LinkShare, from_platform: bool) -> None:
         names = []
         for row in self._table.entries:
             if row.availability_zone == self._own.availability_zone:
--- a/almondstair/lookups.py
+++ b/almondstair/lookups.py
@@ -14,8 +14,8 @@
 from almondstair.errors import ErrorKind
 
 # Who is live is looked at anew this often, not for each of many look-ups.
-LIVE_LIMIT_S = 0.1
-START_RETRY_MS = 500
+LIVE_REFRESH_S = 0.1
+STARTUP_RETRY_AFTER_MS = 500
 
 
 class EntryBody(TypedDict):
@@ -56,8 +56,8 @@
         self._own = own
         self._ttl_s = max(1, int(ttl_s))
         self._distances_ms: dict[str, float] = {}
-        self._live: tuple[EntryRow, ...] = ()
-        self._looked_s = float("-inf")
+        self._live_rows: tuple[EntryRow, ...] = ()
+        self._refreshed_s = float("-inf")
         self._table: LookupTable | None = None
 
     def configure(self, *, configuration: Configuration) -> None:
@@ -96,24 +96,27 @@
             raise AlmondstairError(
                 kind=ErrorKind.NO_UPSTREAM,
                 detail="no entry takes work yet",
-                retry_after_ms=START_RETRY_MS,
+                retry_after_ms=STARTUP_RETRY_AFTER_MS,
             )
         return LookupBody(service=service, entries=entries, ttl_s=self._ttl_s)
 
     def _current_table(self) -> LookupTable:
         now_s = time.monotonic()
-        if self._table is not None and now_s - self._looked_s < LIVE_LIMIT_S:
+        if (
+            self._table is not None
+            and now_s - self._refreshed_s < LIVE_REFRESH_S
+        ):
             return self._table
         live = self._membership.live(now_s=now_s)
-        self._looked_s = now_s
-        if self._table is None or live != self._live:
-            self._live = live
+        self._refreshed_s = now_s
+        if self._table is None or live != self._live_rows:
+            self._live_rows = live
             self._table = self._make_table()
         return self._table
 
     def _make_table(self) -> LookupTable:
         entries = []
-        for row in self._live:
+        for row in self._live_rows:
             entries.append(
                 LookupEntry(row.name, row.availability_zone, row.caller_address)
             )
--- a/almondstair/pacing.py
+++ b/almondstair/pacing.py
@@ -13,20 +13,20 @@
 from almondstair.http_client import RECEIVE_BUFFER_BYTES
 
 # A request that would wait longer for its link is refused at once.
-LONGEST_QUEUE_S = 1.0
-LONGEST_RETRY_S = 60.0
-LEAST_RETRY_MS = 100
-FIRST_WAIT_S = 0.001
+MAX_QUEUE_DELAY_S = 1.0
+MAX_RETRY_AFTER_S = 60.0
+MIN_RETRY_AFTER_MS = 100
+MIN_WAIT_S = 0.001
 # Part of a link's cap that one connection should reach, whatever the distance.
 CONNECTION_FRACTION = 0.125
-MOST_WINDOW_BYTES = 1 << 20
+MAX_WINDOW_BYTES = 1 << 20
 # What is read at once comes on top of what lies in the kernel.
 READ_AHEAD_BYTES = 64 * 1024
 # How fast the expected size of an answer rises to larger ones; it falls at
 # once, so that little is paid for bytes that do not come.
-SIZE_WEIGHT = 0.2
+SIZE_SMOOTHING = 0.2
 # Part of its share that an entry surely moves; see DEPTH_FRACTION of links.
-REACHED_FRACTION = 0.9
+ACHIEVED_FRACTION = 0.9
 
 
 def window_bytes(*, cap_bytes_per_s: int, latency_ms: float) -> int:
@@ -41,11 +41,11 @@
       latency_ms: one way.
     """
     round_trip_s = 2 * latency_ms / 1000
-    wanted = int(cap_bytes_per_s * CONNECTION_FRACTION * round_trip_s)
-    return max(RECEIVE_BUFFER_BYTES, min(MOST_WINDOW_BYTES, wanted))
+    size_bytes = int(cap_bytes_per_s * CONNECTION_FRACTION * round_trip_s)
+    return max(RECEIVE_BUFFER_BYTES, min(MAX_WINDOW_BYTES, size_bytes))
 
 
-class _Waiting(NamedTuple):
+class _QueuedChunk(NamedTuple):
     """A piece in the queue, in the order in which pieces move."""
 
     rank: int
@@ -53,7 +53,7 @@
     number: int
     size_bytes: int
     future: "asyncio.Future[int]"
-    whole: bool
+    all_at_once: bool
 
 
 class LinkPacer:
@@ -67,11 +67,11 @@
     def __init__(self, *, share: LinkShare) -> None:
         """Paces by `share`."""
         self.share = share
-        self._queue: list[_Waiting] = []
+        self._queue: list[_QueuedChunk] = []
         self._queued_bytes = 0
         self._number = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._promised_bytes = dict.fromkeys(RANKS.values(), 0)
+        self._committed_bytes = dict.fromkeys(RANKS.values(), 0)
 
     async def move(
         self, size_bytes: int, priority: Priority, deadline_s: float
@@ -92,8 +92,10 @@
             )
             if part.size_bytes:
                 return part.size_bytes
-            self._wake_in(part.wait_s)
-        return await self._wait(size_bytes, priority, deadline_s, whole=False)
+            self._schedule_advance(part.wait_s)
+        return await self._wait(
+            size_bytes, priority, deadline_s, all_at_once=False
+        )
 
     async def pay_ahead(
         self, size_bytes: int, priority: Priority, deadline_s: float
@@ -103,8 +105,8 @@
         Several that are paid for in turns would all be whole at one moment,
         and what was paid for over a second would move in an instant.
         """
-        self._wake_in(FIRST_WAIT_S)
-        await self._wait(size_bytes, priority, deadline_s, whole=True)
+        self._schedule_advance(MIN_WAIT_S)
+        await self._wait(size_bytes, priority, deadline_s, all_at_once=True)
 
     async def _wait(
         self,
@@ -112,17 +114,17 @@
         priority: Priority,
         deadline_s: float,
         *,
-        whole: bool,
+        all_at_once: bool,
     ) -> int:
         self._number += 1
         future = asyncio.get_running_loop().create_future()
-        waiting = _Waiting(
+        waiting = _QueuedChunk(
             RANKS[priority],
             deadline_s,
             self._number,
             size_bytes,
             future,
-            whole,
+            all_at_once,
         )
         heapq.heappush(self._queue, waiting)
         self._queued_bytes += size_bytes
@@ -132,48 +134,50 @@
         """Returns how long a new piece would wait, roughly."""
         if not self._queued_bytes:
             return 0.0
-        rate = self._own_bytes_per_s(now_s)
+        rate = self._usable_bytes_per_s(now_s)
         if rate <= 0:
             return float("inf")
         return self._queued_bytes / rate
 
     def promise(self, *, size_bytes: int, priority: Priority) -> None:
         """Counts bytes that an accepted request will move; negative: moved."""
-        self._promised_bytes[RANKS[priority]] += size_bytes
+        self._committed_bytes[RANKS[priority]] += size_bytes
 
     def carry_s(
         self, *, size_bytes: int, priority: Priority, now_s: float
     ) -> float:
         """Returns how long a body takes behind all that goes before it."""
         ahead_bytes = size_bytes
-        for rank, promised_bytes in self._promised_bytes.items():
+        for rank, committed_bytes in self._committed_bytes.items():
             if rank <= RANKS[priority]:
-                ahead_bytes += promised_bytes
+                ahead_bytes += committed_bytes
         status = self.share.status(now_s=now_s)
         # What is lent comes back within a term once this entry is busy.
-        rate = max(status.allowance_bytes_per_s, self._own_bytes_per_s(now_s))
+        rate = max(
+            status.allowance_bytes_per_s, self._usable_bytes_per_s(now_s)
+        )
         if rate <= 0:
             return float("inf")
-        return ahead_bytes / (rate * REACHED_FRACTION)
+        return ahead_bytes / (rate * ACHIEVED_FRACTION)
 
-    def _own_bytes_per_s(self, now_s: float) -> int:
+    def _usable_bytes_per_s(self, now_s: float) -> int:
         status = self.share.status(now_s=now_s)
         rate = status.allowance_bytes_per_s + status.borrowed_bytes_per_s
         return rate - status.lent_bytes_per_s
 
     def headroom(self, *, now_s: float) -> float:
         """Returns the unused part of this entry's share, 0 to 1."""
-        own = self._own_bytes_per_s(now_s)
-        if own <= 0:
+        usable = self._usable_bytes_per_s(now_s)
+        if usable <= 0:
             return 0.0
         used = self.share.status(now_s=now_s).used_bytes_per_s
-        return max(0.0, 1.0 - used / own)
+        return max(0.0, 1.0 - used / usable)
 
-    def _wake_in(self, wait_s: float) -> None:
+    def _schedule_advance(self, wait_s: float) -> None:
         if self._timer is None:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(
-                max(wait_s, FIRST_WAIT_S), self._advance
+                max(wait_s, MIN_WAIT_S), self._advance
             )
 
     def _advance(self) -> None:
@@ -182,17 +186,17 @@
             waiting = self._queue[0]
             if waiting.future.done():
                 # Its request was cancelled.
-                self._drop_first()
+                self._pop_first()
                 continue
             part = self.share.take_part(
                 size_bytes=waiting.size_bytes, now_s=time.monotonic()
             )
             if not part.size_bytes:
-                self._wake_in(part.wait_s)
+                self._schedule_advance(part.wait_s)
                 return
-            self._drop_first()
+            self._pop_first()
             left_bytes = waiting.size_bytes - part.size_bytes
-            if waiting.whole and left_bytes:
+            if waiting.all_at_once and left_bytes:
                 self._queued_bytes += left_bytes
                 heapq.heappush(
                     self._queue, waiting._replace(size_bytes=left_bytes)
@@ -200,7 +204,7 @@
                 continue
             waiting.future.set_result(part.size_bytes)
 
-    def _drop_first(self) -> None:
+    def _pop_first(self) -> None:
         waiting = heapq.heappop(self._queue)
         self._queued_bytes -= waiting.size_bytes
 
@@ -229,11 +233,11 @@
         self._pacers = pacers
         self._priority = priority
         self._deadline_s = deadline_s
-        self._promised_bytes = 0
-        self._paid_bytes = answer_bytes
+        self._committed_bytes = 0
+        self._reserved_bytes = answer_bytes
         self.answer_bytes = 0
         if pacers:
-            self._promise(body_bytes)
+            self._commit(body_bytes)
 
     async def start(self) -> None:
         """Pays for the first bytes of the answer, before it is asked for.
@@ -242,9 +246,9 @@
         the buffers of this one. Paid for when they are read, many answers
         that begin at once would take the link over its cap.
         """
-        if self._pacers and self._paid_bytes:
+        if self._pacers and self._reserved_bytes:
             await self._pacers[1].pay_ahead(
-                self._paid_bytes, self._priority, self._deadline_s
+                self._reserved_bytes, self._priority, self._deadline_s
             )
 
     async def request(self, size_bytes: int) -> int:
@@ -254,13 +258,13 @@
         moved_bytes = await self._pacers[0].move(
             size_bytes, self._priority, self._deadline_s
         )
-        self._promise(-min(moved_bytes, self._promised_bytes))
+        self._commit(-min(moved_bytes, self._committed_bytes))
         return moved_bytes
 
     async def answer(self, size_bytes: int) -> int:
         """Waits until bytes of the answer may move; see `Pace`."""
-        moved_bytes = min(size_bytes, self._paid_bytes)
-        self._paid_bytes -= moved_bytes
+        moved_bytes = min(size_bytes, self._reserved_bytes)
+        self._reserved_bytes -= moved_bytes
         if not moved_bytes:
             moved_bytes = size_bytes
             if self._pacers:
@@ -272,12 +276,12 @@
 
     def end(self) -> None:
         """Takes back what was promised and did not move."""
-        self._promise(-self._promised_bytes)
+        self._commit(-self._committed_bytes)
 
-    def _promise(self, size_bytes: int) -> None:
+    def _commit(self, size_bytes: int) -> None:
         if not size_bytes:
             return
-        self._promised_bytes += size_bytes
+        self._committed_bytes += size_bytes
         self._pacers[0].promise(size_bytes=size_bytes, priority=self._priority)
 
 
@@ -286,17 +290,17 @@
 
     def __init__(self) -> None:
         """Starts without a link."""
-        self._out: dict[str, LinkPacer] = {}
-        self._in: dict[str, LinkPacer] = {}
+        self._outbound: dict[str, LinkPacer] = {}
+        self._inbound: dict[str, LinkPacer] = {}
         self._windows: dict[str, int] = {}
-        self._answer_bytes: dict[str, float] = {}
+        self._response_bytes: dict[str, float] = {}
 
     def add(
         self, *, region: str, outward: LinkPacer, inward: LinkPacer
     ) -> None:
         """Adds the link to a region."""
-        self._out[region] = outward
-        self._in[region] = inward
+        self._outbound[region] = outward
+        self._inbound[region] = inward
 
     def set_window(self, *, region: str, size_bytes: int) -> None:
         """Sets the receive buffer of connections to a region."""
@@ -306,31 +310,31 @@
         """Returns the receive buffer of connections to a region."""
         return self._windows.get(region, RECEIVE_BUFFER_BYTES)
 
-    def _ahead_bytes(self, region: str, kind: str) -> int:
+    def _unread_response_bytes(self, region: str, response_kind: str) -> int:
         """Returns what of an answer may cross a link before any is read."""
         buffered = 2 * self.window_bytes(region=region) + READ_AHEAD_BYTES
-        expected = self._answer_bytes.get(kind, buffered)
+        expected = self._response_bytes.get(response_kind, buffered)
         return int(min(expected, buffered))
 
     def remove(self, *, region: str) -> None:
         """Drops a link that is no longer configured."""
-        self._out.pop(region, None)
-        self._in.pop(region, None)
+        self._outbound.pop(region, None)
+        self._inbound.pop(region, None)
         self._windows.pop(region, None)
 
     def regions(self) -> tuple[str, ...]:
         """Returns the regions with a link."""
-        return tuple(self._out)
+        return tuple(self._outbound)
 
     def pacers(self, *, region: str) -> tuple[LinkPacer, ...]:
         """Returns both directions of a link, none if there is no such link."""
-        if region not in self._out:
+        if region not in self._outbound:
             return ()
-        return self._out[region], self._in[region]
+        return self._outbound[region], self._inbound[region]
 
     def all(self) -> tuple[LinkPacer, ...]:
         """Returns every direction of every link."""
-        return tuple(self._out.values()) + tuple(self._in.values())
+        return tuple(self._outbound.values()) + tuple(self._inbound.values())
 
     def headroom(self, *, region: str, now_s: float) -> float:
         """Returns the smaller unused part of both directions, 0 to 1."""
@@ -361,7 +365,7 @@
           AlmondstairError: `link_full`.
         """
         left_s = deadline_s - now_s
-        limit_s = min(LONGEST_QUEUE_S, left_s)
+        limit_s = min(MAX_QUEUE_DELAY_S, left_s)
         pacers = self.pacers(region=region)
         for pacer in pacers:
             queue_s = pacer.queue_s(now_s=now_s)
@@ -401,24 +405,26 @@
             priority=priority,
             deadline_s=deadline_s,
             body_bytes=body_bytes,
-            answer_bytes=self._ahead_bytes(region, kind),
+            answer_bytes=self._unread_response_bytes(region, kind),
         )
 
     def note_answer(self, *, kind: str, size_bytes: int) -> None:
         """Learns the size of the answers of a kind."""
-        known = self._answer_bytes.get(kind)
-        if known is None or size_bytes < known:
-            self._answer_bytes[kind] = size_bytes
+        expected = self._response_bytes.get(kind)
+        if expected is None or size_bytes < expected:
+            self._response_bytes[kind] = size_bytes
             return
-        self._answer_bytes[kind] += (size_bytes - known) * SIZE_WEIGHT
+        self._response_bytes[kind] += (size_bytes - expected) * SIZE_SMOOTHING
 
 
-def _link_full(region: str, work_s: float, retry_s: float) -> AlmondstairError:
-    if retry_s > LONGEST_RETRY_S:
+def _link_full(
+    region: str, queued_s: float, retry_after_s: float
+) -> AlmondstairError:
+    if retry_after_s > MAX_RETRY_AFTER_S:
         # No share at all yet, or any more: a loan takes a moment.
-        retry_s = LONGEST_QUEUE_S
+        retry_after_s = MAX_QUEUE_DELAY_S
     return AlmondstairError(
         kind=ErrorKind.LINK_FULL,
-        detail=f"the link to {region} has work for {work_s:.1f} s",
-        retry_after_ms=max(LEAST_RETRY_MS, int(retry_s * 1000)),
+        detail=f"the link to {region} has work for {queued_s:.1f} s",
+        retry_after_ms=max(MIN_RETRY_AFTER_MS, int(retry_after_s * 1000)),
     )
--- a/almondstair/probing.py
+++ b/almondstair/probing.py
@@ -20,10 +20,10 @@
 from almondstair.http_messages import ResponseHead
 
 PROBE_TIMEOUT_S = 2.0
-ANSWER_LIMIT_BYTES = 4096
+MAX_RESPONSE_BYTES = 4096
 
 
-class _Held(AnswerSink):
+class _BufferedResponse(AnswerSink):
     """Keeps a short answer."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         self.status = head.status
 
     async def data(self, chunk: bytes) -> None:
-        if len(self.body) + len(chunk) <= ANSWER_LIMIT_BYTES:
+        if len(self.body) + len(chunk) <= MAX_RESPONSE_BYTES:
             self.body += chunk
 
 
@@ -54,7 +54,7 @@
         self._slots = slots
         self._client = client
         self._interval_s = interval_s
-        self._under_way: dict[str, asyncio.Task[None]] = {}
+        self._in_flight: dict[str, asyncio.Task[None]] = {}
 
     def start_due(self, *, configuration: Configuration) -> None:
         """Starts the probes that are due."""
@@ -65,36 +65,38 @@
             upstream = configuration.upstreams.get(row.name)
             if upstream is None or not upstream.load_path:
                 continue
-            if row.name in self._under_way:
+            if row.name in self._in_flight:
                 continue
-            self._under_way[row.name] = asyncio.ensure_future(
+            self._in_flight[row.name] = asyncio.ensure_future(
                 self._probe(row.name, upstream.address, upstream.load_path)
             )
 
     def stop(self) -> None:
         """Cancels what is under way."""
-        for task in self._under_way.values():
+        for task in self._in_flight.values():
             task.cancel()
 
     async def _probe(self, name: str, address: str, path: str) -> None:
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
-                report = await self._ask(address, path)
+                report = await self._fetch_report(address, path)
         except (OSError, TimeoutError):
             # No report: its age goes on growing, which is what counts.
             return
         finally:
-            del self._under_way[name]
+            del self._in_flight[name]
         if report is not None:
             self._slots.heard_upstream(
                 upstream=name, report=report, now_s=time.monotonic()
             )
 
-    async def _ask(self, address: str, path: str) -> UpstreamReport | None:
+    async def _fetch_report(
+        self, address: str, path: str
+    ) -> UpstreamReport | None:
         stream = await self._client.connect(address, fresh=False)
         body = RequestBody()
         body.end()
-        sink = _Held()
+        sink = _BufferedResponse()
         exchange = await self._client.exchange(
             address=address,
             stream=stream,
@@ -106,7 +108,7 @@
         if exchange.sent is not Sent.WHOLE or sink.status != 200:
             return None
         try:
-            return _read_report(sink.body)
+            return _decode_report(sink.body)
         except msgspec.MsgspecError:
             return None
 
@@ -119,7 +121,7 @@
     draining: bool = False
 
 
-def _read_report(body: bytes) -> UpstreamReport:
+def _decode_report(body: bytes) -> UpstreamReport:
     # Some upstreams report their flag as 0 or 1.
     report = msgspec.json.decode(body, type=_Report, strict=False)
     return UpstreamReport(
--- a/almondstair/running.py
+++ b/almondstair/running.py
@@ -34,10 +34,10 @@
 # Upstreams that one call is offered to at one entry. Each further one follows
 # a certain refusal, and a refusal costs the upstream next to nothing. More than
 # two, since a lost rack leaves several upstreams that are not noticed yet.
-UPSTREAMS_PER_CALL = 3
+MAX_UPSTREAMS_PER_CALL = 3
 SERVER_ERROR = 500
 # Time that an upstream takes to notice that its connection was closed.
-STOP_NOTICE_S = 0.02
+CANCEL_GRACE_S = 0.02
 
 
 class Core(NamedTuple):
@@ -104,30 +104,32 @@
           AlmondstairError: it was refused before any dispatch.
         """
         call = work.call
-        admission = await self._take(work, frozenset())
+        admission = await self._acquire_slot(work, frozenset())
         if not call.head.key:
             call.answer.admitted.set()
             return await self._dispatch(work, admission, None)
         claim = None
         try:
-            found = await self._claim(call)
+            found = await self._claim_key(call)
             if isinstance(found, ledger.RecordedAnswer):
                 await self._replay(call, found)
                 return None
             claim = found
         finally:
             if claim is None:
-                self._give_back(call, admission, Outcome.CANCELLED)
+                self._release_slot(call, admission, Outcome.CANCELLED)
         call.answer.admitted.set()
         try:
             return await self._dispatch(work, admission, claim)
         finally:
-            await self._settle(call, claim)
+            await self._end_claim(call, claim)
 
-    async def _take(self, work: Work, avoid: frozenset[str]) -> Admission:
+    async def _acquire_slot(
+        self, work: Work, avoid: frozenset[str]
+    ) -> Admission:
         head = work.call.head
         if work.verdict is Verdict.ALONE:
-            avoid = avoid | self._not_idle()
+            avoid = avoid | self._busy_upstreams()
         return await self._keeper.take(
             service=head.service,
             request_class=head.request_class,
@@ -135,7 +137,7 @@
             avoid=avoid,
         )
 
-    def _not_idle(self) -> frozenset[str]:
+    def _busy_upstreams(self) -> frozenset[str]:
         """Returns the upstreams with work that a crash would take along."""
         names = []
         for row in self._keeper.slots.status(now_s=time.monotonic()):
@@ -143,7 +145,9 @@
                 names.append(row.name)
         return frozenset(names)
 
-    async def _claim(self, call: Call) -> ledger.Claim | ledger.RecordedAnswer:
+    async def _claim_key(
+        self, call: Call
+    ) -> ledger.Claim | ledger.RecordedAnswer:
         try:
             found = await self._claims.claim(
                 service=call.head.service,
@@ -192,7 +196,7 @@
         call.progress.answer()
         await call.answer.complete()
 
-    async def _settle(self, call: Call, claim: ledger.Claim) -> None:
+    async def _end_claim(self, call: Call, claim: ledger.Claim) -> None:
         """Brings the outcome of a claim in, however its call ended."""
         if claim.phase is ledger.ClaimPhase.HELD:
             await self._claims.release(claim)
@@ -208,25 +212,25 @@
         self, work: Work, admission: Admission, claim: ledger.Claim | None
     ) -> AlmondstairError | None:
         call = work.call
-        avoid: frozenset[str] = frozenset()
-        for tries_left in reversed(range(UPSTREAMS_PER_CALL)):
+        excluded: frozenset[str] = frozenset()
+        for attempts_left in reversed(range(MAX_UPSTREAMS_PER_CALL)):
             attempt = await self._attempt(work, admission, claim)
             error = attempt.error
             if error is None:
                 self._core.quarantine.answered(fingerprint=work.fingerprint)
-                await self._pass_on(call, attempt, claim)
+                await self._complete_response(call, attempt, claim)
                 return None
-            self._note_failure(work, admission.upstream, attempt)
+            self._record_failure(work, admission.upstream, attempt)
             if attempt.exchange.sent not in _NOT_RUN:
                 return error
             if not call.answer.untouched or not call.body.replayable:
                 return error
-            if not tries_left:
+            if not attempts_left:
                 return error
-            avoid = avoid | {admission.upstream}
+            excluded = excluded | {admission.upstream}
             call.answer.reset()
             try:
-                admission = await self._take(work, avoid)
+                admission = await self._acquire_slot(work, excluded)
             except AlmondstairError as refusal:
                 return refusal
         return None
@@ -238,7 +242,7 @@
         name = admission.upstream
         upstream = self._core.configuration().upstreams[name]
         outcome = Outcome.CANCELLED
-        over = False
+        finished = False
 
         def may_write() -> bool:
             now_s = time.monotonic()
@@ -254,7 +258,7 @@
             return True
 
         started_s = time.monotonic()
-        still_s = self._still_s()
+        paused_s = self._paused_s()
         self.last_new_work_s[name] = started_s
         try:
             attempt = await self._sender.to_upstream(
@@ -265,27 +269,27 @@
                 pace=work.pace,
             )
             outcome = _OUTCOMES[attempt.exchange.sent]
-            over = attempt.exchange.sent in _SURELY_OVER
-            self._note_load(name, attempt)
+            finished = attempt.exchange.sent in _ENDED_AT_UPSTREAM
+            self._apply_reported_load(name, attempt)
         finally:
-            self._give_back(call, admission, outcome, over=over)
+            self._release_slot(call, admission, outcome, finished=finished)
         attempt = attempt._replace(
-            started_s=started_s, still_s=self._still_s() - still_s
+            started_s=started_s, still_s=self._paused_s() - paused_s
         )
-        self._note_health(name, attempt, call.head.request_class.name)
+        self._record_health(name, attempt, call.head.request_class.name)
         return attempt
 
-    def _still_s(self) -> float:
+    def _paused_s(self) -> float:
         standstill = self._keeper.slots.standstill
         return standstill.total_s(now_s=time.monotonic())
 
-    def _give_back(
+    def _release_slot(
         self,
         call: Call,
         admission: Admission,
         outcome: Outcome,
         *,
-        over: bool = True,
+        finished: bool = True,
     ) -> None:
         """Gives a slot back, a moment later where work may still run.
 
@@ -293,7 +297,7 @@
         to notice it. Given away at once, the slot could be used twice.
         """
 
-        def give_back() -> None:
+        def release() -> None:
             self._keeper.give_back(
                 admission=admission,
                 outcome=outcome,
@@ -301,36 +305,36 @@
                 work=call.head.request_class.name,
             )
 
-        if over:
-            give_back()
+        if finished:
+            release()
             return
-        asyncio.get_running_loop().call_later(STOP_NOTICE_S, give_back)
+        asyncio.get_running_loop().call_later(CANCEL_GRACE_S, release)
 
-    async def _pass_on(
+    async def _complete_response(
         self, call: Call, attempt: Attempt, claim: ledger.Claim | None
     ) -> None:
         if claim is not None:
-            await self._record(call, attempt, claim)
+            await self._record_response(call, attempt, claim)
         if call.progress.answer():
             await call.answer.complete()
 
-    async def _record(
+    async def _record_response(
         self, call: Call, attempt: Attempt, claim: ledger.Claim
     ) -> None:
-        held = call.answer.held_answer()
+        buffered = call.answer.held_answer()
         head = attempt.exchange.head
         assert head is not None
         body = None
-        if held is not None:
-            head, body = held
-        answer = ledger.keep_answer(
+        if buffered is not None:
+            head, body = buffered
+        recorded = ledger.keep_answer(
             status=head.status,
             headers=list(head.headers.get_all()),
             body=body,
         )
-        await self._claims.record(claim, answer)
+        await self._claims.record(claim, recorded)
 
-    def _note_load(self, name: str, attempt: Attempt) -> None:
+    def _apply_reported_load(self, name: str, attempt: Attempt) -> None:
         """Takes the load that an answer states, while its slot is still held.
 
         The upstream counts the answered request too. What goes wrong once the
@@ -347,7 +351,7 @@
                 upstream=name, report=report, now_s=time.monotonic()
             )
 
-    def _note_health(
+    def _record_health(
         self, name: str, attempt: Attempt, request_class: str
     ) -> None:
         now_s = time.monotonic()
@@ -366,7 +370,7 @@
             still_ms=attempt.still_s * 1000,
         )
 
-    def _note_failure(self, work: Work, name: str, attempt: Attempt) -> None:
+    def _record_failure(self, work: Work, name: str, attempt: Attempt) -> None:
         call = work.call
         now_s = time.monotonic()
         sent = attempt.exchange.sent
@@ -377,7 +381,7 @@
         if sent is Sent.REFUSED:
             self._core.health.refused(name=name, now_s=now_s)
             return
-        if sent in _OWN_DOING:
+        if sent in _NOT_UPSTREAM_FAULT:
             # What goes wrong where it counts: after each standstill of this
             # entry its upstreams look as if they could not be reached, lose a
             # slot and get nothing for a moment.
@@ -401,9 +405,11 @@
 
 # After these nothing of the request runs at its upstream.
 _NOT_RUN = frozenset((Sent.NOT_SENT, Sent.TOO_LATE, Sent.REFUSED))
-_SURELY_OVER = _NOT_RUN | {Sent.WHOLE}
+_ENDED_AT_UPSTREAM = _NOT_RUN | {Sent.WHOLE}
 # What the caller or this entry did, not the upstream.
-_OWN_DOING = frozenset((Sent.CALLER_GONE, Sent.WITHDRAWN, Sent.TOO_LATE))
+_NOT_UPSTREAM_FAULT = frozenset(
+    (Sent.CALLER_GONE, Sent.WITHDRAWN, Sent.TOO_LATE)
+)
 _OUTCOMES = {
     Sent.WHOLE: Outcome.ANSWERED,
     Sent.NOT_SENT: Outcome.FAILED,
--- a/almondstair/serving.py
+++ b/almondstair/serving.py
@@ -37,13 +37,13 @@
 from almondstair.strike_words import StrikeWords
 from almondstair.tracing import Tracing
 
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 # Pause before another try of a request whose upstream was lost: the word of the
 # strike takes some milliseconds to the other entries. The caller's answer never
 # waits for it.
-STRIKE_SPREAD_S = 0.05
+STRIKE_PROPAGATION_S = 0.05
 # Certain refusals that another entry may not give.
-_ELSEWHERE = frozenset(
+_RETRY_ELSEWHERE = frozenset(
     (
         ErrorKind.NO_SLOT,
         ErrorKind.NO_UPSTREAM,
@@ -52,7 +52,7 @@
     )
 )
 # Refusals that may come before anybody has looked the key up.
-_BEFORE_CLAIM = frozenset(
+_BEFORE_KEY_LOOKUP = frozenset(
     (
         ErrorKind.NO_SLOT,
         ErrorKind.LINK_FULL,
@@ -75,7 +75,7 @@
 # Part of a class's deadline that a try must have had for its timeout to count
 # against the region. A caller that allows a few milliseconds would otherwise
 # make every region look dead to all other callers.
-_FAIR_TRY_FRACTION = 0.5
+_MIN_TIMEOUT_FRACTION = 0.5
 
 
 class Parts(NamedTuple):
@@ -110,11 +110,11 @@
     strike_words: StrikeWords
 
 
-class _Start(NamedTuple):
+class _AttemptStart(NamedTuple):
     """When a try started, and how long this entry had stood still by then."""
 
-    at_s: float
-    still_s: float
+    started_s: float
+    paused_s: float
 
 
 class _Hop(NamedTuple):
@@ -159,16 +159,18 @@
                     span, otherwise=call.traceparent
                 )
             )
-            error = await self._answer_in_time(call)
+            error = await self._answer_before_deadline(call)
             if error is not None:
                 span.set_attribute("error", str(error.kind))
-        self._count(call, error, started_s)
+        self._record_metrics(call, error, started_s)
 
-    async def _answer_in_time(self, call: Call) -> AlmondstairError | None:
+    async def _answer_before_deadline(
+        self, call: Call
+    ) -> AlmondstairError | None:
         error: AlmondstairError | None = None
         try:
             async with asyncio.timeout_at(call.head.deadline_s):
-                error = await self._answer(call)
+                error = await self._route(call)
         except TimeoutError:
             error = timeout_error(call.progress)
         except AlmondstairError as raised:
@@ -178,12 +180,12 @@
         error = unknown_if_run(error, call=call)
         # Closed before the answer is written: nothing dispatches it after.
         call.progress.answer()
-        error = await self._answer_repeat(call, error)
+        error = await self._replay_known_outcome(call, error)
         if error is not None:
             call.answer.problem(error)
         return error
 
-    async def _answer_repeat(
+    async def _replay_known_outcome(
         self, call: Call, error: AlmondstairError
     ) -> AlmondstairError | None:
         """Answers a refused repeat with what is known of its key.
@@ -195,7 +197,7 @@
         """
         if not call.head.key or call.from_entry:
             return error
-        if error.ran is not Ran.NO or error.kind not in _BEFORE_CLAIM:
+        if error.ran is not Ran.NO or error.kind not in _BEFORE_KEY_LOOKUP:
             return error
         try:
             async with asyncio.timeout_at(call.head.deadline_s):
@@ -203,11 +205,11 @@
                     return None
         except TimeoutError:
             return error
-        except AlmondstairError as known:
-            return known
+        except AlmondstairError as key_error:
+            return key_error
         return error
 
-    async def _answer(self, call: Call) -> AlmondstairError | None:
+    async def _route(self, call: Call) -> AlmondstairError | None:
         fingerprint = request_fingerprint(
             method=call.head.method,
             path=f"/{call.head.service}{call.head.path}",
@@ -219,7 +221,7 @@
         if call.from_entry:
             work = Work(call, fingerprint, verdict, no_pace)
             return await self._parts.runner.run(work)
-        return await self._steer(call, fingerprint, verdict)
+        return await self._route_with_retries(call, fingerprint, verdict)
 
     def _verdict(self, fingerprint: int) -> Verdict:
         self._parts.strike_words.read_waiting()
@@ -236,26 +238,26 @@
             )
         return verdict
 
-    async def _steer(
+    async def _route_with_retries(
         self, call: Call, fingerprint: int, verdict: Verdict
     ) -> AlmondstairError | None:
         budget = self._budgets[call.head.service]
         budget.first_try(now_s=time.monotonic())
         tried: frozenset[str] = frozenset()
-        error = self._without_region(call)
-        for _ in range(MAX_TRIES):
+        error = self._no_region_error(call)
+        for _ in range(MAX_ATTEMPTS):
             hop = self._next_hop(call, tried)
             if verdict is Verdict.ALONE:
                 hop = self._owner(call, fingerprint)
             if hop is None or hop.row.name in tried:
                 break
             tried = tried | {hop.row.name}
-            failed = await self._try(call, hop, fingerprint, verdict)
-            if failed is None:
+            attempt_error = await self._attempt(call, hop, fingerprint, verdict)
+            if attempt_error is None:
                 self._parts.quarantine.answered(fingerprint=fingerprint)
                 return None
-            error = failed
-            if not self._may_go_on(call, error, budget):
+            error = attempt_error
+            if not self._may_retry(call, error, budget):
                 break
             self._parts.metrics.count(Metric.RETRIES)
             call.answer.reset()
@@ -265,13 +267,13 @@
                 # be on the way. Tried again like any other request, this one
                 # would take along what runs beside it.
                 call = call._replace(alone=True)
-                await asyncio.sleep(STRIKE_SPREAD_S)
+                await asyncio.sleep(STRIKE_PROPAGATION_S)
                 verdict = self._verdict(fingerprint)
                 if verdict is Verdict.CLEAR:
                     verdict = Verdict.ALONE
-        return _spread(error)
+        return _jitter_retry_after(error)
 
-    def _without_region(self, call: Call) -> AlmondstairError:
+    def _no_region_error(self, call: Call) -> AlmondstairError:
         """Returns what to answer when no region is tried at all.
 
         Low priority is refused here while every region is full for it. Told
@@ -329,11 +331,11 @@
         )
         return None if row is None else _Hop(row.region, row)
 
-    async def _try(
+    async def _attempt(
         self, call: Call, hop: _Hop, fingerprint: int, verdict: Verdict
     ) -> AlmondstairError | None:
         service = call.head.service
-        start = self._start()
+        start = self._attempt_start()
         priority = call.head.request_class.priority
         pacers = self._parts.pacers
         pacers.check(
@@ -341,7 +343,7 @@
             priority=priority,
             body_bytes=call.body_bytes,
             deadline_s=call.head.deadline_s,
-            now_s=start.at_s,
+            now_s=start.started_s,
         )
         kind = f"{service}/{call.head.request_class.name}"
         transfer = pacers.transfer(
@@ -361,7 +363,7 @@
             await transfer.start()
             if hop.row.name == self._parts.own.name:
                 work = Work(call, fingerprint, verdict, transfer.request)
-                error = await self._run_here(work)
+                error = await self._run_locally(work)
             else:
                 self._parts.metrics.count(Metric.FORWARDS, hop.region)
                 error = await self._forward(call, hop, transfer.request)
@@ -370,16 +372,18 @@
         finally:
             transfer.end()
             self._parts.hops.returned(entry=hop.row.name, service=service)
-            self._tell_steering(call, hop, error, start)
+            self._report_to_steering(call, hop, error, start)
         return error
 
-    def _start(self) -> _Start:
-        return _Start(at_s=time.monotonic(), still_s=self._still_s())
+    def _attempt_start(self) -> _AttemptStart:
+        return _AttemptStart(
+            started_s=time.monotonic(), paused_s=self._paused_s()
+        )
 
-    def _still_s(self) -> float:
+    def _paused_s(self) -> float:
         return self._parts.standstill.total_s(now_s=time.monotonic())
 
-    async def _run_here(self, work: Work) -> AlmondstairError | None:
+    async def _run_locally(self, work: Work) -> AlmondstairError | None:
         try:
             return await self._parts.runner.run(work)
         except AlmondstairError as error:
@@ -400,15 +404,15 @@
             await call.answer.complete()
         return None
 
-    def _tell_steering(
+    def _report_to_steering(
         self,
         call: Call,
         hop: _Hop,
         error: AlmondstairError | None,
-        start: _Start,
+        start: _AttemptStart,
     ) -> None:
         now_s = time.monotonic()
-        length_ms = (now_s - start.at_s) * 1000
+        duration_ms = (now_s - start.started_s) * 1000
         service = call.head.service
         request_class = call.head.request_class
         regions = self._parts.steering.regions
@@ -423,9 +427,9 @@
                 service=service,
                 priority=request_class.priority,
                 request_class=request_class.name,
-                latency_ms=length_ms,
+                latency_ms=duration_ms,
                 now_s=now_s,
-                still_ms=(self._still_s() - start.still_s) * 1000,
+                still_ms=(self._paused_s() - start.paused_s) * 1000,
             )
             return
         if error.kind is ErrorKind.NO_SLOT:
@@ -440,15 +444,15 @@
                 now_s=now_s,
             )
             return
-        fair_ms = request_class.deadline_ms * _FAIR_TRY_FRACTION
+        min_ms = request_class.deadline_ms * _MIN_TIMEOUT_FRACTION
         timed_out = error.kind is ErrorKind.UPSTREAM_TIMEOUT
-        too_short = timed_out and length_ms < fair_ms
+        too_short = timed_out and duration_ms < min_ms
         if error.kind in _FAILURES and not too_short:
             regions.failed(region=hop.region, service=service, now_s=now_s)
             return
         regions.returned(region=hop.region, service=service)
 
-    def _may_go_on(
+    def _may_retry(
         self, call: Call, error: AlmondstairError, budget: RetryBudget
     ) -> bool:
         """Says whether a call may be tried once more.
@@ -462,17 +466,17 @@
             return False
         if not call.body.replayable and call.body.consumed:
             return False
-        not_run = error.ran is Ran.NO and error.kind in _ELSEWHERE
-        harmless = call.head.request_class.idempotent and (
+        not_run = error.ran is Ran.NO and error.kind in _RETRY_ELSEWHERE
+        repeatable = call.head.request_class.idempotent and (
             error.kind in _FAILURES
         )
-        if not not_run and not harmless:
+        if not not_run and not repeatable:
             return False
         if error.kind is ErrorKind.UPSTREAM_TIMEOUT:
             return False
         return budget.may_retry(now_s=time.monotonic())
 
-    def _count(
+    def _record_metrics(
         self, call: Call, error: AlmondstairError | None, started_s: float
     ) -> None:
         metrics = self._parts.metrics
@@ -493,7 +497,7 @@
         metrics.timing(Metric.LATENCY_MS, label, latency_ms)
 
 
-def _spread(error: AlmondstairError) -> AlmondstairError:
+def _jitter_retry_after(error: AlmondstairError) -> AlmondstairError:
     """Spreads the times at which refused callers come back."""
     if error.retry_after_ms is None:
         return error
--- a/almondstair/settling.py
+++ b/almondstair/settling.py
@@ -10,15 +10,15 @@
 
 # Outcomes that are kept while the service is out, and the bytes of their
 # answers; an eighth of the 128 MB that an entry may take.
-MAX_UNSETTLED = 10_000
+MAX_PENDING = 10_000
 MAX_UNSETTLED_BODY_BYTES = 16 << 20
 # Outcomes in one round: what one call to the service carries.
-MAX_SETTLED_AT_ONCE = base.MAX_BATCH
+MAX_WRITES_PER_ROUND = base.MAX_BATCH
 # Longest time for one write. Nobody waits for it, so it is long.
-SETTLE_TIMEOUT_S = 5.0
+WRITE_TIMEOUT_S = 5.0
 # Pauses after rounds in which a write failed; each is twice the one before.
-RETRY_FIRST_S = 0.2
-RETRY_LAST_S = 5.0
+MIN_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 5.0
 
 # Carries out a write: the write, whether it goes before others, and until when.
 Write = Callable[
@@ -52,19 +52,19 @@
         self._write = write
         self._delay_s = delay_s
         self._now = now
-        self._unsettled: dict[bytes, ledger.Settlement] = {}
+        self._pending: dict[bytes, ledger.Settlement] = {}
         self._outcomes: dict[str, ledger.ClaimRecord] = {}
-        self._body_bytes = 0
+        self._pending_body_bytes = 0
         self._task: asyncio.Task[None] | None = None
-        self._awaited: dict[bytes, asyncio.Event] = {}
-        self._hurry = asyncio.Event()
+        self._attempted: dict[bytes, asyncio.Event] = {}
+        self._flush_requested = asyncio.Event()
         self.dropped = 0
         self.overtaken = 0
 
     @property
     def unsettled(self) -> int:
         """Outcomes that the service does not have yet."""
-        return len(self._unsettled)
+        return len(self._pending)
 
     def outcome(self, *, place: str) -> ledger.ClaimRecord | None:
         """Returns the outcome of a key that is still on its way, if any."""
@@ -72,7 +72,7 @@
 
     def is_released(self, *, nonce: bytes) -> bool:
         """Says whether a claim was given up and its release is on its way."""
-        settlement = self._unsettled.get(nonce)
+        settlement = self._pending.get(nonce)
         if settlement is None:
             return False
         return settlement.record.state is ledger.RecordState.RELEASED
@@ -87,22 +87,22 @@
           record: the record with its outcome.
           mod_revision: revision that its write is conditional on.
         """
-        if len(self._unsettled) >= MAX_UNSETTLED:
+        if len(self._pending) >= MAX_PENDING:
             # A long outage under load would otherwise take all memory.
             self.dropped += 1
             return
-        size_bytes = _size_bytes(record) + self._body_bytes
+        size_bytes = _body_size_bytes(record) + self._pending_body_bytes
         if record.answer is not None and size_bytes > MAX_UNSETTLED_BODY_BYTES:
             record = record._replace(answer=record.answer._replace(body=None))
-        self._body_bytes += _size_bytes(record)
-        self._unsettled[record.nonce] = ledger.Settlement(
+        self._pending_body_bytes += _body_size_bytes(record)
+        self._pending[record.nonce] = ledger.Settlement(
             place=place, record=record, mod_revision=mod_revision
         )
         if record.state is not ledger.RecordState.RELEASED:
             self._outcomes[place] = record
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(
-                self._settle_all()
+                self._write_all()
             )
 
     async def until_tried(self, *, nonce: bytes, until_s: float) -> bool:
@@ -111,17 +111,17 @@
         Returns:
           Whether it was answered or has failed by `until_s`.
         """
-        if nonce not in self._unsettled:
+        if nonce not in self._pending:
             return True
-        tried = self._awaited.setdefault(nonce, asyncio.Event())
-        self._hurry.set()
+        attempted = self._attempted.setdefault(nonce, asyncio.Event())
+        self._flush_requested.set()
         try:
             async with asyncio.timeout_at(until_s):
-                await tried.wait()
+                await attempted.wait()
         except TimeoutError:
             return False
         finally:
-            self._awaited.pop(nonce, None)
+            self._attempted.pop(nonce, None)
         return True
 
     async def drain(self, *, timeout_s: float) -> bool:
@@ -140,77 +140,77 @@
         if self._task is not None:
             self._task.cancel()
 
-    async def _settle_all(self) -> None:
-        delay_s = RETRY_FIRST_S
+    async def _write_all(self) -> None:
+        backoff_s = MIN_BACKOFF_S
         try:
-            while self._unsettled:
-                if len(self._unsettled) < MAX_SETTLED_AT_ONCE:
-                    await self._collect()
-                if await self._settle_some():
-                    delay_s = RETRY_FIRST_S
+            while self._pending:
+                if len(self._pending) < MAX_WRITES_PER_ROUND:
+                    await self._wait_for_batch()
+                if await self._write_round():
+                    backoff_s = MIN_BACKOFF_S
                     continue
-                if delay_s == RETRY_FIRST_S:
+                if backoff_s == MIN_BACKOFF_S:
                     log.event(
                         log.Event.CLAIM_NOT_RECORDED,
-                        unsettled=len(self._unsettled),
+                        unsettled=len(self._pending),
                     )
-                await asyncio.sleep(delay_s)
-                delay_s = min(delay_s * 2, RETRY_LAST_S)
+                await asyncio.sleep(backoff_s)
+                backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
         finally:
             self._task = None
 
-    async def _collect(self) -> None:
+    async def _wait_for_batch(self) -> None:
         """Lets outcomes come together, unless somebody waits for one."""
         try:
             async with asyncio.timeout(self._delay_s):
-                await self._hurry.wait()
+                await self._flush_requested.wait()
         except TimeoutError:
             # The time to collect is over; the round begins.
             return
 
-    async def _settle_some(self) -> bool:
+    async def _write_round(self) -> bool:
         """Tries the oldest outcomes; returns whether none of them failed."""
-        self._hurry.clear()
+        self._flush_requested.clear()
         settlements = []
-        for settlement in self._unsettled.values():
-            settlements.append(self._settle_one(settlement))
-            if len(settlements) == MAX_SETTLED_AT_ONCE:
+        for settlement in self._pending.values():
+            settlements.append(self._write_one(settlement))
+            if len(settlements) == MAX_WRITES_PER_ROUND:
                 break
         return all(await asyncio.gather(*settlements))
 
-    async def _settle_one(self, settlement: ledger.Settlement) -> bool:
-        until_s = self._now() + SETTLE_TIMEOUT_S
+    async def _write_one(self, settlement: ledger.Settlement) -> bool:
+        until_s = self._now() + WRITE_TIMEOUT_S
         state = ledger.SettlementState.AGAIN
         while state is ledger.SettlementState.AGAIN:
             try:
                 write = settlement.write(lease_id=0)
-                urgent = settlement.record.nonce in self._awaited
+                urgent = settlement.record.nonce in self._attempted
                 result = await self._write(write, urgent, until_s)
             except base.PlatformError:
                 # Logged for all that wait, by the round.
-                self._note_tried(settlement)
+                self._signal_attempt(settlement)
                 return False
             state = settlement.on_write(result)
         if state is ledger.SettlementState.OVERTAKEN:
             self.overtaken += 1
-        self._forget(settlement)
+        self._remove(settlement)
         return True
 
-    def _note_tried(self, settlement: ledger.Settlement) -> None:
-        tried = self._awaited.get(settlement.record.nonce)
-        if tried is not None:
-            tried.set()
+    def _signal_attempt(self, settlement: ledger.Settlement) -> None:
+        attempted = self._attempted.get(settlement.record.nonce)
+        if attempted is not None:
+            attempted.set()
 
-    def _forget(self, settlement: ledger.Settlement) -> None:
-        self._note_tried(settlement)
+    def _remove(self, settlement: ledger.Settlement) -> None:
+        self._signal_attempt(settlement)
         record = settlement.record
-        del self._unsettled[record.nonce]
-        self._body_bytes -= _size_bytes(record)
+        del self._pending[record.nonce]
+        self._pending_body_bytes -= _body_size_bytes(record)
         if record.state is not ledger.RecordState.RELEASED:
             del self._outcomes[settlement.place]
 
 
-def _size_bytes(record: ledger.ClaimRecord) -> int:
+def _body_size_bytes(record: ledger.ClaimRecord) -> int:
     if record.answer is None or record.answer.body is None:
         return 0
     return len(record.answer.body)
