--- a/almondstair/addresses.py
+++ b/almondstair/addresses.py
@@ -1,4 +1,4 @@
-"""Checks `ip:port` addresses."""
+"""Validation of `ip:port` addresses."""
 
 import ipaddress
 
--- a/almondstair/admitting.py
+++ b/almondstair/admitting.py
@@ -1,4 +1,4 @@
-"""Slots at this entry: waits in the admission queue and gives slots back."""
+"""Allocation of upstream slots: acquires, queues and releases."""
 
 import asyncio
 import time
@@ -16,10 +16,10 @@
 
 
 class SlotKeeper:
-    """Runs the admission queues of every service on the loop."""
+    """Runs the admission queues of all services on the event loop."""
 
     def __init__(self, *, slots: SlotTable) -> None:
-        """Keeps the slots of `slots`."""
+        """Creates an allocator of the slots in `slots`."""
         self.slots = slots
         self._queues: dict[str, AdmissionQueue] = {}
         self._futures: dict[tuple[str, int], asyncio.Future[_Result]] = {}
@@ -33,13 +33,13 @@
         deadline_s: float,
         avoid: frozenset[str],
     ) -> Admission:
-        """Takes a slot, waiting a short while if none is free.
+        """Acquires a slot, queueing for a short time if none is free.
 
         Args:
-          service: the service.
+          service: name of the service.
           request_class: class of the request.
-          deadline_s: monotonic time at which the request is given up.
-          avoid: upstreams that it must not go to.
+          deadline_s: the request's deadline, in monotonic seconds.
+          avoid: names of upstreams to exclude.
 
         Raises:
           AlmondstairError: `no_slot`, `no_upstream` or `deadline_passed`.
@@ -62,13 +62,14 @@
     def give_back(
         self, *, admission: Admission, outcome: Outcome, over: bool, work: str
     ) -> None:
-        """Gives a slot back and lets the next request have it.
+        """Releases a slot and admits the next queued request.
 
         Args:
-          admission: what `take` returned.
+          admission: the acquired slot.
           outcome: how the request ended.
-          over: whether the upstream surely does not run it any more.
-          work: request class, whose latency is compared with its like.
+          over: whether the request certainly no longer runs at the upstream.
+          work: name of the request class, whose latencies are compared with
+            each other.
         """
         self.slots.release(
             admission=admission,
@@ -80,19 +81,19 @@
         self.advance(admission.service)
 
     def advance(self, service: str) -> None:
-        """Decides what waits for a service, after anything has changed."""
+        """Admits or refuses queued requests of a service after a change."""
         queue = self._queue(service)
         for decision in queue.advance(now_s=time.monotonic()):
             self._resolve(service, decision.number, decision.result)
         self._set_timer(service, queue)
 
     def advance_all(self) -> None:
-        """Decides what waits for any service."""
+        """Admits or refuses queued requests of every service."""
         for service in self._queues:
             self.advance(service)
 
     def waiting(self) -> int:
-        """Returns how many requests wait."""
+        """Returns the number of queued requests."""
         return len(self._futures)
 
     def _queue(self, service: str) -> AdmissionQueue:
@@ -121,8 +122,8 @@
     def _release_unused(
         self, future: "asyncio.Future[_Result]", service: str
     ) -> None:
-        # The slot came in the same turn of the loop as the cancellation. Left
-        # there it would count as taken until its deadline.
+        # The slot was granted in the same iteration of the event loop as the
+        # cancellation. Unreleased, it would count as in use until its deadline.
         if not future.done() or future.cancelled():
             return
         result = future.result()
--- a/almondstair/answers.py
+++ b/almondstair/answers.py
@@ -1,4 +1,4 @@
-"""The answer of one request on its way to a caller or to another entry."""
+"""Responses to callers and to other entries, buffered or streamed."""
 
 import abc
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class AnswerState(enum.Enum):
-    """How much of an answer the caller has been sent."""
+    """How much of a response has been sent."""
 
     NOTHING = "nothing"
     STARTED = "started"
@@ -32,22 +32,22 @@
 
 
 class Answer(AnswerSink, abc.ABC):
-    """An answer that is held while it is small and streams when it is not.
+    """Buffers a small response and streams a large one.
 
-    A small answer reaches the caller in one write once it is whole, so that a
-    cut before that can still be retried. A long one streams; a cut then
-    closes the caller's connection before the end of the body, which the
-    caller's own HTTP client reports.
+    A small response is sent in one write when it is complete, so that the
+    request can still be retried if the upstream fails before. A large response
+    is streamed; if it is truncated, the caller's connection is closed before
+    the end of the body, which the caller's HTTP client reports as an error.
 
     Attributes:
       state: how much has been sent.
-      caller_gone: whether nobody reads the answer any more; what still comes
-        is held for the record of a claim, or dropped.
-      pace: awaited with a size in bytes before body bytes move.
+      caller_gone: whether the receiver disconnected; further data is buffered
+        for the record of a claim, or dropped.
+      pace: awaited with a size in bytes before body bytes are processed.
     """
 
     def __init__(self) -> None:
-        """Starts with nothing sent."""
+        """Creates a response of which nothing is sent."""
         self.state = AnswerState.NOTHING
         self.caller_gone = False
         self.pace: Pace = no_pace
@@ -73,20 +73,20 @@
 
     @property
     def status(self) -> int:
-        """Status of the answer, 0 while there is none."""
+        """HTTP status of the response, 0 while there is none."""
         return self._head.status if self._head is not None else 0
 
     @property
     def untouched(self) -> bool:
-        """Whether the caller has been sent no byte yet."""
+        """Whether nothing has been sent yet."""
         return self.state is AnswerState.NOTHING
 
     def head(self, head: ResponseHead) -> None:
-        """Holds the head until it is known whether the answer is small.
+        """Buffers the head until it is known whether the response is small.
 
-        Headers in which entries talk to each other stop here: an upstream
-        that sent one would else be taken for an entry, and its answer for a
-        refusal of work that it ran.
+        Removes the headers that entries use among themselves. Otherwise an
+        upstream that sends one would be taken for an entry, and its response
+        for a refusal of a request that it ran.
         """
         headers = end_to_end_headers(headers=head.headers)
         if LOAD_HEADER in headers:
@@ -94,7 +94,7 @@
         self._head = head._replace(headers=headers)
 
     async def data(self, chunk: bytes) -> None:
-        """Holds or passes on a chunk of the body."""
+        """Buffers a chunk of the body, or sends it."""
         size_bytes = await self.pace(len(chunk))
         while size_bytes < len(chunk):
             await self._buffer_or_send(chunk[:size_bytes])
@@ -114,7 +114,7 @@
             await self._send(self._flush())
 
     def held_answer(self) -> tuple[ResponseHead, bytes] | None:
-        """Returns a whole answer that was small enough to hold, else None."""
+        """Returns the response if it is buffered completely, else None."""
         if self._head is None or self.state is not AnswerState.NOTHING:
             return None
         if self._buffered_bytes >= BUFFER_LIMIT_BYTES:
@@ -122,22 +122,22 @@
         return self._head, b"".join(self._buffered)
 
     def reset(self) -> None:
-        """Forgets what is held, before another try."""
+        """Discards buffered data before another attempt."""
         self._head = None
         self._buffered.clear()
         self._buffered_bytes = 0
 
     async def complete(self) -> None:
-        """Sends what is still held and ends the answer."""
+        """Sends buffered data and ends the response."""
         if self.state is AnswerState.NOTHING and not self.caller_gone:
             await self._send(self._flush())
         self._finish()
 
     def problem(self, error: AlmondstairError) -> None:
-        """Answers with an error of the closed list, at once.
+        """Sends an error as the response.
 
-        Where part of another answer is already out, the connection is closed
-        instead: the caller must not take that part for the whole.
+        If part of another response has been sent, closes the connection
+        instead, so that the caller cannot take that part for a complete one.
         """
         if self.state is AnswerState.STARTED:
             self.abort()
@@ -153,11 +153,11 @@
     def problem_head(
         self, error: AlmondstairError, size_bytes: int
     ) -> ResponseHead:
-        """Returns the head of an error's answer."""
+        """Returns the head of an error response."""
         return problem_head(error=error, size_bytes=size_bytes, for_entry=False)
 
     def abort(self) -> None:
-        """Cuts the answer so that the caller sees the cut."""
+        """Closes the connection so that the caller detects the truncation."""
         if self.state in (AnswerState.FINISHED, AnswerState.CUT):
             return
         self.state = AnswerState.CUT
@@ -182,20 +182,25 @@
 
 
 class ConnectionAnswer(Answer):
-    """An answer over one of the server's own connections."""
+    """Sends a response over a connection of the HTTP server."""
 
     def __init__(
         self, *, connection: httputil.HTTPConnection, for_entry: bool
     ) -> None:
-        """Answers on `connection`, to another entry or to a caller."""
+        """Creates a response on `connection`.
+
+        Args:
+          connection: the server's connection.
+          for_entry: whether another entry receives it rather than a caller.
+        """
         super().__init__()
         self._connection = connection
         self._for_entry = for_entry
         self.method = ""
         self.close_after = False
-        # Set once the request has a slot; a long body waits for it.
+        # Set once the request has a slot; a streaming body waits for it.
         self.admitted = asyncio.Event()
-        # Called instead of ending the exchange, see IncomingRequest.
+        # Replaced by IncomingRequest, which may delay the end of the exchange.
         self.end_connection = connection.finish
 
     def write_head(self, head: ResponseHead, chunk: bytes) -> Awaitable[None]:
@@ -227,7 +232,7 @@
     def problem_head(
         self, error: AlmondstairError, size_bytes: int
     ) -> ResponseHead:
-        """Returns the head of an error's answer."""
+        """Returns the head of an error response."""
         return problem_head(
             error=error, size_bytes=size_bytes, for_entry=self._for_entry
         )
--- a/almondstair/body.py
+++ b/almondstair/body.py
@@ -1,4 +1,4 @@
-"""A request body on its way from a reader to a writer, with back-pressure."""
+"""Request bodies, buffered or streamed with back-pressure."""
 
 import asyncio
 from collections import deque
@@ -9,21 +9,27 @@
 
 
 class BodyAbortedError(Exception):
-    """The sender of the body went away before its end."""
+    """Raised when the sender disconnects before the end of the body."""
 
 
 class RequestBody:
-    """Holds at most a limited part of a body, or the whole small body.
+    """Buffers a small request body, or streams a larger one.
 
-    A body that fits the buffer is kept after it is read, so that it can be
-    sent again to another upstream. A longer one streams and is sent once.
+    A body that fits into the buffer is kept, so that it can be sent again to
+    another upstream. A larger body is streamed and can be sent only once.
+
+    Attributes:
+      size_bytes: bytes received so far.
+      whole: whether the end of the body was received.
+      streaming: whether the body is streamed.
+      consumed: whether any part of a streamed body was read.
     """
 
     def __init__(self, *, limit_bytes: int = BUFFER_LIMIT_BYTES) -> None:
-        """Starts empty, with the end not yet seen.
+        """Creates an empty body whose end is not received yet.
 
         Args:
-          limit_bytes: how much is held.
+          limit_bytes: size of the buffer.
         """
         self._limit_bytes = limit_bytes
         self.size_bytes = 0
@@ -39,18 +45,21 @@
 
     @property
     def replayable(self) -> bool:
-        """Whether the whole body is held and can be sent again."""
+        """Whether the complete body is buffered and can be sent again."""
         return self.whole and not self.streaming
 
     def digest(self) -> str:
-        """Returns a digest of what of the body came before it streamed."""
+        """Returns a digest of the bytes received before streaming began."""
         return self._digest.hexdigest()
 
     def put(self, chunk: bytes) -> asyncio.Future[None] | None:
-        """Adds a chunk; returns a future to wait for when the buffer is full.
+        """Adds a chunk.
 
         Args:
           chunk: the next bytes of the body.
+
+        Returns:
+          A future to await if the buffer is full, else None.
         """
         self.size_bytes += len(chunk)
         if not self.streaming:
@@ -64,29 +73,29 @@
         return self._writable
 
     def overflows(self) -> bool:
-        """Whether the body is too long to be held whole."""
+        """Returns whether the body is larger than the buffer."""
         return self._buffered_bytes > self._limit_bytes
 
     def end(self) -> None:
-        """Marks the body whole."""
+        """Marks the body complete."""
         self.whole = True
         self._wake_reader()
 
     def abort(self) -> None:
-        """Marks the body as cut off by its sender."""
+        """Marks the body as aborted by its sender."""
         self._aborted = True
         self._wake_reader()
         self._wake_writer()
 
     def replay(self) -> bytes:
-        """Returns the whole of a replayable body."""
+        """Returns a replayable body."""
         return b"".join(self._chunks)
 
     async def read(self) -> bytes:
-        """Takes the next chunk of a streaming body; empty at its end.
+        """Removes and returns the next chunk; returns empty at the end.
 
         Raises:
-          BodyAbortedError: the sender went away.
+          BodyAbortedError: the sender disconnected.
         """
         while not self._chunks:
             if self._aborted:
--- a/almondstair/calls.py
+++ b/almondstair/calls.py
@@ -1,4 +1,4 @@
-"""Calls, and what the front doors need from the rest of an entry."""
+"""Calls, and the interface between HTTP listeners and call handling."""
 
 import abc
 from typing import NamedTuple
@@ -14,19 +14,19 @@
 
 
 class Call(NamedTuple):
-    """One request under way.
+    """Holds one request in flight.
 
     Attributes:
-      head: what it asks for.
-      headers: its end-to-end headers.
-      body: its body, perhaps still arriving.
-      answer: where its answer goes.
-      progress: whether it may still be dispatched.
+      head: service, class, method, path, key and deadline.
+      headers: the end-to-end headers.
+      body: the body, possibly still being received.
+      answer: receives the response.
+      progress: whether the request may still be dispatched.
       traceparent: W3C trace header, or empty.
-      caller_zone: availability zone of the entry that the caller asked.
-      from_entry: whether another entry sent it.
-      body_bytes: size of its body by its head, 0 if that does not say.
-      alone: whether it is to run where nothing else runs.
+      caller_zone: availability zone of the entry that the caller connected to.
+      from_entry: whether another entry forwarded the request.
+      body_bytes: Content-Length of the body, 0 if it is not known.
+      alone: whether the request must run on an upstream without other work.
     """
 
     head: RequestHead
@@ -42,7 +42,7 @@
 
 
 class CallHandler(abc.ABC):
-    """What the front doors need from the rest of an entry."""
+    """Handles the requests that an entry's HTTP listeners receive."""
 
     @abc.abstractmethod
     def configuration(self) -> Configuration:
@@ -50,16 +50,20 @@
 
     @abc.abstractmethod
     async def handle(self, call: Call) -> None:
-        """Answers a call; raises only for faults inside."""
+        """Responds to a call; raises only on internal errors."""
 
     @abc.abstractmethod
     def lookup(self, *, service: str, caller_ip: str) -> LookupBody:
-        """Returns the body of a look-up; raises `unknown_service`."""
+        """Returns the body of a look-up response.
+
+        Raises:
+          AlmondstairError: `unknown_service` or `no_upstream`.
+        """
 
     @abc.abstractmethod
     def leaving(self) -> bool:
-        """Whether connections should be closed after their answer."""
+        """Returns whether connections are closed after their response."""
 
     @abc.abstractmethod
     def refusing(self) -> bool:
-        """Whether new requests are refused."""
+        """Returns whether new requests are refused."""
--- a/almondstair/claims.py
+++ b/almondstair/claims.py
@@ -1,7 +1,7 @@
-"""Claims of idempotency keys in the platform's service.
+"""Claims of idempotency keys in the platform's key-value service.
 
-Carries out what `almondstair.core.ledger` decides: calls, leases, batches, and
-the outcomes that are brought in behind the caller's back once it is answered.
+Does the I/O for the decisions of `almondstair.core.ledger`: calls, leases,
+batches, and outcomes that are written after the caller has its response.
 """
 
 import asyncio
@@ -22,23 +22,23 @@
 LEASE_ROTATION_S = 3600.0
 MAX_OBSERVED_CLAIMS = 10_000
 LOOKUP_TIMEOUT_S = 0.25
-# How long a refusal waits for its released claim to be written. A write takes a
-# few milliseconds; two to a region farther away, one behind the other, 0.2 s.
+# Longest time that a refusal waits for the write of its released claim. A write
+# takes a few milliseconds; two in sequence to a distant region take 0.2 s.
 MAX_RELEASE_WAIT_S = 0.4
 NONCE_BYTES = 16
 
 
 class ClaimCounts(NamedTuple):
-    """Figures for metrics.
+    """Holds counters for metrics.
 
     Attributes:
       writes: conditional writes of claims and outcomes.
-      calls: calls to the service that carried them.
-      unsettled: outcomes that the service does not have yet.
-      dropped: outcomes given up for want of memory; a repeat of their key is
-        answered `outcome_unknown`.
-      overtaken: outcomes whose key held somebody else's claim; for a released
-        claim this is ordinary.
+      calls: calls to the service that carried these writes.
+      unsettled: outcomes that are not written to the service yet.
+      dropped: outcomes dropped because the memory limit was reached; a repeat
+        of their key gets `outcome_unknown`.
+      overtaken: outcomes whose key holds another claim; expected for a released
+        claim.
     """
 
     writes: int
@@ -49,7 +49,7 @@
 
 
 class Claims:
-    """Makes claims for one entry and brings in their outcomes."""
+    """Claims keys for one entry and writes their outcomes."""
 
     def __init__(
         self,
@@ -65,21 +65,21 @@
         settle_delay_s: float = 0.1,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Makes an empty set of claims.
+        """Creates an empty set of claims.
 
         Args:
           service: the platform's key-value service.
           entry_name: name of this entry.
           incarnation: random name of this process.
-          is_live: whether an entry's process, by name and incarnation, is
-            live as far as this entry knows.
-          retention_s: shortest time that a key is kept.
-          claim_timeout_s: longest time that one claim may take.
-          max_batch: most writes in one call to the service.
-          max_under_way: most such calls at once.
-          settle_delay_s: how long outcomes are collected, so that several go
-            in one call; 0 for not at all.
-          now: monotonic clock of the loop.
+          is_live: returns whether this entry considers a process live, given
+            its entry name and incarnation.
+          retention_s: minimum time that a key is kept, in seconds.
+          claim_timeout_s: timeout of one claim, in seconds.
+          max_batch: maximum number of writes in one call to the service.
+          max_under_way: maximum number of such calls in flight.
+          settle_delay_s: how long outcomes are collected into one call, in
+            seconds; 0 disables batching.
+          now: monotonic clock of the event loop, in seconds.
         """
         self._service = service
         self._entry_name = entry_name
@@ -105,7 +105,7 @@
 
     @property
     def counts(self) -> ClaimCounts:
-        """Figures so far."""
+        """Counters since the start."""
         return ClaimCounts(
             writes=self._batcher.counts.writes,
             calls=self._batcher.counts.calls,
@@ -117,7 +117,7 @@
     async def claim(
         self, *, service: str, key: str, fingerprint: bytes, deadline_s: float
     ) -> ledger.Claim | ledger.RecordedAnswer:
-        """Claims a key, or says why it is not to be had.
+        """Claims a key, or returns the recorded response to a repeat.
 
         Args:
           service: name of the service that the request is for.
@@ -126,13 +126,13 @@
           deadline_s: the request's deadline, in monotonic seconds.
 
         Returns:
-          The claim, on which the request may be dispatched; it must be ended
-          by `record`, `record_unknown` or `release`. Or the recorded answer
+          The claim, which allows the dispatch of the request and must be ended
+          by `record`, `record_unknown` or `release`; or the recorded response
           of the first request with this key.
 
         Raises:
-          AlmondstairError: `claim_unavailable` or `deadline_passed`, and the
-            request will not run by this call; `claim_in_flight`,
+          AlmondstairError: `claim_unavailable` or `deadline_passed` if the key
+            was not claimed and the request must not run; `claim_in_flight`,
             `outcome_unknown` or `key_reused` for a repeat.
         """
         store_key = ledger.service_key(service=service, key=key)
@@ -181,7 +181,7 @@
     async def look(
         self, *, service: str, key: str, fingerprint: bytes, deadline_s: float
     ) -> ledger.RecordedAnswer | None:
-        """Looks a key up without claiming it.
+        """Looks up a key without claiming it.
 
         Args:
           service: name of the service that the request is for.
@@ -190,8 +190,8 @@
           deadline_s: the request's deadline, in monotonic seconds.
 
         Returns:
-          The recorded answer of the first request with this key; None when
-          the key is free, or when the service does not say.
+          The recorded response of the first request with this key; None if
+          the key is free or the service is unavailable.
 
         Raises:
           AlmondstairError: `claim_in_flight`, `outcome_unknown` or
@@ -226,30 +226,29 @@
     async def record(
         self, claim: ledger.Claim, answer: ledger.RecordedAnswer
     ) -> None:
-        """Ends a claim whose request was answered whole.
+        """Ends a claim whose request has a complete response.
 
-        Returns without waiting for the service, so that the caller's answer is
-        not held back; until the service has it, a repeat at this entry is
+        Returns without waiting for the service, so that the caller's response
+        is not delayed. Until the record is written, a repeat at this entry is
         answered from memory.
         """
         claim.close(ledger.ClaimPhase.DONE)
         self._write_outcome(claim, ledger.RecordState.DONE, answer)
 
     async def record_unknown(self, claim: ledger.Claim) -> None:
-        """Ends a claim that may have run, without a whole answer."""
+        """Ends a claim whose request may have run without full response."""
         claim.close(ledger.ClaimPhase.UNKNOWN)
         self._write_outcome(claim, ledger.RecordState.UNKNOWN, None)
 
     async def release(self, claim: ledger.Claim) -> None:
-        """Ends a claim whose request certainly did not run, and will not.
-
-        Returns when the key can be claimed elsewhere. What goes wrong if the
-        refusal is told before: the request is sent on to another entry at
-        once, finds its own claim there as one of a running request, and its
-        caller is told that it may have run: in 3 of 6 plays of a home that
-        leaves while the platform takes 200 ms a call, and in none of 9 since.
-        Waits no longer than `RELEASE_WAIT_S`, the claim's deadline, or a
-        failed write.
+        """Ends a claim whose request did not run and will not run.
+
+        Waits until the key can be claimed elsewhere, but no longer than
+        `MAX_RELEASE_WAIT_S`, the claim's deadline, or a failed write. Without
+        the wait, a request that is retried at another entry at once finds its
+        own claim there as that of a running request, and the caller is told
+        that it may have run. That happened in 3 of 6 runs of a leaving home
+        with 200 ms per call to the platform, and with the wait in none of 9.
         """
         claim.close(ledger.ClaimPhase.RELEASED)
         self._write_outcome(claim, ledger.RecordState.RELEASED, None)
@@ -261,21 +260,21 @@
             log.event(log.Event.RELEASE_LATE, waited_s=waited_s)
 
     async def drain(self, *, timeout_s: float) -> bool:
-        """Waits until the service has every outcome.
+        """Waits until every outcome is written to the service.
 
         Returns:
-          Whether it has.
+          Whether all outcomes were written within the timeout, in seconds.
         """
         return await self._outcomes.drain(timeout_s=timeout_s)
 
     def close(self) -> None:
-        """Stops bringing in outcomes."""
+        """Stops writing outcomes."""
         self._outcomes.close()
 
     def _repeat_response(
         self, store_key: str, new_record: ledger.ClaimRecord
     ) -> ledger.RecordedAnswer | None:
-        """Answers a repeat from memory; None when the service must be asked."""
+        """Returns a repeat's response from memory, None if not known here."""
         local = self._open_claims.get(store_key)
         local = local or self._outcomes.outcome(place=store_key)
         if local is None:
@@ -293,8 +292,8 @@
         first_seen_s = self._first_seen_at_s.setdefault(record.nonce, now_s)
         if len(self._first_seen_at_s) > MAX_OBSERVED_CLAIMS:
             del self._first_seen_at_s[next(iter(self._first_seen_at_s))]
-        # The claim was made before it was first seen here, so its deadline is
-        # no later than this, by whatever clock.
+        # The claim was made before it was first seen here, so this is an upper
+        # bound of its deadline, independent of the claimant's clock.
         latest_deadline_s = first_seen_s + record.time_left_ms / 1000
         return ledger.Bystander(
             holder_live=self._is_holder_live(record),
@@ -304,8 +303,8 @@
 
     def _is_holder_live(self, record: ledger.ClaimRecord) -> bool:
         if record.incarnation == self._incarnation:
-            # Claims that this process holds are answered from memory. This one
-            # is not among them: its outcome was dropped.
+            # Claims held by this process are answered from memory. This one is
+            # not in memory, so its outcome was dropped.
             return False
         return self._is_live(record.entry, record.incarnation)
 
@@ -327,7 +326,7 @@
             except base.PlatformError as error:
                 claiming.on_failure(error)
             except asyncio.CancelledError:
-                # The caller left. A write may be out, which nobody awaits now.
+                # The caller disconnected; a write may still be in flight.
                 claiming.may_be_written = True
                 raise
 
@@ -355,7 +354,7 @@
             )
         except base.PlatformError as error:
             if error.failure is base.PlatformFailure.REFUSED:
-                # A lease that the service lost would fail every later claim.
+                # A lease that the service lost would make later claims fail.
                 self._lease.forget(lease_id)
             else:
                 self._gate.failed(now_s=self._now())
@@ -376,7 +375,7 @@
     def _release_unheld(
         self, claiming: ledger.Claiming, store_key: str
     ) -> None:
-        """Sees to it that a claim which nobody holds is claimable again."""
+        """Releases a claim that was written but is not held."""
         mod_revision = claiming.mod_revision
         if claiming.verdict is not ledger.Verdict.OURS:
             if not claiming.may_be_written:
--- a/almondstair/clock.py
+++ b/almondstair/clock.py
@@ -1,13 +1,13 @@
-"""The clock that spans, deadlines and ages are measured with."""
+"""The clock for durations, deadlines and ages."""
 
 import time
 
 
 def now_s() -> float:
-    """Returns seconds on a clock that never jumps and counts suspensions.
+    """Returns seconds on a monotonic clock that includes suspended time.
 
-    A VM may be suspended for seconds. The monotonic clock leaves that time
-    out, so a process that wakes up would take old measurements for fresh ones
-    and pass on deadlines that are over; `CLOCK_BOOTTIME` counts it.
+    A VM may be suspended for seconds. `CLOCK_MONOTONIC` excludes that time, so
+    a resumed process would take old measurements for recent ones and forward
+    requests after their deadlines; `CLOCK_BOOTTIME` includes it.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/almondstair/dispatch.py
+++ b/almondstair/dispatch.py
@@ -1,7 +1,7 @@
-"""Takes a call to an upstream: here, or through another entry.
+"""Sends a call to an upstream, directly or through another entry.
 
-The entry that a caller asked is the only one that tries again; the entry that
-it forwards to makes one attempt and says whether the request ran.
+Only the entry that received the call from its caller retries. An entry that it
+forwards to makes one attempt and reports whether the request ran.
 """
 
 from collections.abc import Callable
@@ -38,13 +38,14 @@
 
 
 class Attempt(NamedTuple):
-    """What became of one attempt.
+    """Holds the result of one attempt.
 
     Attributes:
-      exchange: how the exchange ended.
-      error: what to answer when there is no whole answer, else None.
-      started_s: when it started.
-      still_s: time of it in which this entry stood still.
+      exchange: result of the HTTP exchange.
+      error: error to respond with, None if the response is complete.
+      started_s: monotonic time of the start, in seconds.
+      still_s: time during the attempt for which this process was stalled, in
+        seconds.
     """
 
     exchange: Exchange
@@ -54,10 +55,10 @@
 
 
 class Sender:
-    """Sends a call's request to one address and passes its answer back."""
+    """Sends a call's request to one address and passes the response back."""
 
     def __init__(self, *, tracing: Tracing, own_zone: str) -> None:
-        """Makes the clients for upstreams and for entries."""
+        """Creates the HTTP clients for upstreams and for entries."""
         self._tracing = tracing
         self._own_zone = own_zone
         self.upstreams = HttpClient(
@@ -83,15 +84,15 @@
         may_write: Callable[[], bool],
         pace: Pace,
     ) -> Attempt:
-        """Runs a call at an upstream.
+        """Sends a call to an upstream.
 
         Args:
           call: the call.
           name: name of the upstream.
           upstream: the upstream.
-          may_write: whether this entry may still use its slot; asked before
-            and after the head of the request is written.
-          pace: awaited before bytes of the request's body move.
+          may_write: returns whether this entry still owns its slot; called
+            before and after the request's head is written.
+          pace: awaited before bytes of the request's body are written.
         """
         with self._tracing.span(
             "upstream",
@@ -125,9 +126,9 @@
 
         Args:
           call: the call.
-          entry: where it goes.
-          pace: awaited before bytes of the request's body move.
-          window_bytes: receive buffer of a new connection to it.
+          entry: the entry to forward to.
+          pace: awaited before bytes of the request's body are written.
+          window_bytes: receive buffer of a new connection to the entry.
         """
         with self._tracing.span(
             "forward",
@@ -171,8 +172,9 @@
             )
         except (OSError, TimeoutError):
             return Exchange(sent=Sent.NOT_SENT)
-        # A process that was frozen since its last look at the clock must not
-        # write now: the deadline is what bounds how long others wait for it.
+        # The process may have stalled since the last check. A write after
+        # the deadline is not allowed: other entries wait for this one only
+        # until then.
         left_ms = remaining_ms(deadline_s=call.head.deadline_s)
         if left_ms <= 0 or not may_write() or not call.progress.dispatch():
             stream.close()
@@ -214,11 +216,12 @@
 def _deadline_check(
     call: Call, may_write: Callable[[], bool]
 ) -> Callable[[], bool]:
-    """Returns the check that follows the write of a request's head.
+    """Returns the check to run after a request's head is written.
 
-    A freeze between the check before the write and the write itself sends a
-    request late. No clock check can close that gap from one side; this one
-    shortens it: the connection is closed at once, which cancels the work.
+    A stall of the process between the check before the write and the write
+    sends the request late. A check of the local clock cannot rule that out; a
+    second check after the write closes the connection at once, which cancels
+    the work.
     """
 
     def check() -> bool:
@@ -228,7 +231,7 @@
 
 
 def _entry_refusal_header(head: ResponseHead) -> str:
-    """Returns another entry's word that it did not run a request."""
+    """Returns another entry's error header if the request did not run."""
     value = head.headers.get(ANSWER_HEADER, "")
     answer = read_entry_answer(value=value)
     if answer is None or answer.ran is not Ran.NO:
@@ -237,11 +240,11 @@
 
 
 def _entry_error_header(head: ResponseHead) -> str:
-    """Returns another entry's error, whether or not the request ran.
+    """Returns another entry's error header, whether or not the request ran.
 
-    The other entry makes one attempt and leaves the next to this one. Taken
-    for an answer its failure would end a request that another upstream could
-    have served. Only for work that does no harm when it runs twice.
+    The other entry makes one attempt and leaves retries to this one. If its
+    error were passed on as the response, a request that another upstream could
+    serve would fail. Use for idempotent requests only.
     """
     value = head.headers.get(ANSWER_HEADER, "")
     if read_entry_answer(value=value) is None:
@@ -269,7 +272,7 @@
     if exchange.sent is Sent.TOO_LATE:
         return AlmondstairError(
             kind=ErrorKind.NO_UPSTREAM,
-            detail=f"this entry may not send it to upstream {name} any more",
+            detail=f"too late to send the request to upstream {name}",
         )
     if exchange.sent is Sent.REFUSED:
         return AlmondstairError(
@@ -304,7 +307,7 @@
 
 
 def timeout_error(progress: RequestProgress) -> AlmondstairError:
-    """Returns the answer for a deadline that passed."""
+    """Returns the error for a deadline that passed."""
     if progress.may_have_run:
         return AlmondstairError(kind=ErrorKind.UPSTREAM_TIMEOUT)
     return AlmondstairError(kind=ErrorKind.DEADLINE_PASSED)
--- a/almondstair/http_client.py
+++ b/almondstair/http_client.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 towards upstreams and other entries, over kept connections.
+"""HTTP/1.1 client for upstreams and other entries, with a connection pool.
 
-Built on tornado's `HTTP1Connection` rather than its ready-made clients: this
-one says which bytes of a request were written, never sends a request twice by
-itself, and streams both ways with back-pressure.
+Built on tornado's `HTTP1Connection` rather than on tornado's clients: it
+reports which bytes of a request were written, never resends a request, and
+streams in both directions with back-pressure.
 """
 
 import abc
@@ -29,13 +29,14 @@
 CHUNK_BYTES = 64 * 1024
 MAX_BUFFER_BYTES = 1 << 20
 MAX_BODY_BYTES = 1 << 50
-# Bounds what lies in the kernel before it is paid for, so that pacing the
-# reader paces the link too. The kernel doubles it. A connection moves at most
-# this much in each round trip, so far regions take larger ones.
+# Bounds the bytes that the kernel buffers before they are counted against the
+# link's share, so that pacing the reader also paces the link. The kernel doubles
+# it. A connection transfers at most one buffer per round trip, so distant regions
+# use larger ones.
 RECEIVE_BUFFER_BYTES = 16 * 1024
 READ_CHUNK_BYTES = 16 * 1024
 STATUS_CONTINUE = 100
-# Start line and headers of a small message, counted against a link with it.
+# Estimated size of start line and headers, counted against a link's share.
 HEAD_ESTIMATE_BYTES = 512
 _NO_LENGTH_METHODS = frozenset(("GET", "HEAD", "DELETE", "OPTIONS"))
 
@@ -43,7 +44,7 @@
     chunk_size=CHUNK_BYTES, max_body_size=MAX_BODY_BYTES
 )
 
-# Given a size in bytes, waits and returns how many of them may move now.
+# Given a size in bytes, waits and returns how many of them may be sent now.
 Pace = Callable[[int], Awaitable[int]]
 
 
@@ -51,14 +52,14 @@
     """How an exchange ended.
 
     Attributes:
-      WHOLE: with a whole answer.
-      NOT_SENT: no byte was written, since the other side was not reached.
-      TOO_LATE: no byte was written, since this side may not send it any more.
-      REFUSED: the other side refused it without running it.
-      LOST: the connection was lost before the head of an answer.
-      CUT: the answer has no end that can be told from a cut, or was cut.
-      CALLER_GONE: the sender of its body went away.
-      WITHDRAWN: written too late, and cancelled at once for that.
+      WHOLE: the response is complete.
+      NOT_SENT: nothing was written, because the peer was not reached.
+      TOO_LATE: nothing was written, because the deadline or the slot expired.
+      REFUSED: the peer refused the request without running it.
+      LOST: the connection was lost before the head of a response.
+      CUT: the response was truncated, or has no framing that shows its end.
+      CALLER_GONE: the sender of the request's body disconnected.
+      WITHDRAWN: the request was written too late and cancelled at once.
     """
 
     WHOLE = "whole"
@@ -72,13 +73,13 @@
 
 
 class Exchange(NamedTuple):
-    """What became of one request.
+    """Holds the result of one exchange.
 
     Attributes:
-      sent: how it ended.
-      head: head of the answer, if one came.
-      refused: value of the other side's documented refusal, or empty.
-      answer_bytes: bytes of the answer's body that were passed on.
+      sent: how the exchange ended.
+      head: head of the response, None if none was received.
+      refused: value of the peer's refusal header, or empty.
+      answer_bytes: bytes of the response's body that were passed on.
       request_bytes: bytes of the request's body that were written.
     """
 
@@ -90,30 +91,30 @@
 
 
 class AnswerSink(abc.ABC):
-    """Where the answer of an exchange goes."""
+    """Receives the response of an exchange."""
 
     @abc.abstractmethod
     def head(self, head: ResponseHead) -> None:
-        """Takes the head of a final answer."""
+        """Receives the head of a final response."""
 
     @abc.abstractmethod
     def data(self, chunk: bytes) -> Awaitable[None]:
-        """Takes a chunk of the body; awaited before more is read."""
+        """Receives a chunk of the body; awaited before more is read."""
 
 
 async def no_pace(size_bytes: int) -> int:
-    """Lets bytes move at once."""
+    """Returns at once, without a limit."""
     return size_bytes
 
 
 async def pace_whole(pace: Pace, size_bytes: int) -> None:
-    """Waits until all of a piece may move."""
+    """Waits until all of `size_bytes` may be sent."""
     while size_bytes > 0:
         size_bytes -= await pace(size_bytes)
 
 
 class _ResponseDelegate(httputil.HTTPMessageDelegate):
-    """Receives one answer from tornado's parser."""
+    """Receives one response from tornado's parser."""
 
     def __init__(self, *, method: str, sink: AnswerSink) -> None:
         self.method = method
@@ -141,8 +142,8 @@
         head = ResponseHead(start_line.code, start_line.reason, headers)
         self.response = head
         self.refused = self.find_refusal(head)
-        # Without a length only the closing of the connection ends the body,
-        # and a crash looks the same: such an answer cannot be called whole.
+        # Without a length the body ends when the connection closes, which
+        # cannot be distinguished from a crash: it is never complete.
         self.framed = answer_is_framed(method=self.method, head=head)
         if self.refused or not self.framed:
             return
@@ -174,12 +175,12 @@
     def __init__(
         self, *, connect_timeout_s: float, receive_buffer_bytes: int = 0
     ) -> None:
-        """Makes a client.
+        """Creates a client without connections.
 
         Args:
-          connect_timeout_s: longest time for a new connection.
-          receive_buffer_bytes: kernel buffer per connection; 0 for the
-            system's own choice.
+          connect_timeout_s: timeout of a new connection, in seconds.
+          receive_buffer_bytes: kernel receive buffer per connection; 0 for the
+            system's default.
         """
         self._connect_timeout_s = connect_timeout_s
         self._receive_buffer_bytes = receive_buffer_bytes
@@ -235,22 +236,22 @@
     async def connect(
         self, address: str, *, fresh: bool, receive_buffer_bytes: int = 0
     ) -> iostream.IOStream:
-        """Returns a connection to `address`, kept or new.
+        """Returns a connection to `address`, pooled or new.
 
-        A kept connection may have been closed by the other side a moment ago;
-        a request written to it is then lost without having run, but nobody
-        can know. Work that must not repeat therefore asks for a `fresh` one:
-        just used or new.
+        The peer may just have closed a pooled connection. A request written to
+        it is lost without having run, which this side cannot detect. Requests
+        that are not idempotent therefore need a `fresh` connection: a new one,
+        or one used a moment ago.
 
         Args:
           address: `ip:port`.
-          fresh: whether a connection that was idle for longer is passed over.
-          receive_buffer_bytes: kernel buffer of a new connection; 0 for the
-            client's own choice.
+          fresh: whether to skip connections idle for over `FRESH_LIMIT_S`.
+          receive_buffer_bytes: kernel receive buffer of a new connection; 0
+            for the client's default.
 
         Raises:
-          OSError: the connection could not be made.
-          TimeoutError: it took too long.
+          OSError: the connection failed.
+          TimeoutError: the connection was not made in time.
         """
         max_idle_s = FRESH_LIMIT_S if fresh else MAX_IDLE_S
         stream = self._pop_idle(address, max_idle_s)
@@ -268,7 +269,7 @@
         if len(streams) >= MAX_IDLE_PER_ADDRESS:
             stream.close()
             return
-        # Reading in idle times is what makes tornado notice a close.
+        # Setting a callback makes tornado read, and so notice a close.
         stream.set_close_callback(lambda: None)
         streams.append((stream, time.monotonic()))
 
@@ -286,25 +287,27 @@
         wait_for_continue: bool = False,
         after_write: Callable[[], bool] = lambda: True,
     ) -> Exchange:
-        """Sends one request and passes its answer on.
+        """Sends one request and passes its response on.
+
+        Closes the connection when the coroutine is cancelled.
 
         Args:
-          address: where `stream` leads; it is kept under this name.
-          stream: an open connection; owned by this call from now on.
+          address: peer of `stream`; the key of the connection in the pool.
+          stream: an open connection; this call takes ownership.
           start_line: method and path.
           headers: end-to-end headers.
           body: the request's body.
-          sink: receives the answer, unless it is a refusal.
-          pace: awaited with a size in bytes before body bytes move.
-          refusal: finds the documented refusal in a head, or returns empty;
-            None for the one of upstreams.
-          wait_for_continue: hold a streaming body back until the other side
-            asks for it.
-          after_write: called when the head has been written; when it returns
-            False the request is cancelled at once.
+          sink: receives the response, unless it is a refusal.
+          pace: awaited with a size in bytes before body bytes are written.
+          refusal: returns the refusal in a response head, or empty; None for
+            the refusal header of upstreams.
+          wait_for_continue: whether to send a streaming body only after a
+            `100 Continue`.
+          after_write: called after the head is written; if it returns False,
+            the request is cancelled at once.
 
         Returns:
-          How it ended; a cancelled call closes the connection.
+          How the exchange ended.
         """
         exchange = _ConnectionExchange(
             stream=stream, method=start_line.method, sink=sink, body=body
@@ -330,7 +333,7 @@
 
 
 class _ConnectionExchange:
-    """One exchange on one connection."""
+    """Runs one exchange on one connection."""
 
     def __init__(
         self,
@@ -361,7 +364,7 @@
         self.connection.close()
 
     def _on_response_complete(self) -> None:
-        # An answer before the end of the request: nobody wants the rest.
+        # The response ended before the request: the peer ignores the rest.
         if not self.request_written:
             self.close()
 
@@ -384,7 +387,7 @@
         elif wait_for_continue:
             headers["Expect"] = "100-continue"
         if self.stream.closed():
-            # Closed while the body waited for its pace: nothing was written.
+            # Closed while the body waited for the pacer: nothing was written.
             return Exchange(sent=Sent.NOT_SENT)
         write = self.connection.write_headers(
             start_line, headers, complete_body
@@ -468,7 +471,7 @@
 
 
 def _mark_exception_retrieved(future: "asyncio.Future[None]") -> None:
-    # A write that fails is seen again by the reader of the answer; without
-    # this the loop would log a "never retrieved" error for each lost peer.
+    # The reader of the response also sees a failed write. Without this, asyncio
+    # logs "exception was never retrieved" for each lost peer.
     if not future.cancelled():
         future.exception()
--- a/almondstair/http_messages.py
+++ b/almondstair/http_messages.py
@@ -1,4 +1,4 @@
-"""Headers that cross an entry, and the checks on a message's framing."""
+"""Headers of forwarded messages, and checks of message framing."""
 
 import re
 import time
@@ -17,13 +17,13 @@
 DEADLINE_HEADER = "Deadline-Ms"
 TRACE_HEADER = "Traceparent"
 OWN_PREFIX = "Almondstair-"
-# An entry's own answer towards another entry, as `kind;ran;retry_after_ms`.
+# An entry's error in a response to another entry: `kind;ran;retry_after_ms`.
 ANSWER_HEADER_PARTS = 3
 ANSWER_HEADER = "Almondstair-Answer"
-# An upstream's documented refusal: it did not run the request.
+# Set by an upstream that refuses a request without running it.
 REFUSED_HEADER = "Almondstair-Refused"
 CALLER_ZONE_HEADER = "Almondstair-Caller-Zone"
-# An entry's word that a try of this request has just ended an upstream.
+# Set by an entry if an upstream was just lost while it ran this request.
 ALONE_HEADER = "Almondstair-Alone"
 LOAD_HEADER = "Upstream-Load"
 
@@ -41,14 +41,14 @@
         "Expect",
     )
 )
-# What no Connection header may take off a message.
+# Headers that a Connection header must not name as hop-by-hop.
 _FRAMING_HEADERS = frozenset(("Content-Length", "Transfer-Encoding"))
 _LENGTH_PATTERN = re.compile(r"[0-9]{1,18}\Z")
 _STATUS_WITHOUT_BODY = frozenset((204, 304))
 
 
 class ResponseHead(NamedTuple):
-    """Start line and headers of an answer."""
+    """Holds the start line and the headers of a response."""
 
     status: int
     reason: str
@@ -58,15 +58,15 @@
 def check_request_framing(
     *, start_line: httputil.RequestStartLine, headers: httputil.HTTPHeaders
 ) -> int | None:
-    """Checks that every reader of a request finds the same end of it.
+    """Checks that a request's framing is unambiguous.
 
-    What goes wrong: a request with two lengths ends at one place for this
-    entry and at another for the upstream, and its tail is then run as a
-    second request (smuggling). One would notice requests in a journal that
-    no caller sent. Only one plain framing passes.
+    Prevents request smuggling: if a request has two lengths, this entry and
+    the upstream may disagree on its end, and the upstream runs the rest as a
+    second request. It shows as requests in an upstream's journal that no caller
+    sent.
 
     Returns:
-      The length of the body in bytes, None when it is chunked.
+      The length of the body in bytes, None if it is chunked.
 
     Raises:
       AlmondstairError: `bad_request`.
@@ -77,8 +77,8 @@
     if size_bytes > MAX_HEADER_BYTES:
         raise _bad_request(f"the headers are over {MAX_HEADER_BYTES} bytes")
     if not _FRAMING_HEADERS.isdisjoint(_connection_tokens(headers)):
-        # Dropped as a header of one hop, the length would be missing on the
-        # next: the upstream would read the body as further requests.
+        # If the length were removed as a hop-by-hop header, the upstream would
+        # read the body as further requests.
         raise _bad_request("Connection may not name the body's length")
     return _body_length(start_line, headers)
 
@@ -112,7 +112,7 @@
 
 
 def answer_is_framed(*, method: str, head: ResponseHead) -> bool:
-    """Says whether the end of an answer can be told from a cut."""
+    """Returns whether a truncated response can be detected."""
     if method == "HEAD" or head.status in _STATUS_WITHOUT_BODY:
         return True
     if "Content-Length" in head.headers:
@@ -123,10 +123,10 @@
 def end_to_end_headers(
     *, headers: httputil.HTTPHeaders
 ) -> httputil.HTTPHeaders:
-    """Returns the headers that travel on.
+    """Returns the headers to forward.
 
-    Those of one hop stay behind, and those in which entries talk to each
-    other.
+    Leaves out hop-by-hop headers and the headers that entries use among
+    themselves.
     """
     named = _connection_tokens(headers) - _FRAMING_HEADERS
     kept = httputil.HTTPHeaders()
@@ -150,26 +150,26 @@
 
 
 def remaining_ms(*, deadline_s: float) -> int:
-    """Returns the whole milliseconds left until a monotonic deadline."""
+    """Returns the milliseconds until a monotonic deadline, rounded to 0."""
     return int((deadline_s - time.monotonic()) * 1000)
 
 
 def problem_head(
     *, error: AlmondstairError, size_bytes: int, for_entry: bool
 ) -> ResponseHead:
-    """Returns the head of an answer of the system's own.
+    """Returns the head of an error response.
 
     Args:
-      error: what to answer.
+      error: the error.
       size_bytes: length of the body.
-      for_entry: whether another entry reads it rather than a caller.
+      for_entry: whether another entry receives it rather than a caller.
     """
     headers = httputil.HTTPHeaders()
     headers["Content-Type"] = PROBLEM_CONTENT_TYPE
     headers["Content-Length"] = str(size_bytes)
     headers["Cache-Control"] = "no-store"
     if error.retry_after_ms is not None:
-        # Whole seconds, rounded up: the header knows no smaller unit.
+        # Retry-After is in whole seconds; rounded up.
         headers["Retry-After"] = str(-(-error.retry_after_ms // 1000))
     if for_entry:
         headers[ANSWER_HEADER] = (
@@ -181,12 +181,12 @@
 
 
 def problem_body(*, error: AlmondstairError) -> bytes:
-    """Returns the JSON body of an answer of the system's own."""
+    """Returns the JSON body of an error response."""
     return msgspec.json.encode(error.problem())
 
 
 class EntryAnswer(NamedTuple):
-    """Another entry's error, as its header tells it."""
+    """Holds another entry's error, parsed from its header."""
 
     kind: ErrorKind
     ran: Ran
@@ -194,7 +194,7 @@
 
 
 def read_entry_answer(*, value: str) -> EntryAnswer | None:
-    """Reads `Almondstair-Answer`; None when it is absent or unreadable."""
+    """Parses `Almondstair-Answer`; returns None if absent or malformed."""
     parts = value.split(";")
     if len(parts) != ANSWER_HEADER_PARTS:
         return None
--- a/almondstair/lookups.py
+++ b/almondstair/lookups.py
@@ -1,4 +1,4 @@
-"""Answers the callers' question which entries to use."""
+"""Look-ups: which entries a caller should use, in order of preference."""
 
 import time
 from typing import TypedDict
@@ -13,25 +13,25 @@
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 
-# Who is live is looked at anew this often, not for each of many look-ups.
+# Interval at which the live entries are read again; not on every look-up.
 LIVE_REFRESH_S = 0.1
 STARTUP_RETRY_AFTER_MS = 500
 
 
 class EntryBody(TypedDict):
-    """One entry of an answer."""
+    """Holds one entry of a look-up response."""
 
     address: str
     availability_zone: str
 
 
 class LookupBody(TypedDict):
-    """Answer to a look-up.
+    """Holds the response to a look-up.
 
     Attributes:
-      service: the service asked for.
+      service: name of the requested service.
       entries: the entries to use, best first.
-      ttl_s: how long the caller may keep the answer, in seconds.
+      ttl_s: how long the caller may cache the response, in seconds.
     """
 
     service: str
@@ -45,12 +45,12 @@
     def __init__(
         self, *, membership: Membership, own: EntryRow, ttl_s: float
     ) -> None:
-        """Answers from what `membership` hears.
+        """Creates look-ups that are answered from `membership`.
 
         Args:
-          membership: who is an entry and who is heard.
+          membership: the entries and their heartbeats.
           own: this entry's row.
-          ttl_s: how long a caller may keep an answer.
+          ttl_s: how long a caller may cache a response, in seconds.
         """
         self._membership = membership
         self._own = own
@@ -61,7 +61,7 @@
         self._table: LookupTable | None = None
 
     def configure(self, *, configuration: Configuration) -> None:
-        """Takes the distances of a configuration."""
+        """Applies the zone distances of a configuration."""
         self._distances_ms = zone_distances_ms(
             configuration=configuration,
             availability_zone=self._own.availability_zone,
@@ -75,7 +75,7 @@
 
         Raises:
           AlmondstairError: `unknown_service`, or `no_upstream` while no entry
-            is live, as when all of them start.
+            is live, for example while all of them start.
         """
         if service not in configuration.services:
             names = ", ".join(sorted(configuration.services))
--- a/almondstair/probing.py
+++ b/almondstair/probing.py
@@ -1,7 +1,7 @@
-"""Probes of upstreams that had no work of late.
+"""Load probes of upstreams without recent traffic.
 
-An answer tells more than a probe and costs nothing extra, so an upstream with
-traffic is never probed. What a probe brings can only lower what is used.
+An upstream with traffic is not probed: its responses carry the same report at
+no extra cost. A probe's report can only lower the slots that are used.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 
 class _BufferedResponse(AnswerSink):
-    """Keeps a short answer."""
+    """Buffers a short response."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -39,17 +39,18 @@
 
 
 class Prober:
-    """Probes the upstreams that this entry has a duty at."""
+    """Probes the upstreams that this entry manages slots of."""
 
     def __init__(
         self, *, slots: SlotTable, client: HttpClient, interval_s: float
     ) -> None:
-        """Makes a prober.
+        """Creates a prober without probes in flight.
 
         Args:
-          slots: gets what the probes bring.
-          client: client for upstreams.
-          interval_s: an upstream whose last report is older is probed.
+          slots: receives the reports.
+          client: HTTP client for upstreams.
+          interval_s: age of the last report from which on an upstream is
+            probed, in seconds.
         """
         self._slots = slots
         self._client = client
@@ -72,7 +73,7 @@
             )
 
     def stop(self) -> None:
-        """Cancels what is under way."""
+        """Cancels the probes in flight."""
         for task in self._in_flight.values():
             task.cancel()
 
@@ -81,7 +82,7 @@
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 report = await self._fetch_report(address, path)
         except (OSError, TimeoutError):
-            # No report: its age goes on growing, which is what counts.
+            # Without a report, the age of the last one keeps growing.
             return
         finally:
             del self._in_flight[name]
@@ -114,7 +115,7 @@
 
 
 class _Report(msgspec.Struct):
-    """Body of an upstream's load endpoint."""
+    """Holds the response body of an upstream's load endpoint."""
 
     slots: int
     busy: int
@@ -122,7 +123,7 @@
 
 
 def _decode_report(body: bytes) -> UpstreamReport:
-    # Some upstreams report their flag as 0 or 1.
+    # Not strict: some upstreams report `draining` as 0 or 1.
     report = msgspec.json.decode(body, type=_Report, strict=False)
     return UpstreamReport(
         slots=report.slots, busy=report.busy, draining=report.draining
--- a/almondstair/running.py
+++ b/almondstair/running.py
@@ -1,4 +1,4 @@
-"""Runs a call at an upstream of this entry: slot, claim, dispatch, outcome."""
+"""Runs calls at upstreams of this entry: slot, claim, dispatch, outcome."""
 
 import asyncio
 from collections.abc import Callable
@@ -31,25 +31,25 @@
 from almondstair.metrics import Metric
 from almondstair.metrics import Metrics
 
-# Upstreams that one call is offered to at one entry. Each further one follows
-# a certain refusal, and a refusal costs the upstream next to nothing. More than
-# two, since a lost rack leaves several upstreams that are not noticed yet.
+# Upstreams that one entry tries for one call. A further one is tried only after
+# the request certainly did not run, and a refusal costs an upstream little. More
+# than two, since the loss of a rack leaves several failed upstreams undetected.
 MAX_UPSTREAMS_PER_CALL = 3
 SERVER_ERROR = 500
-# Time that an upstream takes to notice that its connection was closed.
+# Time for an upstream to notice that its connection was closed.
 CANCEL_GRACE_S = 0.02
 
 
 class Core(NamedTuple):
-    """The parts of the core that a dispatch reads and tells.
+    """Holds the state that dispatches read and update.
 
     Attributes:
       configuration: returns the configuration in force.
       quarantine: requests that crashed upstreams.
-      health: what answers tell of each upstream.
-      on_strike: called after each strike, to tell the other entries. Told by
-        the next heartbeat only, a caller that sends its request again at once
-        would find entries that know nothing, and cost one more upstream.
+      health: health of each upstream, derived from responses.
+      on_strike: called after each strike, to report it to the other entries at
+        once. If it waited for the next heartbeat, an immediate retry by the
+        caller through another entry would crash one more upstream.
     """
 
     configuration: Callable[[], Configuration]
@@ -59,13 +59,13 @@
 
 
 class Work(NamedTuple):
-    """A call as the runner takes it.
+    """Holds a call to run, with what the runner needs to run it.
 
     Attributes:
       call: the call.
-      fingerprint: of the request, for the quarantine.
-      verdict: what the quarantine says of it.
-      pace: awaited before bytes of its body move.
+      fingerprint: fingerprint of the request, for the quarantine.
+      verdict: the quarantine's verdict on the request.
+      pace: awaited before bytes of the request's body are written.
     """
 
     call: Call
@@ -75,7 +75,7 @@
 
 
 class Runner:
-    """Runs calls at the upstreams that this entry is home of."""
+    """Runs calls at the upstreams whose home is this entry."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         sender: Sender,
         metrics: Metrics,
     ) -> None:
-        """Makes a runner out of its parts."""
+        """Creates a runner with no request in flight."""
         self._core = core
         self._keeper = keeper
         self._claims = claims
@@ -95,13 +95,14 @@
         self.last_new_work_s: dict[str, float] = {}
 
     async def run(self, work: Work) -> AlmondstairError | None:
-        """Runs a call here.
+        """Runs a call at one of this entry's upstreams.
 
         Returns:
-          None when its whole answer was passed on, else what to answer.
+          None if the complete response was passed on, else the error to
+          respond with.
 
         Raises:
-          AlmondstairError: it was refused before any dispatch.
+          AlmondstairError: the call was refused before any dispatch.
         """
         call = work.call
         admission = await self._acquire_slot(work, frozenset())
@@ -138,7 +139,7 @@
         )
 
     def _busy_upstreams(self) -> frozenset[str]:
-        """Returns the upstreams with work that a crash would take along."""
+        """Returns the upstreams with work that a crash would end as well."""
         names = []
         for row in self._keeper.slots.status(now_s=time.monotonic()):
             if row.in_flight or row.busy_elsewhere:
@@ -162,11 +163,11 @@
         return found
 
     async def answer_repeat(self, call: Call) -> bool:
-        """Answers a call that was refused, if it repeats one that is known.
+        """Responds to a refused call with the recorded response of its key.
 
         Returns:
-          Whether it was answered; False for a key that nobody used, or when
-          the platform does not say.
+          Whether a response was sent; False if the key is unused or the
+          platform is unavailable.
 
         Raises:
           AlmondstairError: `claim_in_flight`, `outcome_unknown` or
@@ -197,7 +198,7 @@
         await call.answer.complete()
 
     async def _end_claim(self, call: Call, claim: ledger.Claim) -> None:
-        """Brings the outcome of a claim in, however its call ended."""
+        """Ends a claim that is still open when its call ends."""
         if claim.phase is ledger.ClaimPhase.HELD:
             await self._claims.release(claim)
             return
@@ -258,7 +259,7 @@
             return True
 
         started_s = time.monotonic()
-        paused_s = self._paused_s()
+        stalled_s = self._stalled_s()
         self.last_new_work_s[name] = started_s
         try:
             attempt = await self._sender.to_upstream(
@@ -274,12 +275,12 @@
         finally:
             self._release_slot(call, admission, outcome, finished=finished)
         attempt = attempt._replace(
-            started_s=started_s, still_s=self._paused_s() - paused_s
+            started_s=started_s, still_s=self._stalled_s() - stalled_s
         )
         self._record_health(name, attempt, call.head.request_class.name)
         return attempt
 
-    def _paused_s(self) -> float:
+    def _stalled_s(self) -> float:
         standstill = self._keeper.slots.standstill
         return standstill.total_s(now_s=time.monotonic())
 
@@ -291,10 +292,11 @@
         *,
         finished: bool = True,
     ) -> None:
-        """Gives a slot back, a moment later where work may still run.
+        """Releases a slot, after a delay if its work may still run.
 
-        A closed connection is the word to stop, and an upstream takes a moment
-        to notice it. Given away at once, the slot could be used twice.
+        Closing the connection cancels the work, but an upstream takes a moment
+        to notice. If the slot were reused at once, the upstream could run two
+        requests in it.
         """
 
         def release() -> None:
@@ -335,12 +337,12 @@
         await self._claims.record(claim, recorded)
 
     def _apply_reported_load(self, name: str, attempt: Attempt) -> None:
-        """Takes the load that an answer states, while its slot is still held.
+        """Applies the load in a response while its slot is still held.
 
-        The upstream counts the answered request too. What goes wrong once the
-        slot is given back: that one looks like somebody else's, and a slot of
-        the upstream stays unused for as long as the report is believed, a
-        third of an upstream of three.
+        The upstream's report counts the request that it just answered. If the
+        slot were released first, that request would look like one of another
+        entry, and one slot would stay unused while the report is valid: a third
+        of the capacity of an upstream with three slots.
         """
         head = attempt.exchange.head
         if head is None:
@@ -382,9 +384,9 @@
             self._core.health.refused(name=name, now_s=now_s)
             return
         if sent in _NOT_UPSTREAM_FAULT:
-            # What goes wrong where it counts: after each standstill of this
-            # entry its upstreams look as if they could not be reached, lose a
-            # slot and get nothing for a moment.
+            # Counted as failures, these would make the upstreams look
+            # unreachable after each stall of this process: they would lose a
+            # slot and get no work for a while.
             return
         self._core.health.failed(name=name, now_s=now_s)
         log.event(
@@ -403,10 +405,10 @@
             self._core.on_strike()
 
 
-# After these nothing of the request runs at its upstream.
+# Outcomes after which the request does not run at its upstream.
 _NOT_RUN = frozenset((Sent.NOT_SENT, Sent.TOO_LATE, Sent.REFUSED))
 _ENDED_AT_UPSTREAM = _NOT_RUN | {Sent.WHOLE}
-# What the caller or this entry did, not the upstream.
+# Outcomes caused by the caller or this entry, not by the upstream.
 _NOT_UPSTREAM_FAULT = frozenset(
     (Sent.CALLER_GONE, Sent.WITHDRAWN, Sent.TOO_LATE)
 )
@@ -431,11 +433,11 @@
 
 
 def read_load(value: str) -> UpstreamReport | None:
-    """Reads an upstream's in-band report, `slots=4;busy=1;draining=0`.
+    """Parses an upstream's load header, `slots=4;busy=1;draining=0`.
 
     Returns:
-      The report, None when it is absent or unreadable: no report is not a
-      report of calm.
+      The report, None if it is absent or malformed: a missing report does not
+      mean that the upstream is idle.
     """
     numbers = {}
     for part in value.split(";"):
@@ -452,12 +454,11 @@
 
 
 def unknown_if_run(error: AlmondstairError, *, call: Call) -> AlmondstairError:
-    """Returns the error with the word that fits how far the call came."""
+    """Returns the error with `ran` unknown if the call may have run."""
     if error.ran is not Ran.NO or not call.progress.may_have_run:
         return error
     if not call.head.key:
-        # It may run twice without harm, so the caller is told when to come
-        # back as well.
+        # The request is idempotent, so the caller also gets a retry delay.
         return AlmondstairError(
             kind=error.kind,
             detail=error.detail,
--- a/almondstair/serving.py
+++ b/almondstair/serving.py
@@ -114,7 +114,7 @@
     """When a try started, and how long this entry had stood still by then."""
 
     started_s: float
-    paused_s: float
+    stalled_s: float
 
 
 class _Hop(NamedTuple):
@@ -377,10 +377,10 @@
 
     def _attempt_start(self) -> _AttemptStart:
         return _AttemptStart(
-            started_s=time.monotonic(), paused_s=self._paused_s()
+            started_s=time.monotonic(), stalled_s=self._stalled_s()
         )
 
-    def _paused_s(self) -> float:
+    def _stalled_s(self) -> float:
         return self._parts.standstill.total_s(now_s=time.monotonic())
 
     async def _run_locally(self, work: Work) -> AlmondstairError | None:
@@ -429,7 +429,7 @@
                 request_class=request_class.name,
                 latency_ms=duration_ms,
                 now_s=now_s,
-                still_ms=(self._paused_s() - start.paused_s) * 1000,
+                still_ms=(self._stalled_s() - start.stalled_s) * 1000,
             )
             return
         if error.kind is ErrorKind.NO_SLOT:
--- a/almondstair/settling.py
+++ b/almondstair/settling.py
@@ -1,4 +1,4 @@
-"""Brings outcomes of claims into the platform's service, behind the caller."""
+"""Writes outcomes of claims to the platform's service in the background."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,30 +8,31 @@
 from almondstair.core import ledger
 from almondstair.key_value import base
 
-# Outcomes that are kept while the service is out, and the bytes of their
-# answers; an eighth of the 128 MB that an entry may take.
+# Limits on the outcomes kept during an outage of the service and on their
+# response bodies; the bodies may take an eighth of an entry's 128 MB.
 MAX_PENDING = 10_000
 MAX_UNSETTLED_BODY_BYTES = 16 << 20
-# Outcomes in one round: what one call to the service carries.
+# Outcomes in one round; one call to the service carries as many.
 MAX_WRITES_PER_ROUND = base.MAX_BATCH
-# Longest time for one write. Nobody waits for it, so it is long.
+# Timeout of one write; long, since no caller waits for it.
 WRITE_TIMEOUT_S = 5.0
-# Pauses after rounds in which a write failed; each is twice the one before.
+# Exponential backoff after rounds in which a write failed.
 MIN_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
 
-# Carries out a write: the write, whether it goes before others, and until when.
+# Performs a write. Arguments: the write, whether it is urgent, and the monotonic
+# time at which it times out.
 Write = Callable[
     [base.ConditionalWrite, bool, float], Awaitable[base.CasResult]
 ]
 
 
 class Settling:
-    """Keeps outcomes until the service has them.
+    """Buffers outcomes and writes them to the service in batches.
 
     Attributes:
-      dropped: outcomes given up for want of memory.
-      overtaken: outcomes whose key held somebody else's claim.
+      dropped: outcomes dropped because the memory limit was reached.
+      overtaken: outcomes whose key holds another claim.
     """
 
     def __init__(
@@ -41,13 +42,13 @@
         delay_s: float,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Starts with nothing to bring in.
+        """Creates a writer without pending outcomes.
 
         Args:
-          write: carries out a write at the service.
-          delay_s: how long outcomes are collected, so that several go in one
-            call; 0 for not at all.
-          now: monotonic clock of the loop.
+          write: performs a write at the service.
+          delay_s: how long outcomes are collected into one call, in seconds; 0
+            disables batching.
+          now: monotonic clock of the event loop, in seconds.
         """
         self._write = write
         self._delay_s = delay_s
@@ -63,15 +64,15 @@
 
     @property
     def unsettled(self) -> int:
-        """Outcomes that the service does not have yet."""
+        """Number of outcomes that are not written to the service yet."""
         return len(self._pending)
 
     def outcome(self, *, place: str) -> ledger.ClaimRecord | None:
-        """Returns the outcome of a key that is still on its way, if any."""
+        """Returns the pending outcome of a key, None if there is none."""
         return self._outcomes.get(place)
 
     def is_released(self, *, nonce: bytes) -> bool:
-        """Says whether a claim was given up and its release is on its way."""
+        """Returns whether the release of a claim is pending."""
         settlement = self._pending.get(nonce)
         if settlement is None:
             return False
@@ -80,15 +81,15 @@
     def settle(
         self, *, place: str, record: ledger.ClaimRecord, mod_revision: int
     ) -> None:
-        """Brings an outcome in; returns at once.
+        """Queues an outcome to be written; returns at once.
 
         Args:
-          place: where the key's record is.
+          place: key of the record in the service.
           record: the record with its outcome.
-          mod_revision: revision that its write is conditional on.
+          mod_revision: revision that the write is conditional on.
         """
         if len(self._pending) >= MAX_PENDING:
-            # A long outage under load would otherwise take all memory.
+            # Bounds the memory in a long outage under load.
             self.dropped += 1
             return
         size_bytes = _body_size_bytes(record) + self._pending_body_bytes
@@ -106,10 +107,10 @@
             )
 
     async def until_tried(self, *, nonce: bytes, until_s: float) -> bool:
-        """Has an outcome written at once; waits for the answer or failure.
+        """Writes an outcome without delay and waits for the write's result.
 
         Returns:
-          Whether it was answered or has failed by `until_s`.
+          Whether the write succeeded or failed before `until_s`.
         """
         if nonce not in self._pending:
             return True
@@ -125,10 +126,10 @@
         return True
 
     async def drain(self, *, timeout_s: float) -> bool:
-        """Waits until the service has every outcome.
+        """Waits until every outcome is written to the service.
 
         Returns:
-          Whether it has.
+          Whether all outcomes were written within the timeout, in seconds.
         """
         if self._task is None:
             return True
@@ -136,7 +137,7 @@
         return bool(done)
 
     def close(self) -> None:
-        """Stops bringing in outcomes."""
+        """Stops writing outcomes."""
         if self._task is not None:
             self._task.cancel()
 
@@ -160,16 +161,16 @@
             self._task = None
 
     async def _wait_for_batch(self) -> None:
-        """Lets outcomes come together, unless somebody waits for one."""
+        """Waits for the batching delay, or until a flush is requested."""
         try:
             async with asyncio.timeout(self._delay_s):
                 await self._flush_requested.wait()
         except TimeoutError:
-            # The time to collect is over; the round begins.
+            # The batching delay is over.
             return
 
     async def _write_round(self) -> bool:
-        """Tries the oldest outcomes; returns whether none of them failed."""
+        """Writes the oldest outcomes; returns whether every write succeeded."""
         self._flush_requested.clear()
         settlements = []
         for settlement in self._pending.values():
@@ -187,7 +188,7 @@
                 urgent = settlement.record.nonce in self._attempted
                 result = await self._write(write, urgent, until_s)
             except base.PlatformError:
-                # Logged for all that wait, by the round.
+                # The caller logs failures once per round.
                 self._signal_attempt(settlement)
                 return False
             state = settlement.on_write(result)
