--- a/almondstair/frontend.py
+++ b/almondstair/frontend.py
@@ -1,4 +1,4 @@
-"""The two HTTP front doors of an entry: for callers and for other entries."""
+"""The two HTTP listeners of an entry: for callers and for other entries."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -36,27 +36,34 @@
 from almondstair.http_messages import end_to_end_headers
 
 LOOKUP_PATH = "/v1/entries"
-# Past its own limit a header block still gets an answer; past this one the
-# connection is closed without.
+# Headers over MAX_HEADER_BYTES get an error response; over this limit the
+# connection is closed without one.
 HARD_HEADER_LIMIT_BYTES = 512 * 1024
 IDLE_CONNECTION_LIMIT_S = 60.0
-# How long and how far a refused body is still read, so that closing does not
-# reset the connection before the caller has read the refusal.
+# How long and how much of a refused body is still read, so that a reset of the
+# connection does not reach the caller before it has read the refusal.
 DISCARD_LIMIT_S = 2.0
 DISCARD_LIMIT_BYTES = 4 << 20
 _STREAMING_METHODS = frozenset(("POST", "PUT", "PATCH"))
 
 
 class FrontDoor(httputil.HTTPServerConnectionDelegate):
-    """Makes an `IncomingRequest` for each request of each connection."""
+    """Creates an `IncomingRequest` for each request of each connection.
+
+    Attributes:
+      handler: handles the requests.
+      own_zone: availability zone of this entry.
+      for_entries: whether other entries connect here.
+      running: tasks of the calls in flight.
+    """
 
     def __init__(
         self, *, handler: CallHandler, own_zone: str, for_entries: bool
     ) -> None:
-        """Makes a front door.
+        """Creates a listener that is not bound yet.
 
         Args:
-          handler: the entry behind it.
+          handler: handles the requests.
           own_zone: availability zone of this entry.
           for_entries: whether other entries connect here.
         """
@@ -85,17 +92,17 @@
         self._server.add_sockets(sockets)
 
     def end_keep_alive(self) -> None:
-        """Closes each connection after its next answer, and says so in it."""
+        """Sends `Connection: close` with each connection's next response."""
         if self._server is not None:
             self._server.conn_params.no_keep_alive = True
 
     def stop_listening(self) -> None:
-        """Takes no more connections; open ones go on."""
+        """Stops accepting connections; open ones stay open."""
         if self._server is not None:
             self._server.stop()
 
     async def close(self) -> None:
-        """Closes every connection that is still open."""
+        """Closes all open connections."""
         if self._server is not None:
             await self._server.close_all_connections()
 
@@ -104,17 +111,22 @@
         server_conn: object,
         request_conn: httputil.HTTPConnection,
     ) -> httputil.HTTPMessageDelegate:
-        """Receives the next request of a connection."""
+        """Returns the receiver of a connection's next request."""
         return IncomingRequest(door=self, connection=request_conn)
 
 
 class IncomingRequest(httputil.HTTPMessageDelegate):
-    """Reads one request and hands it to the entry."""
+    """Reads one request and passes it to the handler."""
 
     def __init__(
         self, *, door: FrontDoor, connection: httputil.HTTPConnection
     ) -> None:
-        """Receives a request that arrived at `door` on `connection`."""
+        """Creates the receiver of one request.
+
+        Args:
+          door: the listener that accepted the connection.
+          connection: the connection of the request.
+        """
         self._listener = door
         self._connection = connection
         self._response = ConnectionAnswer(
@@ -138,11 +150,11 @@
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> Awaitable[None] | None:
-        """Checks the head and starts the call when no body need be awaited."""
+        """Checks the head and starts the call if it can start before its body."""
         assert isinstance(start_line, httputil.RequestStartLine)
         self._expects_continue = "Expect" in headers
         if self._expects_continue:
-            # The server looks for it in lower case only.
+            # tornado recognizes only the lower-case value.
             headers["Expect"] = headers["Expect"].lower()
         self._response.method = start_line.method
         self._response.close_after = self._listener.handler.leaving()
@@ -224,10 +236,10 @@
         )
 
     def _start_before_body(self) -> Awaitable[None] | None:
-        """Starts a call whose body waits for a go-ahead.
+        """Starts a call whose body waits for `100 Continue`.
 
-        Another entry asks `100-continue` before a long body: it is admitted
-        first, so that a refusal comes before the body has crossed a link.
+        Another entry sends `Expect: 100-continue` before a long body. The call
+        is admitted first, so that a refused body does not cross a link.
         """
         if not self._expects_continue or self._call is None:
             return None
@@ -249,7 +261,7 @@
         waiter.cancel()
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        """Takes a chunk of the body."""
+        """Receives a chunk of the body."""
         if self._call is None or self._response_ended:
             self._discard(chunk)
             return None
@@ -264,11 +276,11 @@
         return wait
 
     def _on_body_timeout(self) -> None:
-        """Gives up a body that did not arrive before its deadline.
+        """Refuses a request whose body did not arrive before its deadline.
 
-        A call starts when its body is whole or too long to hold, and its
-        deadline is kept from then on. A sender that stops before that would
-        keep its connection for good.
+        A call, and with it the check of its deadline, starts when its body is
+        complete or larger than the buffer. Without this timer a sender that
+        stops before that would keep its connection open forever.
         """
         if self._started or self._response_ended:
             return
@@ -300,7 +312,7 @@
             self._finish_connection()
 
     def finish(self) -> None:
-        """Takes the end of the request."""
+        """Handles the end of the request."""
         self._request_read = True
         if self._response_ended:
             if self._discard_timer is not None:
@@ -324,17 +336,17 @@
             set_close_callback(self._on_caller_disconnect)
 
     def on_connection_close(self) -> None:
-        """The sender went away before the end of its request."""
+        """Handles a connection closed before the end of its request."""
         if self._body_timer is not None:
             self._body_timer.cancel()
         self._body.abort()
         self._on_caller_disconnect()
 
     def _on_caller_disconnect(self) -> None:
-        """Cancels what nobody waits for any more.
+        """Cancels the call after its caller disconnected.
 
-        Work that must not repeat and may have started goes on to its end: its
-        outcome is recorded, and the caller's repeat gets it.
+        A request with an idempotency key that may have started is not
+        cancelled: its outcome is recorded and returned to the caller's repeat.
         """
         self._response.caller_gone = True
         if self._call is None or self._task is None:
@@ -404,9 +416,9 @@
         self._write_problem(error)
 
     def _refuse(self, error: AlmondstairError) -> None:
-        """Answers before the call starts or in place of its answer.
+        """Sends an error instead of starting the call or of its response.
 
-        A body that is still arriving is read and dropped for a while: closing
+        A body that is still arriving is read and discarded for a while. Closing
         at once would reset the connection, and the caller would see the reset
         instead of the refusal.
         """
@@ -426,10 +438,10 @@
         self._response.problem(error)
 
     def _end_response(self) -> None:
-        """Ends the exchange, or waits a while for the rest of the request."""
+        """Ends the exchange, or first discards the rest of the request."""
         self._response_ended = True
         self._body.abort()
-        # The sender of an unsent body waits for a go-ahead: nothing to drop.
+        # A sender that still waits for 100 Continue has sent no body.
         awaits_continue = self._expects_continue and self._body.size_bytes == 0
         if self._request_read or awaits_continue:
             self._finish_connection()
--- a/almondstair/http_client.py
+++ b/almondstair/http_client.py
@@ -29,9 +29,9 @@
 CHUNK_BYTES = 64 * 1024
 MAX_BUFFER_BYTES = 1 << 20
 MAX_BODY_BYTES = 1 << 50
-# Bounds the bytes that the kernel buffers before they are counted against the
-# link's share, so that pacing the reader also paces the link. The kernel doubles
-# it. A connection transfers at most one buffer per round trip, so distant regions
+# Bounds the bytes that the kernel buffers before they count against the link's
+# share, so that pacing the reader also paces the link. The kernel doubles it.
+# A connection transfers at most one buffer per round trip, so distant regions
 # use larger ones.
 RECEIVE_BUFFER_BYTES = 16 * 1024
 READ_CHUNK_BYTES = 16 * 1024
@@ -54,7 +54,7 @@
     Attributes:
       WHOLE: the response is complete.
       NOT_SENT: nothing was written, because the peer was not reached.
-      TOO_LATE: nothing was written, because the deadline or the slot expired.
+      TOO_LATE: nothing was written, because the time or the slot ran out.
       REFUSED: the peer refused the request without running it.
       LOST: the connection was lost before the head of a response.
       CUT: the response was truncated, or has no framing that shows its end.
--- a/almondstair/http_messages.py
+++ b/almondstair/http_messages.py
@@ -150,7 +150,7 @@
 
 
 def remaining_ms(*, deadline_s: float) -> int:
-    """Returns the milliseconds until a monotonic deadline, rounded to 0."""
+    """Returns the milliseconds until a monotonic deadline, truncated."""
     return int((deadline_s - time.monotonic()) * 1000)
 
 
--- a/almondstair/link_shares.py
+++ b/almondstair/link_shares.py
@@ -21,7 +21,7 @@
 
 
 class LinkShares:
-    """Keeps one `LinkShare` for each direction of each link."""
+    """Holds one `LinkShare` for each direction of each link."""
 
     def __init__(
         self,
@@ -31,13 +31,13 @@
         pacers: LinkPacers,
         send: Callable[[str, NamedTuple], object],
     ) -> None:
-        """Starts without a link.
+        """Creates shares without a link.
 
         Args:
           own: this entry's row.
           incarnation: number of this process.
-          pacers: gets a pacer for each link.
-          send: sends a message to an entry by its name.
+          pacers: receives the pacers of each link.
+          send: sends a message to an entry, given the entry's name.
         """
         self._own = own
         self._incarnation = incarnation
@@ -50,7 +50,7 @@
         self._acknowledged_epochs: dict[str, int] = {}
 
     def configure(self, *, configuration: Configuration) -> None:
-        """Takes the links of this availability zone."""
+        """Applies the links of this availability zone."""
         links = {}
         for link in configuration.links:
             if link.availability_zone == self._own.availability_zone:
@@ -73,7 +73,7 @@
         self._links = links
 
     def update_table(self, *, table: EntryTable, from_platform: bool) -> None:
-        """Takes an entry table.
+        """Applies an entry table.
 
         Args:
           table: the table.
@@ -85,14 +85,14 @@
             self._apply_table(share, from_platform)
 
     def heard_epoch(self, *, entry: str, epoch: int) -> None:
-        """Takes another entry's acknowledgement."""
+        """Records the epoch that another entry acknowledged."""
         self._acknowledged_epochs[entry] = epoch
         now_s = time.monotonic()
         for share in self._shares.values():
             share.on_acknowledged(entry=entry, epoch=epoch, now_s=now_s)
 
     def acknowledgement(self) -> LinkEpoch | None:
-        """Returns what to tell the entries of this zone, None if nothing."""
+        """Returns the lowest epoch that all shares acknowledge, to be sent."""
         now_s = time.monotonic()
         lowest: int | None = None
         for share in self._shares.values():
@@ -104,14 +104,14 @@
         return LinkEpoch(lowest)
 
     def ask(self) -> None:
-        """Asks peers for loans where a share is short."""
+        """Requests loans from peers for shares that are too small."""
         now_s = time.monotonic()
         for share in self._shares.values():
             for request in share.ask(now_s=now_s):
                 self._send(request.lender, request)
 
     def lend(self, request: LoanRequest) -> None:
-        """Answers a peer's request."""
+        """Handles a peer's loan request."""
         share = self._shares.get(request.link)
         if share is None:
             return
@@ -120,13 +120,13 @@
             self._send(request.borrower, loan)
 
     def accept(self, loan: Loan) -> None:
-        """Takes a peer's loan."""
+        """Applies a loan from a peer."""
         share = self._shares.get(loan.link)
         if share is not None:
             share.accept(loan=loan, now_s=time.monotonic())
 
     def ready(self) -> bool:
-        """Whether every link has a share that bytes can move by."""
+        """Returns whether every link has a share above 0."""
         now_s = time.monotonic()
         for share in self._shares.values():
             if not share.status(now_s=now_s).allowance_bytes_per_s:
@@ -134,7 +134,7 @@
         return True
 
     def release(self) -> None:
-        """Gives every share up for good."""
+        """Releases every share permanently."""
         now_s = time.monotonic()
         for share in self._shares.values():
             share.release(now_s=now_s)
--- a/almondstair/pacing.py
+++ b/almondstair/pacing.py
@@ -1,4 +1,4 @@
-"""Waits for the share of a link before bytes move over it."""
+"""Pacing of bytes over links, within this entry's shares."""
 
 import asyncio
 import heapq
@@ -12,33 +12,35 @@
 from almondstair.errors import ErrorKind
 from almondstair.http_client import RECEIVE_BUFFER_BYTES
 
-# A request that would wait longer for its link is refused at once.
+# A request that would queue longer for its link is refused at once.
 MAX_QUEUE_DELAY_S = 1.0
 MAX_RETRY_AFTER_S = 60.0
 MIN_RETRY_AFTER_MS = 100
 MIN_WAIT_S = 0.001
-# Part of a link's cap that one connection should reach, whatever the distance.
+# Fraction of a link's cap that one connection should reach at any distance.
 CONNECTION_FRACTION = 0.125
 MAX_WINDOW_BYTES = 1 << 20
-# What is read at once comes on top of what lies in the kernel.
+# Bytes read at once, in addition to those in the kernel's buffer.
 READ_AHEAD_BYTES = 64 * 1024
-# How fast the expected size of an answer rises to larger ones; it falls at
-# once, so that little is paid for bytes that do not come.
+# Smoothing factor of the expected response size for larger responses. It drops
+# at once for smaller ones, so that few bytes are reserved in vain.
 SIZE_SMOOTHING = 0.2
-# Part of its share that an entry surely moves; see DEPTH_FRACTION of links.
+# Fraction of its share that an entry achieves at least; see DEPTH_FRACTION in
+# core/links.py.
 ACHIEVED_FRACTION = 0.9
 
 
 def window_bytes(*, cap_bytes_per_s: int, latency_ms: float) -> int:
     """Returns the receive buffer of a connection over a link.
 
-    A connection moves one buffer in each round trip. With one size for all, a
-    region 55 ms away would get a few hundred kilobytes a second, and a long
-    statement would miss its deadline on an idle link.
+    A connection transfers one buffer per round trip. With the same size for all
+    links, a connection to a region 55 ms away would reach only a few hundred
+    kilobytes per second, and a large body would miss its deadline on an idle
+    link.
 
     Args:
       cap_bytes_per_s: cap of the link.
-      latency_ms: one way.
+      latency_ms: one-way latency of the link.
     """
     round_trip_s = 2 * latency_ms / 1000
     size_bytes = int(cap_bytes_per_s * CONNECTION_FRACTION * round_trip_s)
@@ -46,7 +48,7 @@
 
 
 class _QueuedChunk(NamedTuple):
-    """A piece in the queue, in the order in which pieces move."""
+    """Holds a queued chunk; ordered by priority, deadline and arrival."""
 
     rank: int
     deadline_s: float
@@ -57,15 +59,16 @@
 
 
 class LinkPacer:
-    """The queue before one link in one direction.
+    """Queues the chunks that wait for one direction of a link.
 
-    Pieces move by priority, then by the deadline of their request, then in
-    order. Without an order a stream of large pieces would take the tokens that
-    small ones wait for; and bodies that share a full link would all end late.
+    Chunks are sent by priority, then by the deadline of their request, then in
+    order of arrival. Otherwise a stream of large chunks would take the tokens
+    that small ones wait for, and all bodies that share a full link would miss
+    their deadlines.
     """
 
     def __init__(self, *, share: LinkShare) -> None:
-        """Paces by `share`."""
+        """Creates an empty queue that is paced by `share`."""
         self.share = share
         self._queue: list[_QueuedChunk] = []
         self._queued_bytes = 0
@@ -76,15 +79,15 @@
     async def move(
         self, size_bytes: int, priority: Priority, deadline_s: float
     ) -> int:
-        """Waits until bytes may move.
+        """Waits until at least part of a chunk may be sent.
 
         Args:
-          size_bytes: size of the piece.
-          priority: of the request's class.
-          deadline_s: of the request.
+          size_bytes: size of the chunk.
+          priority: priority of the request's class.
+          deadline_s: the request's deadline, in monotonic seconds.
 
         Returns:
-          How many of its bytes may move now; at least 1.
+          How many bytes of the chunk may be sent now; at least 1.
         """
         if not self._queue:
             part = self.share.take_part(
@@ -100,10 +103,11 @@
     async def pay_ahead(
         self, size_bytes: int, priority: Priority, deadline_s: float
     ) -> None:
-        """Waits until a piece is paid for that will move soon, as a whole.
+        """Waits until all of a chunk that is sent later is reserved.
 
-        Several that are paid for in turns would all be whole at one moment,
-        and what was paid for over a second would move in an instant.
+        Chunks are reserved one after another. If they were reserved in turns,
+        several would be complete at the same moment, and bytes reserved over a
+        second would be sent in an instant.
         """
         self._schedule_advance(MIN_WAIT_S)
         await self._wait(size_bytes, priority, deadline_s, all_at_once=True)
@@ -131,7 +135,7 @@
         return await future
 
     def queue_s(self, *, now_s: float) -> float:
-        """Returns how long a new piece would wait, roughly."""
+        """Returns roughly how long a new chunk would queue, in seconds."""
         if not self._queued_bytes:
             return 0.0
         rate = self._usable_bytes_per_s(now_s)
@@ -140,19 +144,25 @@
         return self._queued_bytes / rate
 
     def promise(self, *, size_bytes: int, priority: Priority) -> None:
-        """Counts bytes that an accepted request will move; negative: moved."""
+        """Adds bytes that an accepted request will send.
+
+        Args:
+          size_bytes: size; negative for bytes that are sent or given up.
+          priority: priority of the request's class.
+        """
         self._committed_bytes[RANKS[priority]] += size_bytes
 
     def carry_s(
         self, *, size_bytes: int, priority: Priority, now_s: float
     ) -> float:
-        """Returns how long a body takes behind all that goes before it."""
+        """Returns how long a body and all bytes ahead of it take, in seconds."""
         ahead_bytes = size_bytes
         for rank, committed_bytes in self._committed_bytes.items():
             if rank <= RANKS[priority]:
                 ahead_bytes += committed_bytes
         status = self.share.status(now_s=now_s)
-        # What is lent comes back within a term once this entry is busy.
+        # Bytes lent to peers return within one loan term when this entry is
+        # busy.
         rate = max(
             status.allowance_bytes_per_s, self._usable_bytes_per_s(now_s)
         )
@@ -166,7 +176,7 @@
         return rate - status.lent_bytes_per_s
 
     def headroom(self, *, now_s: float) -> float:
-        """Returns the unused part of this entry's share, 0 to 1."""
+        """Returns the unused fraction of this entry's share, 0 to 1."""
         usable = self._usable_bytes_per_s(now_s)
         if usable <= 0:
             return 0.0
@@ -210,7 +220,11 @@
 
 
 class Transfer:
-    """The bytes of one attempt over one link, both ways."""
+    """Paces the bytes of one attempt over one link, in both directions.
+
+    Attributes:
+      answer_bytes: bytes of the response read so far.
+    """
 
     def __init__(
         self,
@@ -221,14 +235,15 @@
         body_bytes: int,
         answer_bytes: int,
     ) -> None:
-        """Counts the body as promised until `end`.
+        """Commits the bytes of the body until `end`.
 
         Args:
-          pacers: outward and inward, or none where there is no link.
-          priority: of the request's class.
-          deadline_s: when it is given up.
+          pacers: outbound and inbound pacer, empty if there is no link.
+          priority: priority of the request's class.
+          deadline_s: the request's deadline, in monotonic seconds.
           body_bytes: size of the request's body, 0 if it is not known.
-          answer_bytes: what of the answer may cross before any of it is read.
+          answer_bytes: bytes of the response that may cross the link before
+            any of them is read.
         """
         self._pacers = pacers
         self._priority = priority
@@ -240,11 +255,11 @@
             self._commit(body_bytes)
 
     async def start(self) -> None:
-        """Pays for the first bytes of the answer, before it is asked for.
+        """Reserves the first bytes of the response, before the request is sent.
 
-        They cross the link as soon as the other side writes them, and lie in
-        the buffers of this one. Paid for when they are read, many answers
-        that begin at once would take the link over its cap.
+        These bytes cross the link as soon as the peer writes them, and wait in
+        this side's buffers. If they were counted only when read, many responses
+        that begin at once would exceed the link's cap.
         """
         if self._pacers and self._reserved_bytes:
             await self._pacers[1].pay_ahead(
@@ -252,7 +267,7 @@
             )
 
     async def request(self, size_bytes: int) -> int:
-        """Waits until bytes of the request may move; see `Pace`."""
+        """Waits until bytes of the request may be sent; see `Pace`."""
         if not self._pacers:
             return size_bytes
         moved_bytes = await self._pacers[0].move(
@@ -262,7 +277,7 @@
         return moved_bytes
 
     async def answer(self, size_bytes: int) -> int:
-        """Waits until bytes of the answer may move; see `Pace`."""
+        """Waits until bytes of the response may be read; see `Pace`."""
         moved_bytes = min(size_bytes, self._reserved_bytes)
         self._reserved_bytes -= moved_bytes
         if not moved_bytes:
@@ -275,7 +290,7 @@
         return moved_bytes
 
     def end(self) -> None:
-        """Takes back what was promised and did not move."""
+        """Withdraws committed bytes that were not sent."""
         self._commit(-self._committed_bytes)
 
     def _commit(self, size_bytes: int) -> None:
@@ -286,10 +301,10 @@
 
 
 class LinkPacers:
-    """The links from this entry's availability zone, both directions."""
+    """Holds the pacers of all links from this entry's availability zone."""
 
     def __init__(self) -> None:
-        """Starts without a link."""
+        """Creates pacers without a link."""
         self._outbound: dict[str, LinkPacer] = {}
         self._inbound: dict[str, LinkPacer] = {}
         self._windows: dict[str, int] = {}
@@ -311,13 +326,13 @@
         return self._windows.get(region, RECEIVE_BUFFER_BYTES)
 
     def _unread_response_bytes(self, region: str, response_kind: str) -> int:
-        """Returns what of an answer may cross a link before any is read."""
+        """Returns how much of a response may cross a link before it is read."""
         buffered = 2 * self.window_bytes(region=region) + READ_AHEAD_BYTES
         expected = self._response_bytes.get(response_kind, buffered)
         return int(min(expected, buffered))
 
     def remove(self, *, region: str) -> None:
-        """Drops a link that is no longer configured."""
+        """Removes the link to a region."""
         self._outbound.pop(region, None)
         self._inbound.pop(region, None)
         self._windows.pop(region, None)
@@ -327,17 +342,17 @@
         return tuple(self._outbound)
 
     def pacers(self, *, region: str) -> tuple[LinkPacer, ...]:
-        """Returns both directions of a link, none if there is no such link."""
+        """Returns the outbound and inbound pacer, empty without a link."""
         if region not in self._outbound:
             return ()
         return self._outbound[region], self._inbound[region]
 
     def all(self) -> tuple[LinkPacer, ...]:
-        """Returns every direction of every link."""
+        """Returns the pacers of both directions of every link."""
         return tuple(self._outbound.values()) + tuple(self._inbound.values())
 
     def headroom(self, *, region: str, now_s: float) -> float:
-        """Returns the smaller unused part of both directions, 0 to 1."""
+        """Returns the smaller unused fraction of both directions, 0 to 1."""
         smallest = 1.0
         for pacer in self.pacers(region=region):
             smallest = min(smallest, pacer.headroom(now_s=now_s))
@@ -352,14 +367,14 @@
         deadline_s: float,
         now_s: float,
     ) -> None:
-        """Refuses a request that its link could not carry in time.
+        """Refuses a request whose link cannot transfer it before its deadline.
 
         Args:
-          region: where the request goes.
-          priority: of its class.
-          body_bytes: size of its body, 0 if it is not known.
-          deadline_s: when it is given up.
-          now_s: monotonic time.
+          region: destination of the request.
+          priority: priority of the request's class.
+          body_bytes: size of the request's body, 0 if it is not known.
+          deadline_s: the request's deadline, in monotonic seconds.
+          now_s: monotonic time, in seconds.
 
         Raises:
           AlmondstairError: `link_full`.
@@ -369,13 +384,13 @@
         pacers = self.pacers(region=region)
         for pacer in pacers:
             queue_s = pacer.queue_s(now_s=now_s)
-            # Without a queue the link is not what is in the way.
+            # Without a queue the link is not the bottleneck.
             if queue_s and queue_s > limit_s:
                 raise _link_full(region, queue_s, queue_s)
         if not pacers or not body_bytes:
             return
-        # Accepted, a body that ends after its deadline would take the link
-        # from others all that time and be for nothing.
+        # A body that cannot arrive before its deadline would occupy the link to
+        # no use.
         carry_s = pacers[0].carry_s(
             size_bytes=body_bytes, priority=priority, now_s=now_s
         )
@@ -391,14 +406,14 @@
         body_bytes: int,
         kind: str,
     ) -> Transfer:
-        """Returns what paces an attempt's bytes to and from a region.
+        """Returns the pacing of one attempt's bytes to and from a region.
 
         Args:
-          region: where the request goes.
-          priority: of its class.
-          deadline_s: when it is given up.
-          body_bytes: size of its body, 0 if it is not known.
-          kind: requests of one kind have answers of like size.
+          region: destination of the request.
+          priority: priority of the request's class.
+          deadline_s: the request's deadline, in monotonic seconds.
+          body_bytes: size of the request's body, 0 if it is not known.
+          kind: kind of request; one kind has responses of similar size.
         """
         return Transfer(
             pacers=self.pacers(region=region),
@@ -409,7 +424,7 @@
         )
 
     def note_answer(self, *, kind: str, size_bytes: int) -> None:
-        """Learns the size of the answers of a kind."""
+        """Updates the expected response size of a kind of request."""
         expected = self._response_bytes.get(kind)
         if expected is None or size_bytes < expected:
             self._response_bytes[kind] = size_bytes
@@ -421,7 +436,7 @@
     region: str, queued_s: float, retry_after_s: float
 ) -> AlmondstairError:
     if retry_after_s > MAX_RETRY_AFTER_S:
-        # No share at all yet, or any more: a loan takes a moment.
+        # Without a share the wait is unknown; a loan takes a moment.
         retry_after_s = MAX_QUEUE_DELAY_S
     return AlmondstairError(
         kind=ErrorKind.LINK_FULL,
--- a/almondstair/running.py
+++ b/almondstair/running.py
@@ -31,9 +31,9 @@
 from almondstair.metrics import Metric
 from almondstair.metrics import Metrics
 
-# Upstreams that one entry tries for one call. A further one is tried only after
-# the request certainly did not run, and a refusal costs an upstream little. More
-# than two, since the loss of a rack leaves several failed upstreams undetected.
+# Upstreams that one entry tries for one call. A further one is tried only if
+# the request certainly did not run, and a refusal costs an upstream little.
+# More than two, since several upstreams of a lost rack may not be detected yet.
 MAX_UPSTREAMS_PER_CALL = 3
 SERVER_ERROR = 500
 # Time for an upstream to notice that its connection was closed.
--- a/almondstair/serving.py
+++ b/almondstair/serving.py
@@ -1,4 +1,4 @@
-"""Answers calls: steers each to a region, an entry and an upstream."""
+"""Handles calls: steers each to a region, an entry and an upstream."""
 
 import asyncio
 import random
@@ -38,11 +38,11 @@
 from almondstair.tracing import Tracing
 
 MAX_ATTEMPTS = 3
-# Pause before another try of a request whose upstream was lost: the word of the
-# strike takes some milliseconds to the other entries. The caller's answer never
-# waits for it.
+# Delay before the retry of a request whose upstream was lost: the report of the
+# strike takes some milliseconds to reach the other entries. A response to the
+# caller is not delayed by it.
 STRIKE_PROPAGATION_S = 0.05
-# Certain refusals that another entry may not give.
+# Refusals of requests that did not run and that another entry may accept.
 _RETRY_ELSEWHERE = frozenset(
     (
         ErrorKind.NO_SLOT,
@@ -51,7 +51,7 @@
         ErrorKind.ENTRY_LOST,
     )
 )
-# Refusals that may come before anybody has looked the key up.
+# Refusals that may occur before the idempotency key is looked up.
 _BEFORE_KEY_LOOKUP = frozenset(
     (
         ErrorKind.NO_SLOT,
@@ -70,30 +70,30 @@
         ErrorKind.NO_UPSTREAM,
     )
 )
-# Refusals that tell of the room in a region.
+# Refusals that show a lack of capacity in a region.
 _REGION_REFUSALS = frozenset((ErrorKind.NO_SLOT, ErrorKind.ENTRY_LEAVING))
-# Part of a class's deadline that a try must have had for its timeout to count
-# against the region. A caller that allows a few milliseconds would otherwise
-# make every region look dead to all other callers.
+# Fraction of the class's deadline that an attempt must last for its timeout to
+# count as a failure of the region. Otherwise a caller with a deadline of a few
+# milliseconds would make every region look failed to all other callers.
 _MIN_TIMEOUT_FRACTION = 0.5
 
 
 class Parts(NamedTuple):
-    """What serving is made of.
+    """Holds the components that call handling depends on.
 
     Attributes:
       own: this entry's row.
-      membership: who is an entry and who is heard.
+      membership: the entries and their heartbeats.
       steering: weights over regions.
       hops: free slots by entry.
       quarantine: requests that crashed upstreams.
       pacers: links from this availability zone.
       runner: runs calls at upstreams of this entry.
       sender: forwards calls to other entries.
-      tracing: makes spans.
-      metrics: counts.
-      standstill: time for which this entry stood still.
-      strike_words: words of other entries on crashing requests.
+      tracing: creates spans.
+      metrics: counters and timings.
+      standstill: time for which this process was stalled.
+      strike_words: other entries' reports of requests that crash upstreams.
     """
 
     own: EntryRow
@@ -111,30 +111,30 @@
 
 
 class _AttemptStart(NamedTuple):
-    """When a try started, and how long this entry had stood still by then."""
+    """Holds an attempt's start time and the stall time up to it."""
 
     started_s: float
     stalled_s: float
 
 
 class _Hop(NamedTuple):
-    """Where a try goes: a region, and an entry of it."""
+    """Holds the destination of an attempt: a region and one of its entries."""
 
     region: str
     row: EntryRow
 
 
 class Serving:
-    """Answers the calls of one entry."""
+    """Routes the calls of one entry, with retries."""
 
     def __init__(self, *, parts: Parts) -> None:
-        """Makes it out of its parts."""
+        """Creates a router without a configuration."""
         self._parts = parts
         self._budgets: dict[str, RetryBudget] = {}
         self._configuration: Configuration | None = None
 
     def configure(self, *, configuration: Configuration) -> None:
-        """Takes the configuration in force."""
+        """Applies the configuration in force."""
         self._configuration = configuration
         for service in configuration.services:
             profile = configuration.services[service].profile
@@ -144,7 +144,7 @@
                 self._budgets[service] = RetryBudget(fraction=fraction)
 
     async def handle(self, call: Call) -> None:
-        """Answers a call, whole or with an error of the closed list."""
+        """Responds to a call, with an upstream's response or an error."""
         started_s = time.monotonic()
         name = "entry"
         if call.from_entry:
@@ -178,7 +178,8 @@
         if error is None:
             return None
         error = unknown_if_run(error, call=call)
-        # Closed before the answer is written: nothing dispatches it after.
+        # Marked as answered before the response is written, so that nothing
+        # dispatches the request any more.
         call.progress.answer()
         error = await self._replay_known_outcome(call, error)
         if error is not None:
@@ -188,12 +189,15 @@
     async def _replay_known_outcome(
         self, call: Call, error: AlmondstairError
     ) -> AlmondstairError | None:
-        """Answers a refused repeat with what is known of its key.
+        """Responds to a refused repeat with the recorded outcome of its key.
 
-        What goes wrong without it: an approval runs and its answer is lost,
-        the caller repeats it, finds every slot taken and is told "not run".
-        It would take that for the fate of the approval and send it once more
-        under a new key. So the key is looked up before such an answer.
+        Suppose that a request with a key runs, its response is lost, and the
+        caller repeats it while every slot is taken. A refusal as "not run"
+        would make the caller send the request again under a new key, and it
+        would run twice. The key is therefore looked up before such a refusal.
+
+        Returns:
+          None if the recorded response was sent, else the error to send.
         """
         if not call.head.key or call.from_entry:
             return error
@@ -263,9 +267,9 @@
             call.answer.reset()
             verdict = self._verdict(fingerprint)
             if error.kind is ErrorKind.UPSTREAM_LOST:
-                # The strike was made at another entry and its word may still
-                # be on the way. Tried again like any other request, this one
-                # would take along what runs beside it.
+                # The report of the strike by the other entry may not have
+                # arrived yet. An ordinary retry could crash an upstream that
+                # runs other requests, so the retry runs isolated.
                 call = call._replace(alone=True)
                 await asyncio.sleep(STRIKE_PROPAGATION_S)
                 verdict = self._verdict(fingerprint)
@@ -274,11 +278,11 @@
         return _jitter_retry_after(error)
 
     def _no_region_error(self, call: Call) -> AlmondstairError:
-        """Returns what to answer when no region is tried at all.
+        """Returns the error for a call for which no region is tried.
 
-        Low priority is refused here while every region is full for it. Told
-        that there is no upstream, its callers would stay away for seconds in
-        which slots come free.
+        Low priority is refused here while every region is full for it. With
+        `no_upstream` its callers would stay away for seconds in which slots
+        become free.
         """
         weights = self._parts.steering.weights(
             service=call.head.service,
@@ -291,7 +295,7 @@
         return AlmondstairError(kind=ErrorKind.NO_UPSTREAM)
 
     def _next_hop(self, call: Call, tried: frozenset[str]) -> _Hop | None:
-        """Returns the best entry of the best region not tried yet."""
+        """Returns the best untried entry of the best region, None if none."""
         now_s = time.monotonic()
         regions = self._parts.steering.choose(
             service=call.head.service,
@@ -417,8 +421,8 @@
         request_class = call.head.request_class
         regions = self._parts.steering.regions
         if error is None and call.answer.status >= SERVER_ERROR:
-            # A whole answer to the caller, but no sign that the region works:
-            # one that fails everything quickly would look the least loaded.
+            # The caller gets this response, but the region counts as failed: a
+            # region that fails fast would otherwise look the least loaded.
             regions.failed(region=hop.region, service=service, now_s=now_s)
             return
         if error is None:
@@ -455,12 +459,12 @@
     def _may_retry(
         self, call: Call, error: AlmondstairError, budget: RetryBudget
     ) -> bool:
-        """Says whether a call may be tried once more.
+        """Returns whether a call may be retried.
 
-        Only what certainly did not run, or does no harm when it runs twice,
-        is tried again, and only within the budget: under overload every try
-        is refused, and without a budget each request would be sent on until
-        the system is busy with refusals.
+        A request is retried only if it certainly did not run or is idempotent,
+        and only within the retry budget. Under overload most attempts are
+        refused, and retries without a budget would saturate the system with
+        refusals.
         """
         if not call.answer.untouched or call.answer.caller_gone:
             return False
@@ -498,7 +502,7 @@
 
 
 def _jitter_retry_after(error: AlmondstairError) -> AlmondstairError:
-    """Spreads the times at which refused callers come back."""
+    """Returns the error with jitter in the time to retry after."""
     if error.retry_after_ms is None:
         return error
     return AlmondstairError(
