--- a/almondstair/claims.py
+++ b/almondstair/claims.py
@@ -143,7 +143,7 @@
         if not self._gate.lets_through(now_s=self._now()):
             raise AlmondstairError(
                 kind=ErrorKind.CLAIM_UNAVAILABLE,
-                detail="the platform did not answer the last claims",
+                detail="the platform did not respond to recent claims",
             )
         claiming = ledger.Claiming(wanted=new_record, look=self._observe)
         self._open_claims[store_key] = new_record
@@ -246,9 +246,10 @@
         Waits until the key can be claimed elsewhere, but no longer than
         `MAX_RELEASE_WAIT_S`, the claim's deadline, or a failed write. Without
         the wait, a request that is retried at another entry at once finds its
-        own claim there as that of a running request, and the caller is told
-        that it may have run. That happened in 3 of 6 runs of a leaving home
-        with 200 ms per call to the platform, and with the wait in none of 9.
+        own claim there as that of a running request, and the caller gets an
+        error saying that it may have run. That happened in 3 of 6 runs with a
+        leaving home and 200 ms per call to the platform, and in none of 9 with
+        the wait.
         """
         claim.close(ledger.ClaimPhase.RELEASED)
         self._write_outcome(claim, ledger.RecordState.RELEASED, None)
@@ -369,7 +370,7 @@
         except TimeoutError as error:
             raise base.PlatformError(
                 failure=base.PlatformFailure.UNAVAILABLE,
-                detail="no lease in time",
+                detail="timeout while requesting a lease",
             ) from error
 
     def _release_unheld(
@@ -394,7 +395,7 @@
         if verdict is None or verdict is ledger.Verdict.OURS:
             if self._now() >= deadline_s:
                 raise AlmondstairError(kind=ErrorKind.DEADLINE_PASSED)
-            detail = "the platform does not answer"
+            detail = "the platform does not respond"
             if claiming.failure is not None:
                 detail = claiming.failure.detail
             raise AlmondstairError(
--- a/almondstair/dispatch.py
+++ b/almondstair/dispatch.py
@@ -272,7 +272,7 @@
     if exchange.sent is Sent.TOO_LATE:
         return AlmondstairError(
             kind=ErrorKind.NO_UPSTREAM,
-            detail=f"too late to send the request to upstream {name}",
+            detail=f"the request to upstream {name} can no longer be sent",
         )
     if exchange.sent is Sent.REFUSED:
         return AlmondstairError(
--- a/almondstair/pacing.py
+++ b/almondstair/pacing.py
@@ -35,8 +35,8 @@
 
     A connection transfers one buffer per round trip. With the same size for all
     links, a connection to a region 55 ms away would reach only a few hundred
-    kilobytes per second, and a large body would miss its deadline on an idle
-    link.
+    kilobytes per second, and a large response would miss its deadline on an
+    idle link.
 
     Args:
       cap_bytes_per_s: cap of the link.
@@ -155,7 +155,7 @@
     def carry_s(
         self, *, size_bytes: int, priority: Priority, now_s: float
     ) -> float:
-        """Returns how long a body and all bytes ahead of it take, in seconds."""
+        """Returns how long a body takes behind all bytes ahead, in seconds."""
         ahead_bytes = size_bytes
         for rank, committed_bytes in self._committed_bytes.items():
             if rank <= RANKS[priority]:
@@ -440,6 +440,6 @@
         retry_after_s = MAX_QUEUE_DELAY_S
     return AlmondstairError(
         kind=ErrorKind.LINK_FULL,
-        detail=f"the link to {region} has work for {queued_s:.1f} s",
+        detail=f"the queue of the link to {region} takes {queued_s:.1f} s",
         retry_after_ms=max(MIN_RETRY_AFTER_MS, int(retry_after_s * 1000)),
     )
--- a/almondstair/settling.py
+++ b/almondstair/settling.py
@@ -20,8 +20,8 @@
 MIN_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
 
-# Performs a write, given the write, whether it is urgent, and the monotonic time
-# at which it times out.
+# Performs a write. Arguments: the write, whether it is urgent, and when it times
+# out, in monotonic seconds.
 Write = Callable[
     [base.ConditionalWrite, bool, float], Awaitable[base.CasResult]
 ]
