--- a/almondstair/settling.py
+++ b/almondstair/settling.py
@@ -20,8 +20,8 @@
 MIN_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
 
-# Performs a write. Arguments: the write, whether it is urgent, and when it times
-# out, in monotonic seconds.
+# Performs a write. Arguments: the write, whether it is urgent, and its timeout
+# as a monotonic time in seconds.
 Write = Callable[
     [base.ConditionalWrite, bool, float], Awaitable[base.CasResult]
 ]
