--- a/almondstair/admitting.py
+++ b/almondstair/admitting.py
@@ -67,9 +67,9 @@
         Args:
           admission: the acquired slot.
           outcome: how the request ended.
-          over: whether the request certainly no longer runs at the upstream.
-          work: name of the request class, whose latencies are compared with
-            each other.
+          over: whether the request surely no longer runs upstream.
+          work: name of the request class, whose latencies are
+            compared with each other.
         """
         self.slots.release(
             admission=admission,
--- a/almondstair/answers.py
+++ b/almondstair/answers.py
@@ -41,8 +41,8 @@
 
     Attributes:
       state: how much has been sent.
-      caller_gone: whether the receiver disconnected; further data is buffered
-        for the record of a claim, or dropped.
+      caller_gone: whether the receiver disconnected; further data
+        is buffered for the record of a claim, or dropped.
       pace: awaited with a size in bytes before body bytes are processed.
     """
 
--- a/almondstair/claims.py
+++ b/almondstair/claims.py
@@ -37,8 +37,8 @@
       unsettled: outcomes that are not written to the service yet.
       dropped: outcomes dropped because the memory limit was reached; a repeat
         of their key gets `outcome_unknown`.
-      overtaken: outcomes whose key holds another claim; expected for a released
-        claim.
+      overtaken: outcomes whose key holds another claim; expected for
+        released claims.
     """
 
     writes: int
@@ -127,8 +127,8 @@
 
         Returns:
           The claim, which allows the dispatch of the request and must be ended
-          by `record`, `record_unknown` or `release`; or the recorded response
-          of the first request with this key.
+          by `record`, `record_unknown` or `release`;
+          or the recorded response of the first request with this key.
 
         Raises:
           AlmondstairError: `claim_unavailable` or `deadline_passed` if the key
--- a/almondstair/http_client.py
+++ b/almondstair/http_client.py
@@ -57,7 +57,7 @@
       TOO_LATE: nothing was written, because the time or the slot ran out.
       REFUSED: the peer refused the request without running it.
       LOST: the connection was lost before the head of a response.
-      CUT: the response was truncated, or has no framing that shows its end.
+      CUT: the response was truncated, or has no framing for its end.
       CALLER_GONE: the sender of the request's body disconnected.
       WITHDRAWN: the request was written too late and cancelled at once.
     """
--- a/almondstair/pacing.py
+++ b/almondstair/pacing.py
@@ -413,7 +413,7 @@
           priority: priority of the request's class.
           deadline_s: the request's deadline, in monotonic seconds.
           body_bytes: size of the request's body, 0 if it is not known.
-          kind: kind of request; one kind has responses of similar size.
+          kind: one kind of request has responses of similar size.
         """
         return Transfer(
             pacers=self.pacers(region=region),
--- a/almondstair/running.py
+++ b/almondstair/running.py
@@ -47,9 +47,9 @@
       configuration: returns the configuration in force.
       quarantine: requests that crashed upstreams.
       health: health of each upstream, derived from responses.
-      on_strike: called after each strike, to report it to the other entries at
-        once. If it waited for the next heartbeat, an immediate retry by the
-        caller through another entry would crash one more upstream.
+      on_strike: reports a strike to the other entries at once. If it
+        waited for the next heartbeat, an immediate retry by the caller through
+        another entry would crash one more upstream.
     """
 
     configuration: Callable[[], Configuration]
