--- a/almondstair/admitting.py
+++ b/almondstair/admitting.py
@@ -104,16 +104,16 @@
         return queue
 
     async def _wait(
-        self, service: str, queue: AdmissionQueue, waiting: Waiting
+        self, service: str, queue: AdmissionQueue, queued: Waiting
     ) -> _Result:
-        key = (service, waiting.number)
+        key = (service, queued.number)
         future = asyncio.get_running_loop().create_future()
         self._futures[key] = future
         self.advance(service)
         try:
             return await future
         except asyncio.CancelledError:
-            queue.cancel(number=waiting.number)
+            queue.cancel(number=queued.number)
             self._release_unused(future, service)
             raise
         finally:
--- a/almondstair/claims.py
+++ b/almondstair/claims.py
@@ -221,7 +221,7 @@
         )
         if verdict is ledger.Verdict.CLAIMABLE:
             return None
-        return _recorded_or_raise(verdict, record)
+        return _response_or_raise(verdict, record)
 
     async def record(
         self, claim: ledger.Claim, answer: ledger.RecordedAnswer
@@ -286,7 +286,7 @@
         verdict = ledger.judge(
             record=local, wanted=new_record, seen=observation
         )
-        return _recorded_or_raise(verdict, local)
+        return _response_or_raise(verdict, local)
 
     def _observe(self, record: ledger.ClaimRecord) -> ledger.Bystander:
         now_s = self._now()
@@ -401,7 +401,7 @@
             raise AlmondstairError(
                 kind=ErrorKind.CLAIM_UNAVAILABLE, detail=detail
             )
-        return _recorded_or_raise(verdict, claiming.found)
+        return _response_or_raise(verdict, claiming.found)
 
     def _write_outcome(
         self,
@@ -416,7 +416,7 @@
         )
 
 
-def _recorded_or_raise(
+def _response_or_raise(
     verdict: ledger.Verdict, record: ledger.ClaimRecord | None
 ) -> ledger.RecordedAnswer:
     if verdict is not ledger.Verdict.ANSWERED:
--- a/almondstair/probing.py
+++ b/almondstair/probing.py
@@ -97,19 +97,19 @@
         stream = await self._client.connect(address, fresh=False)
         body = RequestBody()
         body.end()
-        sink = _BufferedResponse()
+        response = _BufferedResponse()
         exchange = await self._client.exchange(
             address=address,
             stream=stream,
             start_line=httputil.RequestStartLine("GET", path, "HTTP/1.1"),
             headers=httputil.HTTPHeaders({"Host": address}),
             body=body,
-            sink=sink,
+            sink=response,
         )
-        if exchange.sent is not Sent.WHOLE or sink.status != 200:
+        if exchange.sent is not Sent.WHOLE or response.status != 200:
             return None
         try:
-            return _decode_report(sink.body)
+            return _decode_report(response.body)
         except msgspec.MsgspecError:
             return None
 
--- a/almondstair/running.py
+++ b/almondstair/running.py
@@ -126,16 +126,16 @@
             await self._end_claim(call, claim)
 
     async def _acquire_slot(
-        self, work: Work, avoid: frozenset[str]
+        self, work: Work, excluded: frozenset[str]
     ) -> Admission:
         head = work.call.head
         if work.verdict is Verdict.ALONE:
-            avoid = avoid | self._busy_upstreams()
+            excluded = excluded | self._busy_upstreams()
         return await self._keeper.take(
             service=head.service,
             request_class=head.request_class,
             deadline_s=head.deadline_s,
-            avoid=avoid,
+            avoid=excluded,
         )
 
     def _busy_upstreams(self) -> frozenset[str]:
--- a/almondstair/serving.py
+++ b/almondstair/serving.py
@@ -223,8 +223,8 @@
         if call.alone and verdict is Verdict.CLEAR:
             verdict = Verdict.ALONE
         if call.from_entry:
-            work = Work(call, fingerprint, verdict, no_pace)
-            return await self._parts.runner.run(work)
+            job = Work(call, fingerprint, verdict, no_pace)
+            return await self._parts.runner.run(job)
         return await self._route_with_retries(call, fingerprint, verdict)
 
     def _verdict(self, fingerprint: int) -> Verdict:
@@ -366,8 +366,8 @@
         try:
             await transfer.start()
             if hop.row.name == self._parts.own.name:
-                work = Work(call, fingerprint, verdict, transfer.request)
-                error = await self._run_locally(work)
+                job = Work(call, fingerprint, verdict, transfer.request)
+                error = await self._run_locally(job)
             else:
                 self._parts.metrics.count(Metric.FORWARDS, hop.region)
                 error = await self._forward(call, hop, transfer.request)
@@ -387,9 +387,9 @@
     def _stalled_s(self) -> float:
         return self._parts.standstill.total_s(now_s=time.monotonic())
 
-    async def _run_locally(self, work: Work) -> AlmondstairError | None:
+    async def _run_locally(self, job: Work) -> AlmondstairError | None:
         try:
-            return await self._parts.runner.run(work)
+            return await self._parts.runner.run(job)
         except AlmondstairError as error:
             return error
 
--- a/almondstair/settling.py
+++ b/almondstair/settling.py
@@ -73,10 +73,10 @@
 
     def is_released(self, *, nonce: bytes) -> bool:
         """Returns whether the release of a claim is pending."""
-        settlement = self._pending.get(nonce)
-        if settlement is None:
+        recording = self._pending.get(nonce)
+        if recording is None:
             return False
-        return settlement.record.state is ledger.RecordState.RELEASED
+        return recording.record.state is ledger.RecordState.RELEASED
 
     def settle(
         self, *, place: str, record: ledger.ClaimRecord, mod_revision: int
@@ -172,43 +172,43 @@
     async def _write_round(self) -> bool:
         """Writes the oldest outcomes; returns whether every write succeeded."""
         self._flush_requested.clear()
-        settlements = []
-        for settlement in self._pending.values():
-            settlements.append(self._write_one(settlement))
-            if len(settlements) == MAX_WRITES_PER_ROUND:
+        recordings = []
+        for recording in self._pending.values():
+            recordings.append(self._write_one(recording))
+            if len(recordings) == MAX_WRITES_PER_ROUND:
                 break
-        return all(await asyncio.gather(*settlements))
+        return all(await asyncio.gather(*recordings))
 
-    async def _write_one(self, settlement: ledger.Settlement) -> bool:
+    async def _write_one(self, recording: ledger.Settlement) -> bool:
         until_s = self._now() + WRITE_TIMEOUT_S
         state = ledger.SettlementState.AGAIN
         while state is ledger.SettlementState.AGAIN:
             try:
-                write = settlement.write(lease_id=0)
-                urgent = settlement.record.nonce in self._attempted
+                write = recording.write(lease_id=0)
+                urgent = recording.record.nonce in self._attempted
                 result = await self._write(write, urgent, until_s)
             except base.PlatformError:
                 # The caller logs failures once per round.
-                self._signal_attempt(settlement)
+                self._signal_attempt(recording)
                 return False
-            state = settlement.on_write(result)
+            state = recording.on_write(result)
         if state is ledger.SettlementState.OVERTAKEN:
             self.overtaken += 1
-        self._remove(settlement)
+        self._remove(recording)
         return True
 
-    def _signal_attempt(self, settlement: ledger.Settlement) -> None:
-        attempted = self._attempted.get(settlement.record.nonce)
+    def _signal_attempt(self, recording: ledger.Settlement) -> None:
+        attempted = self._attempted.get(recording.record.nonce)
         if attempted is not None:
             attempted.set()
 
-    def _remove(self, settlement: ledger.Settlement) -> None:
-        self._signal_attempt(settlement)
-        record = settlement.record
+    def _remove(self, recording: ledger.Settlement) -> None:
+        self._signal_attempt(recording)
+        record = recording.record
         del self._pending[record.nonce]
         self._pending_body_bytes -= _body_size_bytes(record)
         if record.state is not ledger.RecordState.RELEASED:
-            del self._outcomes[settlement.place]
+            del self._outcomes[recording.place]
 
 
 def _body_size_bytes(record: ledger.ClaimRecord) -> int:
