--- a/almondstair/http_client.py
+++ b/almondstair/http_client.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 towards upstreams and other entries, over kept connections.
+"""HTTP/1.1 client for upstreams and other entries, with a connection pool.
 
-Built on tornado's `HTTP1Connection` rather than its ready-made clients: this
-one says which bytes of a request were written, never sends a request twice by
-itself, and streams both ways with back-pressure.
+Built on tornado's `HTTP1Connection` rather than on tornado's clients: it
+reports which bytes of a request were written, never resends a request, and
+streams in both directions with back-pressure.
 """
 
 import abc
@@ -23,27 +23,28 @@
 from almondstair.http_messages import ResponseHead
 from almondstair.http_messages import answer_is_framed
 
-IDLE_LIMIT_S = 4.0
+MAX_IDLE_S = 4.0
 FRESH_LIMIT_S = 0.5
-IDLE_LIMIT_PER_ADDRESS = 16
+MAX_IDLE_PER_ADDRESS = 16
 CHUNK_BYTES = 64 * 1024
 MAX_BUFFER_BYTES = 1 << 20
 MAX_BODY_BYTES = 1 << 50
-# Bounds what lies in the kernel before it is paid for, so that pacing the
-# reader paces the link too. The kernel doubles it. A connection moves at most
-# this much in each round trip, so far regions take larger ones.
+# Bounds the bytes that the kernel buffers before they count against the link's
+# share, so that pacing the reader also paces the link. The kernel doubles it.
+# A connection transfers at most one buffer per round trip, so distant regions
+# use larger ones.
 RECEIVE_BUFFER_BYTES = 16 * 1024
 READ_CHUNK_BYTES = 16 * 1024
-CONTINUE = 100
-# Start line and headers of a small message, counted against a link with it.
-HEAD_BYTES = 512
+STATUS_CONTINUE = 100
+# Estimated size of start line and headers, counted against a link's share.
+HEAD_ESTIMATE_BYTES = 512
 _NO_LENGTH_METHODS = frozenset(("GET", "HEAD", "DELETE", "OPTIONS"))
 
 _PARAMETERS = http1connection.HTTP1ConnectionParameters(
     chunk_size=CHUNK_BYTES, max_body_size=MAX_BODY_BYTES
 )
 
-# Given a size in bytes, waits and returns how many of them may move now.
+# Given a size in bytes, waits and returns how many of them may be sent now.
 Pace = Callable[[int], Awaitable[int]]
 
 
@@ -51,14 +52,14 @@
     """How an exchange ended.
 
     Attributes:
-      WHOLE: with a whole answer.
-      NOT_SENT: no byte was written, since the other side was not reached.
-      TOO_LATE: no byte was written, since this side may not send it any more.
-      REFUSED: the other side refused it without running it.
-      LOST: the connection was lost before the head of an answer.
-      CUT: the answer has no end that can be told from a cut, or was cut.
-      CALLER_GONE: the sender of its body went away.
-      WITHDRAWN: written too late, and cancelled at once for that.
+      WHOLE: the response is complete.
+      NOT_SENT: nothing was written, because the peer was not reached.
+      TOO_LATE: nothing was written, because the time or the slot ran out.
+      REFUSED: the peer refused the request without running it.
+      LOST: the connection was lost before the head of a response.
+      CUT: the response was truncated, or has no framing for its end.
+      CALLER_GONE: the sender of the request's body disconnected.
+      WITHDRAWN: the request was written too late and cancelled at once.
     """
 
     WHOLE = "whole"
@@ -72,13 +73,13 @@
 
 
 class Exchange(NamedTuple):
-    """What became of one request.
+    """Holds the result of one exchange.
 
     Attributes:
-      sent: how it ended.
-      head: head of the answer, if one came.
-      refused: value of the other side's documented refusal, or empty.
-      answer_bytes: bytes of the answer's body that were passed on.
+      sent: how the exchange ended.
+      head: head of the response, None if none was received.
+      refused: value of the peer's refusal header, or empty.
+      answer_bytes: bytes of the response's body that were passed on.
       request_bytes: bytes of the request's body that were written.
     """
 
@@ -90,42 +91,42 @@
 
 
 class AnswerSink(abc.ABC):
-    """Where the answer of an exchange goes."""
+    """Receives the response of an exchange."""
 
     @abc.abstractmethod
     def head(self, head: ResponseHead) -> None:
-        """Takes the head of a final answer."""
+        """Receives the head of a final response."""
 
     @abc.abstractmethod
     def data(self, chunk: bytes) -> Awaitable[None]:
-        """Takes a chunk of the body; awaited before more is read."""
+        """Receives a chunk of the body; awaited before more is read."""
 
 
 async def no_pace(size_bytes: int) -> int:
-    """Lets bytes move at once."""
+    """Returns at once, without a limit."""
     return size_bytes
 
 
 async def pace_whole(pace: Pace, size_bytes: int) -> None:
-    """Waits until all of a piece may move."""
+    """Waits until all of `size_bytes` may be sent."""
     while size_bytes > 0:
         size_bytes -= await pace(size_bytes)
 
 
-class _AnswerDelegate(httputil.HTTPMessageDelegate):
-    """Receives one answer from tornado's parser."""
+class _ResponseDelegate(httputil.HTTPMessageDelegate):
+    """Receives one response from tornado's parser."""
 
     def __init__(self, *, method: str, sink: AnswerSink) -> None:
         self.method = method
         self.sink = sink
         self.response: ResponseHead | None = None
         self.refused = ""
-        self.whole = False
+        self.complete = False
         self.framed = True
-        self.answer_bytes = 0
-        self.go_ahead = asyncio.Event()
-        self.on_whole: Callable[[], None] = lambda: None
-        self.before_head: Callable[[ResponseHead], str] = _upstream_refusal
+        self.response_bytes = 0
+        self.continue_received = asyncio.Event()
+        self.on_complete: Callable[[], None] = lambda: None
+        self.find_refusal: Callable[[ResponseHead], str] = _upstream_refusal
 
     def headers_received(
         self,
@@ -133,16 +134,16 @@
         headers: httputil.HTTPHeaders,
     ) -> None:
         assert isinstance(start_line, httputil.ResponseStartLine)
-        if start_line.code == CONTINUE:
-            self.go_ahead.set()
+        if start_line.code == STATUS_CONTINUE:
+            self.continue_received.set()
             return
         if start_line.code < 200:
             return
         head = ResponseHead(start_line.code, start_line.reason, headers)
         self.response = head
-        self.refused = self.before_head(head)
-        # Without a length only the closing of the connection ends the body,
-        # and a crash looks the same: such an answer cannot be called whole.
+        self.refused = self.find_refusal(head)
+        # Without a length the body ends when the connection closes, which
+        # cannot be distinguished from a crash: it is never complete.
         self.framed = answer_is_framed(method=self.method, head=head)
         if self.refused or not self.framed:
             return
@@ -151,15 +152,15 @@
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
         if self.refused or not self.framed:
             return None
-        self.answer_bytes += len(chunk)
+        self.response_bytes += len(chunk)
         return self.sink.data(chunk)
 
     def finish(self) -> None:
-        self.whole = True
-        self.on_whole()
+        self.complete = True
+        self.on_complete()
 
     def on_connection_close(self) -> None:
-        self.go_ahead.set()
+        self.continue_received.set()
 
 
 def _upstream_refusal(head: ResponseHead) -> str:
@@ -174,12 +175,12 @@
     def __init__(
         self, *, connect_timeout_s: float, receive_buffer_bytes: int = 0
     ) -> None:
-        """Makes a client.
+        """Creates a client without connections.
 
         Args:
-          connect_timeout_s: longest time for a new connection.
-          receive_buffer_bytes: kernel buffer per connection; 0 for the
-            system's own choice.
+          connect_timeout_s: timeout of a new connection, in seconds.
+          receive_buffer_bytes: kernel receive buffer per connection; 0 for the
+            system's default.
         """
         self._connect_timeout_s = connect_timeout_s
         self._receive_buffer_bytes = receive_buffer_bytes
@@ -193,16 +194,16 @@
                 stream.close()
         self._idle.clear()
 
-    def _take_idle(
-        self, address: str, limit_s: float
+    def _pop_idle(
+        self, address: str, max_idle_s: float
     ) -> iostream.IOStream | None:
         streams = self._idle.get(address, [])
         now_s = time.monotonic()
         while streams:
-            stream, since_s = streams.pop()
+            stream, idle_since_s = streams.pop()
             if stream.closed():
                 continue
-            if now_s - since_s > limit_s:
+            if now_s - idle_since_s > max_idle_s:
                 stream.close()
                 continue
             return stream
@@ -235,25 +236,25 @@
     async def connect(
         self, address: str, *, fresh: bool, receive_buffer_bytes: int = 0
     ) -> iostream.IOStream:
-        """Returns a connection to `address`, kept or new.
+        """Returns a connection to `address`, pooled or new.
 
-        A kept connection may have been closed by the other side a moment ago;
-        a request written to it is then lost without having run, but nobody
-        can know. Work that must not repeat therefore asks for a `fresh` one:
-        just used or new.
+        The peer may just have closed a pooled connection. A request written to
+        it is lost without having run, which this side cannot detect. Requests
+        that are not idempotent therefore need a `fresh` connection: a new one,
+        or one used a moment ago.
 
         Args:
           address: `ip:port`.
-          fresh: whether a connection that was idle for longer is passed over.
-          receive_buffer_bytes: kernel buffer of a new connection; 0 for the
-            client's own choice.
+          fresh: whether to skip connections idle for over `FRESH_LIMIT_S`.
+          receive_buffer_bytes: kernel receive buffer of a new connection; 0
+            for the client's default.
 
         Raises:
-          OSError: the connection could not be made.
-          TimeoutError: it took too long.
+          OSError: the connection failed.
+          TimeoutError: the connection was not made in time.
         """
-        limit_s = FRESH_LIMIT_S if fresh else IDLE_LIMIT_S
-        stream = self._take_idle(address, limit_s)
+        max_idle_s = FRESH_LIMIT_S if fresh else MAX_IDLE_S
+        stream = self._pop_idle(address, max_idle_s)
         if stream is not None:
             return stream
         try:
@@ -263,12 +264,12 @@
         except iostream.StreamClosedError as error:
             raise OSError(f"{address} refused the connection") from error
 
-    def _keep(self, address: str, stream: iostream.IOStream) -> None:
+    def _return_to_pool(self, address: str, stream: iostream.IOStream) -> None:
         streams = self._idle.setdefault(address, [])
-        if len(streams) >= IDLE_LIMIT_PER_ADDRESS:
+        if len(streams) >= MAX_IDLE_PER_ADDRESS:
             stream.close()
             return
-        # Reading in idle times is what makes tornado notice a close.
+        # Setting a callback makes tornado read, and so notice a close.
         stream.set_close_callback(lambda: None)
         streams.append((stream, time.monotonic()))
 
@@ -286,33 +287,35 @@
         wait_for_continue: bool = False,
         after_write: Callable[[], bool] = lambda: True,
     ) -> Exchange:
-        """Sends one request and passes its answer on.
+        """Sends one request and passes its response on.
+
+        Closes the connection when the coroutine is cancelled.
 
         Args:
-          address: where `stream` leads; it is kept under this name.
-          stream: an open connection; owned by this call from now on.
+          address: peer of `stream`; the key of the connection in the pool.
+          stream: an open connection; this call takes ownership.
           start_line: method and path.
           headers: end-to-end headers.
           body: the request's body.
-          sink: receives the answer, unless it is a refusal.
-          pace: awaited with a size in bytes before body bytes move.
-          refusal: finds the documented refusal in a head, or returns empty;
-            None for the one of upstreams.
-          wait_for_continue: hold a streaming body back until the other side
-            asks for it.
-          after_write: called when the head has been written; when it returns
-            False the request is cancelled at once.
+          sink: receives the response, unless it is a refusal.
+          pace: awaited with a size in bytes before body bytes are written.
+          refusal: returns the refusal in a response head, or empty; None for
+            the refusal header of upstreams.
+          wait_for_continue: whether to send a streaming body only after a
+            `100 Continue`.
+          after_write: called after the head is written; if it returns False,
+            the request is cancelled at once.
 
         Returns:
-          How it ended; a cancelled call closes the connection.
+          How the exchange ended.
         """
-        call = _Call(
+        exchange = _ConnectionExchange(
             stream=stream, method=start_line.method, sink=sink, body=body
         )
         if refusal is not None:
-            call.delegate.before_head = refusal
+            exchange.delegate.find_refusal = refusal
         try:
-            result = await call.run(
+            result = await exchange.run(
                 start_line=start_line,
                 headers=headers,
                 pace=pace,
@@ -320,17 +323,17 @@
                 after_write=after_write,
             )
         except BaseException:
-            call.close()
+            exchange.close()
             raise
-        if call.reusable:
-            self._keep(address, stream)
+        if exchange.reusable:
+            self._return_to_pool(address, stream)
         else:
-            call.close()
+            exchange.close()
         return result
 
 
-class _Call:
-    """One exchange on one connection."""
+class _ConnectionExchange:
+    """Runs one exchange on one connection."""
 
     def __init__(
         self,
@@ -342,8 +345,8 @@
     ) -> None:
         self.stream = stream
         self.body = body
-        self.delegate = _AnswerDelegate(method=method, sink=sink)
-        self.delegate.on_whole = self._answer_is_whole
+        self.delegate = _ResponseDelegate(method=method, sink=sink)
+        self.delegate.on_complete = self._on_response_complete
         self.connection = http1connection.HTTP1Connection(
             stream,
             True,
@@ -351,7 +354,7 @@
         )
         self.request_bytes = 0
         self.request_written = False
-        self.caller_gone = False
+        self.sender_disconnected = False
         self.reusable = False
         self._pump: asyncio.Task[None] | None = None
 
@@ -360,8 +363,8 @@
             self._pump.cancel()
         self.connection.close()
 
-    def _answer_is_whole(self) -> None:
-        # An answer before the end of the request: nobody wants the rest.
+    def _on_response_complete(self) -> None:
+        # The response ended before the request: the peer ignores the rest.
         if not self.request_written:
             self.close()
 
@@ -374,25 +377,27 @@
         wait_for_continue: bool,
         after_write: Callable[[], bool],
     ) -> Exchange:
-        whole_body = None
+        complete_body = None
         if self.body.replayable:
-            whole_body = self.body.replay()
-            headers["Content-Length"] = str(len(whole_body))
-            await pace_whole(pace, len(whole_body) + HEAD_BYTES)
-            if not whole_body and start_line.method in _NO_LENGTH_METHODS:
+            complete_body = self.body.replay()
+            headers["Content-Length"] = str(len(complete_body))
+            await pace_whole(pace, len(complete_body) + HEAD_ESTIMATE_BYTES)
+            if not complete_body and start_line.method in _NO_LENGTH_METHODS:
                 del headers["Content-Length"]
         elif wait_for_continue:
             headers["Expect"] = "100-continue"
         if self.stream.closed():
-            # Closed while the body waited for its pace: nothing was written.
+            # Closed while the body waited for the pacer: nothing was written.
             return Exchange(sent=Sent.NOT_SENT)
-        write = self.connection.write_headers(start_line, headers, whole_body)
-        write.add_done_callback(_consume)
+        write = self.connection.write_headers(
+            start_line, headers, complete_body
+        )
+        write.add_done_callback(_mark_exception_retrieved)
         if not after_write():
             self.close()
             return Exchange(sent=Sent.WITHDRAWN)
-        if whole_body is not None:
-            self.request_bytes = len(whole_body)
+        if complete_body is not None:
+            self.request_bytes = len(complete_body)
             self.request_written = True
             self.connection.finish()
         else:
@@ -404,13 +409,13 @@
     async def _pump_body(self, pace: Pace, wait_for_continue: bool) -> None:
         try:
             if wait_for_continue:
-                await self.delegate.go_ahead.wait()
+                await self.delegate.continue_received.wait()
             while chunk := await self.body.read():
                 await self._write_paced(pace, chunk)
             self.request_written = True
             self.connection.finish()
         except BodyAbortedError:
-            self.caller_gone = True
+            self.sender_disconnected = True
             self.connection.close()
         except (iostream.StreamClosedError, httputil.HTTPOutputError):
             self.connection.close()
@@ -418,55 +423,55 @@
     async def _write_paced(self, pace: Pace, chunk: bytes) -> None:
         while chunk:
             size_bytes = await pace(len(chunk))
-            piece = chunk
+            part = chunk
             if size_bytes < len(chunk):
-                piece = chunk[:size_bytes]
-            await self.connection.write(piece)
+                part = chunk[:size_bytes]
+            await self.connection.write(part)
             self.request_bytes += size_bytes
             chunk = chunk[size_bytes:]
 
     async def _read(self, headers: httputil.HTTPHeaders) -> Exchange:
-        open_after = False
+        stays_open = False
         try:
-            open_after = await self.connection.read_response(self.delegate)
+            stays_open = await self.connection.read_response(self.delegate)
         except (iostream.StreamClosedError, iostream.UnsatisfiableReadError):
-            open_after = False
+            stays_open = False
         if self._pump is not None and not self._pump.done():
             self._pump.cancel()
-        self.reusable = self._may_be_reused(open_after)
+        self.reusable = self._may_be_reused(stays_open)
         return Exchange(
-            sent=self._how_it_ended(),
+            sent=self._outcome(),
             head=self.delegate.response,
             refused=self.delegate.refused,
-            answer_bytes=self.delegate.answer_bytes,
+            answer_bytes=self.delegate.response_bytes,
             request_bytes=self.request_bytes,
         )
 
-    def _may_be_reused(self, open_after: bool) -> bool:
-        if not open_after or self.stream.closed():
+    def _may_be_reused(self, stays_open: bool) -> bool:
+        if not stays_open or self.stream.closed():
             return False
-        if not self.delegate.whole or not self.request_written:
+        if not self.delegate.complete or not self.request_written:
             return False
         assert self.delegate.response is not None
         connection = self.delegate.response.headers.get("Connection", "")
         return connection.lower() != "close"
 
-    def _how_it_ended(self) -> Sent:
+    def _outcome(self) -> Sent:
         if self.delegate.refused:
             return Sent.REFUSED
-        if self.caller_gone:
+        if self.sender_disconnected:
             return Sent.CALLER_GONE
         if self.delegate.response is None:
             return Sent.LOST
         if not self.delegate.framed:
             return Sent.CUT
-        if not self.delegate.whole:
+        if not self.delegate.complete:
             return Sent.CUT
         return Sent.WHOLE
 
 
-def _consume(future: "asyncio.Future[None]") -> None:
-    # A write that fails is seen again by the reader of the answer; without
-    # this the loop would log a "never retrieved" error for each lost peer.
+def _mark_exception_retrieved(future: "asyncio.Future[None]") -> None:
+    # The reader of the response also sees a failed write. Without this, asyncio
+    # logs "exception was never retrieved" for each lost peer.
     if not future.cancelled():
         future.exception()
--- a/almondstair/link_shares.py
+++ b/almondstair/link_shares.py
@@ -16,12 +16,12 @@
 from almondstair.pacing import LinkPacers
 from almondstair.pacing import window_bytes
 
-OUTWARD = ">"
-INWARD = "<"
+OUTBOUND = ">"
+INBOUND = "<"
 
 
 class LinkShares:
-    """Keeps one `LinkShare` for each direction of each link."""
+    """Holds one `LinkShare` for each direction of each link."""
 
     def __init__(
         self,
@@ -31,13 +31,13 @@
         pacers: LinkPacers,
         send: Callable[[str, NamedTuple], object],
     ) -> None:
-        """Starts without a link.
+        """Creates shares without a link.
 
         Args:
           own: this entry's row.
           incarnation: number of this process.
-          pacers: gets a pacer for each link.
-          send: sends a message to an entry by its name.
+          pacers: receives the pacers of each link.
+          send: sends a message to an entry, given the entry's name.
         """
         self._own = own
         self._incarnation = incarnation
@@ -46,11 +46,11 @@
         self._shares: dict[str, LinkShare] = {}
         self._links: dict[str, Link] = {}
         self._table = EntryTable()
-        self._table_is_fresh = False
-        self._heard_epochs: dict[str, int] = {}
+        self._table_from_platform = False
+        self._acknowledged_epochs: dict[str, int] = {}
 
     def configure(self, *, configuration: Configuration) -> None:
-        """Takes the links of this availability zone."""
+        """Applies the links of this availability zone."""
         links = {}
         for link in configuration.links:
             if link.availability_zone == self._own.availability_zone:
@@ -73,26 +73,26 @@
         self._links = links
 
     def update_table(self, *, table: EntryTable, from_platform: bool) -> None:
-        """Takes an entry table.
+        """Applies an entry table.
 
         Args:
           table: the table.
           from_platform: whether this process read it from the platform.
         """
         self._table = table
-        self._table_is_fresh = self._table_is_fresh or from_platform
+        self._table_from_platform = self._table_from_platform or from_platform
         for share in self._shares.values():
-            self._tell_table(share, from_platform)
+            self._apply_table(share, from_platform)
 
     def heard_epoch(self, *, entry: str, epoch: int) -> None:
-        """Takes another entry's acknowledgement."""
-        self._heard_epochs[entry] = epoch
+        """Records the epoch that another entry acknowledged."""
+        self._acknowledged_epochs[entry] = epoch
         now_s = time.monotonic()
         for share in self._shares.values():
             share.on_acknowledged(entry=entry, epoch=epoch, now_s=now_s)
 
     def acknowledgement(self) -> LinkEpoch | None:
-        """Returns what to tell the entries of this zone, None if nothing."""
+        """Returns the lowest epoch that all shares acknowledge, to be sent."""
         now_s = time.monotonic()
         lowest: int | None = None
         for share in self._shares.values():
@@ -104,14 +104,14 @@
         return LinkEpoch(lowest)
 
     def ask(self) -> None:
-        """Asks peers for loans where a share is short."""
+        """Requests loans from peers for shares that are too small."""
         now_s = time.monotonic()
         for share in self._shares.values():
             for request in share.ask(now_s=now_s):
                 self._send(request.lender, request)
 
     def lend(self, request: LoanRequest) -> None:
-        """Answers a peer's request."""
+        """Handles a peer's loan request."""
         share = self._shares.get(request.link)
         if share is None:
             return
@@ -120,13 +120,13 @@
             self._send(request.borrower, loan)
 
     def accept(self, loan: Loan) -> None:
-        """Takes a peer's loan."""
+        """Applies a loan from a peer."""
         share = self._shares.get(loan.link)
         if share is not None:
             share.accept(loan=loan, now_s=time.monotonic())
 
     def ready(self) -> bool:
-        """Whether every link has a share that bytes can move by."""
+        """Returns whether every link has a share above 0."""
         now_s = time.monotonic()
         for share in self._shares.values():
             if not share.status(now_s=now_s).allowance_bytes_per_s:
@@ -134,7 +134,7 @@
         return True
 
     def release(self) -> None:
-        """Gives every share up for good."""
+        """Releases every share permanently."""
         now_s = time.monotonic()
         for share in self._shares.values():
             share.release(now_s=now_s)
@@ -142,8 +142,8 @@
     def _add(self, link: Link) -> None:
         self._pacers.add(
             region=link.region,
-            outward=LinkPacer(share=self._make_share(link, OUTWARD)),
-            inward=LinkPacer(share=self._make_share(link, INWARD)),
+            outward=LinkPacer(share=self._make_share(link, OUTBOUND)),
+            inward=LinkPacer(share=self._make_share(link, INBOUND)),
         )
 
     def _make_share(self, link: Link, direction: str) -> LinkShare:
@@ -157,12 +157,12 @@
             now_s=now_s,
         )
         self._shares[name] = share
-        self._tell_table(share, self._table_is_fresh)
-        for entry, epoch in self._heard_epochs.items():
+        self._apply_table(share, self._table_from_platform)
+        for entry, epoch in self._acknowledged_epochs.items():
             share.on_acknowledged(entry=entry, epoch=epoch, now_s=now_s)
         return share
 
-    def _tell_table(self, share: LinkShare, from_platform: bool) -> None:
+    def _apply_table(self, share: LinkShare, from_platform: bool) -> None:
         names = []
         for row in self._table.entries:
             if row.availability_zone == self._own.availability_zone:
--- a/almondstair/probing.py
+++ b/almondstair/probing.py
@@ -1,7 +1,7 @@
-"""Probes of upstreams that had no work of late.
+"""Load probes of upstreams without recent traffic.
 
-An answer tells more than a probe and costs nothing extra, so an upstream with
-traffic is never probed. What a probe brings can only lower what is used.
+An upstream with traffic is not probed: its responses carry the same report at
+no extra cost. A probe's report can only lower the slots that are used.
 """
 
 import asyncio
@@ -20,11 +20,11 @@
 from almondstair.http_messages import ResponseHead
 
 PROBE_TIMEOUT_S = 2.0
-ANSWER_LIMIT_BYTES = 4096
+MAX_RESPONSE_BYTES = 4096
 
 
-class _Held(AnswerSink):
-    """Keeps a short answer."""
+class _BufferedResponse(AnswerSink):
+    """Buffers a short response."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -34,27 +34,28 @@
         self.status = head.status
 
     async def data(self, chunk: bytes) -> None:
-        if len(self.body) + len(chunk) <= ANSWER_LIMIT_BYTES:
+        if len(self.body) + len(chunk) <= MAX_RESPONSE_BYTES:
             self.body += chunk
 
 
 class Prober:
-    """Probes the upstreams that this entry has a duty at."""
+    """Probes the upstreams that this entry manages slots of."""
 
     def __init__(
         self, *, slots: SlotTable, client: HttpClient, interval_s: float
     ) -> None:
-        """Makes a prober.
+        """Creates a prober without probes in flight.
 
         Args:
-          slots: gets what the probes bring.
-          client: client for upstreams.
-          interval_s: an upstream whose last report is older is probed.
+          slots: receives the reports.
+          client: HTTP client for upstreams.
+          interval_s: age of the last report from which on an upstream is
+            probed, in seconds.
         """
         self._slots = slots
         self._client = client
         self._interval_s = interval_s
-        self._under_way: dict[str, asyncio.Task[None]] = {}
+        self._in_flight: dict[str, asyncio.Task[None]] = {}
 
     def start_due(self, *, configuration: Configuration) -> None:
         """Starts the probes that are due."""
@@ -65,62 +66,64 @@
             upstream = configuration.upstreams.get(row.name)
             if upstream is None or not upstream.load_path:
                 continue
-            if row.name in self._under_way:
+            if row.name in self._in_flight:
                 continue
-            self._under_way[row.name] = asyncio.ensure_future(
+            self._in_flight[row.name] = asyncio.ensure_future(
                 self._probe(row.name, upstream.address, upstream.load_path)
             )
 
     def stop(self) -> None:
-        """Cancels what is under way."""
-        for task in self._under_way.values():
+        """Cancels the probes in flight."""
+        for task in self._in_flight.values():
             task.cancel()
 
     async def _probe(self, name: str, address: str, path: str) -> None:
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
-                report = await self._ask(address, path)
+                report = await self._fetch_report(address, path)
         except (OSError, TimeoutError):
-            # No report: its age goes on growing, which is what counts.
+            # Without a report, the age of the last one keeps growing.
             return
         finally:
-            del self._under_way[name]
+            del self._in_flight[name]
         if report is not None:
             self._slots.heard_upstream(
                 upstream=name, report=report, now_s=time.monotonic()
             )
 
-    async def _ask(self, address: str, path: str) -> UpstreamReport | None:
+    async def _fetch_report(
+        self, address: str, path: str
+    ) -> UpstreamReport | None:
         stream = await self._client.connect(address, fresh=False)
         body = RequestBody()
         body.end()
-        sink = _Held()
+        response = _BufferedResponse()
         exchange = await self._client.exchange(
             address=address,
             stream=stream,
             start_line=httputil.RequestStartLine("GET", path, "HTTP/1.1"),
             headers=httputil.HTTPHeaders({"Host": address}),
             body=body,
-            sink=sink,
+            sink=response,
         )
-        if exchange.sent is not Sent.WHOLE or sink.status != 200:
+        if exchange.sent is not Sent.WHOLE or response.status != 200:
             return None
         try:
-            return _read_report(sink.body)
+            return _decode_report(response.body)
         except msgspec.MsgspecError:
             return None
 
 
 class _Report(msgspec.Struct):
-    """Body of an upstream's load endpoint."""
+    """Holds the response body of an upstream's load endpoint."""
 
     slots: int
     busy: int
     draining: bool = False
 
 
-def _read_report(body: bytes) -> UpstreamReport:
-    # Some upstreams report their flag as 0 or 1.
+def _decode_report(body: bytes) -> UpstreamReport:
+    # Not strict: some upstreams report `draining` as 0 or 1.
     report = msgspec.json.decode(body, type=_Report, strict=False)
     return UpstreamReport(
         slots=report.slots, busy=report.busy, draining=report.draining
--- a/almondstair/running.py
+++ b/almondstair/running.py
@@ -1,4 +1,4 @@
-"""Runs a call at an upstream of this entry: slot, claim, dispatch, outcome."""
+"""Runs calls at upstreams of this entry: slot, claim, dispatch, outcome."""
 
 import asyncio
 from collections.abc import Callable
@@ -31,25 +31,25 @@
 from almondstair.metrics import Metric
 from almondstair.metrics import Metrics
 
-# Upstreams that one call is offered to at one entry. Each further one follows
-# a certain refusal, and a refusal costs the upstream next to nothing. More than
-# two, since a lost rack leaves several upstreams that are not noticed yet.
-UPSTREAMS_PER_CALL = 3
+# Upstreams that one entry tries for one call. A further one is tried only if
+# the request certainly did not run, and a refusal costs an upstream little.
+# More than two, since several upstreams of a lost rack may not be detected yet.
+MAX_UPSTREAMS_PER_CALL = 3
 SERVER_ERROR = 500
-# Time that an upstream takes to notice that its connection was closed.
-STOP_NOTICE_S = 0.02
+# Time for an upstream to notice that its connection was closed.
+CANCEL_GRACE_S = 0.02
 
 
 class Core(NamedTuple):
-    """The parts of the core that a dispatch reads and tells.
+    """Holds the state that dispatches read and update.
 
     Attributes:
       configuration: returns the configuration in force.
       quarantine: requests that crashed upstreams.
-      health: what answers tell of each upstream.
-      on_strike: called after each strike, to tell the other entries. Told by
-        the next heartbeat only, a caller that sends its request again at once
-        would find entries that know nothing, and cost one more upstream.
+      health: health of each upstream, derived from responses.
+      on_strike: reports a strike to the other entries at once. If it
+        waited for the next heartbeat, an immediate retry by the caller through
+        another entry would crash one more upstream.
     """
 
     configuration: Callable[[], Configuration]
@@ -59,13 +59,13 @@
 
 
 class Work(NamedTuple):
-    """A call as the runner takes it.
+    """Holds a call to run, with what the runner needs to run it.
 
     Attributes:
       call: the call.
-      fingerprint: of the request, for the quarantine.
-      verdict: what the quarantine says of it.
-      pace: awaited before bytes of its body move.
+      fingerprint: fingerprint of the request, for the quarantine.
+      verdict: the quarantine's verdict on the request.
+      pace: awaited before bytes of the request's body are written.
     """
 
     call: Call
@@ -75,7 +75,7 @@
 
 
 class Runner:
-    """Runs calls at the upstreams that this entry is home of."""
+    """Runs calls at the upstreams whose home is this entry."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         sender: Sender,
         metrics: Metrics,
     ) -> None:
-        """Makes a runner out of its parts."""
+        """Creates a runner with no request in flight."""
         self._core = core
         self._keeper = keeper
         self._claims = claims
@@ -95,55 +95,60 @@
         self.last_new_work_s: dict[str, float] = {}
 
     async def run(self, work: Work) -> AlmondstairError | None:
-        """Runs a call here.
+        """Runs a call at one of this entry's upstreams.
 
         Returns:
-          None when its whole answer was passed on, else what to answer.
+          None if the complete response was passed on, else the error to
+          respond with.
 
         Raises:
-          AlmondstairError: it was refused before any dispatch.
+          AlmondstairError: the call was refused before any dispatch.
         """
         call = work.call
-        admission = await self._take(work, frozenset())
+        admission = await self._acquire_slot(work, frozenset())
         if not call.head.key:
             call.answer.admitted.set()
             return await self._dispatch(work, admission, None)
         claim = None
         try:
-            found = await self._claim(call)
+            found = await self._claim_key(call)
             if isinstance(found, ledger.RecordedAnswer):
                 await self._replay(call, found)
                 return None
             claim = found
         finally:
             if claim is None:
-                self._give_back(call, admission, Outcome.CANCELLED)
+                self._release_slot(call, admission, Outcome.CANCELLED)
         call.answer.admitted.set()
         try:
             return await self._dispatch(work, admission, claim)
         finally:
-            await self._settle(call, claim)
+            await self._end_claim(call, claim)
 
-    async def _take(self, work: Work, avoid: frozenset[str]) -> Admission:
+    async def _acquire_slot(
+        self, work: Work, excluded: frozenset[str]
+    ) -> Admission:
         head = work.call.head
         if work.verdict is Verdict.ALONE:
-            avoid = avoid | self._not_idle()
+            excluded = excluded | self._busy_upstreams()
         return await self._keeper.take(
             service=head.service,
             request_class=head.request_class,
             deadline_s=head.deadline_s,
-            avoid=avoid,
+            avoid=excluded,
         )
 
-    def _not_idle(self) -> frozenset[str]:
-        """Returns the upstreams with work that a crash would take along."""
+    def _busy_upstreams(self) -> frozenset[str]:
+        """Returns the upstreams with work that a crash would end as well."""
         names = []
         for row in self._keeper.slots.status(now_s=time.monotonic()):
             if row.in_flight or row.busy_elsewhere:
                 names.append(row.name)
         return frozenset(names)
 
-    async def _claim(self, call: Call) -> ledger.Claim | ledger.RecordedAnswer:
+    async def _claim_key(
+        self, call: Call
+    ) -> ledger.Claim | ledger.RecordedAnswer:
         try:
             found = await self._claims.claim(
                 service=call.head.service,
@@ -158,11 +163,11 @@
         return found
 
     async def answer_repeat(self, call: Call) -> bool:
-        """Answers a call that was refused, if it repeats one that is known.
+        """Responds to a refused call with the recorded response of its key.
 
         Returns:
-          Whether it was answered; False for a key that nobody used, or when
-          the platform does not say.
+          Whether a response was sent; False if the key is unused or the
+          platform is unavailable.
 
         Raises:
           AlmondstairError: `claim_in_flight`, `outcome_unknown` or
@@ -192,8 +197,8 @@
         call.progress.answer()
         await call.answer.complete()
 
-    async def _settle(self, call: Call, claim: ledger.Claim) -> None:
-        """Brings the outcome of a claim in, however its call ended."""
+    async def _end_claim(self, call: Call, claim: ledger.Claim) -> None:
+        """Ends a claim that is still open when its call ends."""
         if claim.phase is ledger.ClaimPhase.HELD:
             await self._claims.release(claim)
             return
@@ -208,25 +213,25 @@
         self, work: Work, admission: Admission, claim: ledger.Claim | None
     ) -> AlmondstairError | None:
         call = work.call
-        avoid: frozenset[str] = frozenset()
-        for tries_left in reversed(range(UPSTREAMS_PER_CALL)):
+        excluded: frozenset[str] = frozenset()
+        for attempts_left in reversed(range(MAX_UPSTREAMS_PER_CALL)):
             attempt = await self._attempt(work, admission, claim)
             error = attempt.error
             if error is None:
                 self._core.quarantine.answered(fingerprint=work.fingerprint)
-                await self._pass_on(call, attempt, claim)
+                await self._complete_response(call, attempt, claim)
                 return None
-            self._note_failure(work, admission.upstream, attempt)
+            self._record_failure(work, admission.upstream, attempt)
             if attempt.exchange.sent not in _NOT_RUN:
                 return error
             if not call.answer.untouched or not call.body.replayable:
                 return error
-            if not tries_left:
+            if not attempts_left:
                 return error
-            avoid = avoid | {admission.upstream}
+            excluded = excluded | {admission.upstream}
             call.answer.reset()
             try:
-                admission = await self._take(work, avoid)
+                admission = await self._acquire_slot(work, excluded)
             except AlmondstairError as refusal:
                 return refusal
         return None
@@ -238,7 +243,7 @@
         name = admission.upstream
         upstream = self._core.configuration().upstreams[name]
         outcome = Outcome.CANCELLED
-        over = False
+        finished = False
 
         def may_write() -> bool:
             now_s = time.monotonic()
@@ -254,7 +259,7 @@
             return True
 
         started_s = time.monotonic()
-        still_s = self._still_s()
+        stalled_s = self._stalled_s()
         self.last_new_work_s[name] = started_s
         try:
             attempt = await self._sender.to_upstream(
@@ -265,35 +270,36 @@
                 pace=work.pace,
             )
             outcome = _OUTCOMES[attempt.exchange.sent]
-            over = attempt.exchange.sent in _SURELY_OVER
-            self._note_load(name, attempt)
+            finished = attempt.exchange.sent in _ENDED_AT_UPSTREAM
+            self._apply_reported_load(name, attempt)
         finally:
-            self._give_back(call, admission, outcome, over=over)
+            self._release_slot(call, admission, outcome, finished=finished)
         attempt = attempt._replace(
-            started_s=started_s, still_s=self._still_s() - still_s
+            started_s=started_s, still_s=self._stalled_s() - stalled_s
         )
-        self._note_health(name, attempt, call.head.request_class.name)
+        self._record_health(name, attempt, call.head.request_class.name)
         return attempt
 
-    def _still_s(self) -> float:
+    def _stalled_s(self) -> float:
         standstill = self._keeper.slots.standstill
         return standstill.total_s(now_s=time.monotonic())
 
-    def _give_back(
+    def _release_slot(
         self,
         call: Call,
         admission: Admission,
         outcome: Outcome,
         *,
-        over: bool = True,
+        finished: bool = True,
     ) -> None:
-        """Gives a slot back, a moment later where work may still run.
+        """Releases a slot, after a delay if its work may still run.
 
-        A closed connection is the word to stop, and an upstream takes a moment
-        to notice it. Given away at once, the slot could be used twice.
+        Closing the connection cancels the work, but an upstream takes a moment
+        to notice. If the slot were reused at once, the upstream could run two
+        requests in it.
         """
 
-        def give_back() -> None:
+        def release() -> None:
             self._keeper.give_back(
                 admission=admission,
                 outcome=outcome,
@@ -301,42 +307,42 @@
                 work=call.head.request_class.name,
             )
 
-        if over:
-            give_back()
+        if finished:
+            release()
             return
-        asyncio.get_running_loop().call_later(STOP_NOTICE_S, give_back)
+        asyncio.get_running_loop().call_later(CANCEL_GRACE_S, release)
 
-    async def _pass_on(
+    async def _complete_response(
         self, call: Call, attempt: Attempt, claim: ledger.Claim | None
     ) -> None:
         if claim is not None:
-            await self._record(call, attempt, claim)
+            await self._record_response(call, attempt, claim)
         if call.progress.answer():
             await call.answer.complete()
 
-    async def _record(
+    async def _record_response(
         self, call: Call, attempt: Attempt, claim: ledger.Claim
     ) -> None:
-        held = call.answer.held_answer()
+        buffered = call.answer.held_answer()
         head = attempt.exchange.head
         assert head is not None
         body = None
-        if held is not None:
-            head, body = held
-        answer = ledger.keep_answer(
+        if buffered is not None:
+            head, body = buffered
+        recorded = ledger.keep_answer(
             status=head.status,
             headers=list(head.headers.get_all()),
             body=body,
         )
-        await self._claims.record(claim, answer)
+        await self._claims.record(claim, recorded)
 
-    def _note_load(self, name: str, attempt: Attempt) -> None:
-        """Takes the load that an answer states, while its slot is still held.
+    def _apply_reported_load(self, name: str, attempt: Attempt) -> None:
+        """Applies the load in a response while its slot is still held.
 
-        The upstream counts the answered request too. What goes wrong once the
-        slot is given back: that one looks like somebody else's, and a slot of
-        the upstream stays unused for as long as the report is believed, a
-        third of an upstream of three.
+        The upstream's report counts the request that it just answered. If the
+        slot were released first, that request would look like one of another
+        entry, and one slot would stay unused while the report is valid: a third
+        of the capacity of an upstream with three slots.
         """
         head = attempt.exchange.head
         if head is None:
@@ -347,7 +353,7 @@
                 upstream=name, report=report, now_s=time.monotonic()
             )
 
-    def _note_health(
+    def _record_health(
         self, name: str, attempt: Attempt, request_class: str
     ) -> None:
         now_s = time.monotonic()
@@ -366,7 +372,7 @@
             still_ms=attempt.still_s * 1000,
         )
 
-    def _note_failure(self, work: Work, name: str, attempt: Attempt) -> None:
+    def _record_failure(self, work: Work, name: str, attempt: Attempt) -> None:
         call = work.call
         now_s = time.monotonic()
         sent = attempt.exchange.sent
@@ -377,10 +383,10 @@
         if sent is Sent.REFUSED:
             self._core.health.refused(name=name, now_s=now_s)
             return
-        if sent in _OWN_DOING:
-            # What goes wrong where it counts: after each standstill of this
-            # entry its upstreams look as if they could not be reached, lose a
-            # slot and get nothing for a moment.
+        if sent in _NOT_UPSTREAM_FAULT:
+            # Counted as failures, these would make the upstreams look
+            # unreachable after each stall of this process: they would lose a
+            # slot and get no work for a while.
             return
         self._core.health.failed(name=name, now_s=now_s)
         log.event(
@@ -399,11 +405,13 @@
             self._core.on_strike()
 
 
-# After these nothing of the request runs at its upstream.
+# Outcomes after which the request does not run at its upstream.
 _NOT_RUN = frozenset((Sent.NOT_SENT, Sent.TOO_LATE, Sent.REFUSED))
-_SURELY_OVER = _NOT_RUN | {Sent.WHOLE}
-# What the caller or this entry did, not the upstream.
-_OWN_DOING = frozenset((Sent.CALLER_GONE, Sent.WITHDRAWN, Sent.TOO_LATE))
+_ENDED_AT_UPSTREAM = _NOT_RUN | {Sent.WHOLE}
+# Outcomes caused by the caller or this entry, not by the upstream.
+_NOT_UPSTREAM_FAULT = frozenset(
+    (Sent.CALLER_GONE, Sent.WITHDRAWN, Sent.TOO_LATE)
+)
 _OUTCOMES = {
     Sent.WHOLE: Outcome.ANSWERED,
     Sent.NOT_SENT: Outcome.FAILED,
@@ -425,11 +433,11 @@
 
 
 def read_load(value: str) -> UpstreamReport | None:
-    """Reads an upstream's in-band report, `slots=4;busy=1;draining=0`.
+    """Parses an upstream's load header, `slots=4;busy=1;draining=0`.
 
     Returns:
-      The report, None when it is absent or unreadable: no report is not a
-      report of calm.
+      The report, None if it is absent or malformed: a missing report does not
+      mean that the upstream is idle.
     """
     numbers = {}
     for part in value.split(";"):
@@ -446,12 +454,11 @@
 
 
 def unknown_if_run(error: AlmondstairError, *, call: Call) -> AlmondstairError:
-    """Returns the error with the word that fits how far the call came."""
+    """Returns the error with `ran` unknown if the call may have run."""
     if error.ran is not Ran.NO or not call.progress.may_have_run:
         return error
     if not call.head.key:
-        # It may run twice without harm, so the caller is told when to come
-        # back as well.
+        # The request is idempotent, so the caller also gets a retry delay.
         return AlmondstairError(
             kind=error.kind,
             detail=error.detail,
