--- a/almondstair/batching.py
+++ b/almondstair/batching.py
@@ -1,4 +1,4 @@
-"""Fewer calls to the platform: batched writes and one lease for many keys."""
+"""Write batching and a shared lease, which reduce calls to the platform."""
 
 import asyncio
 import collections
@@ -8,11 +8,11 @@
 from almondstair.key_value import base
 
 MAX_BATCH_BYTES = 512 << 10
-"""Most bytes of values in a batch; etcd refuses requests over 1.5 MiB."""
+"""Maximum bytes of values in a batch; etcd rejects requests over 1.5 MiB."""
 
 
-class _Queued:
-    """A write that waits for its batch, or for the batch's answer."""
+class _QueuedWrite:
+    """A write waiting to be sent in a batch, or for the batch's result."""
 
     def __init__(self, *, write: base.ConditionalWrite) -> None:
         self.write = write
@@ -23,18 +23,18 @@
 
 
 class BatchCounts(NamedTuple):
-    """How many writes went in how many calls."""
+    """Total writes, and the calls that carried them."""
 
     writes: int
     calls: int
 
 
 class WriteBatcher:
-    """Joins the writes that queue while a call is under way into the next one.
+    """Batches the writes that queue up while a call is in flight.
 
-    With little load a write goes at once and alone. Each write gets its own
-    outcome; when the service refuses a whole batch its writes go one by one,
-    so one bad write does not fail the others.
+    Under light load a write is sent immediately in a call of its own. Each
+    write gets its own result. When the service refuses a whole batch, its
+    writes are sent one by one, so one bad write does not fail the others.
     """
 
     def __init__(
@@ -44,48 +44,49 @@
         max_batch: int = base.MAX_BATCH,
         max_under_way: int = 1,
     ) -> None:
-        """Makes a batcher.
+        """Initializes an idle batcher.
 
         Args:
-          service: where the writes go.
-          max_batch: most writes in a call; 1 sends each alone.
-          max_under_way: most calls at once.
+          service: service that receives the writes.
+          max_batch: maximum writes in a call; 1 disables batching.
+          max_under_way: maximum concurrent calls.
         """
         self._service = service
         self._max_batch = max_batch
-        self._max_under_way = max_under_way
-        self._urgent: collections.deque[_Queued] = collections.deque()
-        self._later: collections.deque[_Queued] = collections.deque()
-        self._under_way: set[asyncio.Task[None]] = set()
+        self._max_in_flight = max_under_way
+        self._urgent: collections.deque[_QueuedWrite] = collections.deque()
+        self._normal: collections.deque[_QueuedWrite] = collections.deque()
+        self._in_flight: set[asyncio.Task[None]] = set()
         self._counts = BatchCounts(0, 0)
 
     @property
     def counts(self) -> BatchCounts:
-        """Writes and calls so far."""
+        """Returns the total writes and calls so far."""
         return self._counts
 
     async def write(
         self, *, write: base.ConditionalWrite, urgent: bool, until_s: float
     ) -> base.CasResult:
-        """Carries out one write.
+        """Performs one write.
 
         Args:
           write: the write.
-          urgent: goes before those that are not.
-          until_s: when to stop waiting, in the loop's time.
+          urgent: whether to send it before non-urgent writes.
+          until_s: when to stop waiting, in event loop time in seconds.
 
         Returns:
-          The write's own outcome.
+          The result of this write.
 
         Raises:
-          PlatformError: it failed, or the time is up; `unavailable` when the
-            write had not left the queue, since it then never will.
+          PlatformError: The write failed or timed out. The failure is
+            `unavailable` if the write was still queued at the timeout: it is
+            then never sent.
         """
-        queued = _Queued(write=write)
+        queued = _QueuedWrite(write=write)
         if urgent:
             self._urgent.append(queued)
         else:
-            self._later.append(queued)
+            self._normal.append(queued)
         self._send_next()
         try:
             async with asyncio.timeout_at(until_s):
@@ -99,27 +100,27 @@
             ) from error
 
     def _send_next(self) -> None:
-        while len(self._under_way) < self._max_under_way:
-            batch = self._take_batch()
+        while len(self._in_flight) < self._max_in_flight:
+            batch = self._pop_batch()
             if not batch:
                 return
             task = asyncio.get_running_loop().create_task(self._send(batch))
-            self._under_way.add(task)
+            self._in_flight.add(task)
             task.add_done_callback(self._on_sent)
 
     def _on_sent(self, task: asyncio.Task[None]) -> None:
-        self._under_way.discard(task)
+        self._in_flight.discard(task)
         self._send_next()
 
-    def _take_batch(self) -> list[_Queued]:
-        batch: list[_Queued] = []
+    def _pop_batch(self) -> list[_QueuedWrite]:
+        batch: list[_QueuedWrite] = []
         keys: set[str] = set()
         size_bytes = 0
-        for queue in (self._urgent, self._later):
+        for queue in (self._urgent, self._normal):
             while queue and len(batch) < self._max_batch:
                 queued = queue[0]
                 if queued.future.done():
-                    # Its writer stopped waiting and counts on it never going.
+                    # The writer timed out and relies on it not being sent.
                     queue.popleft()
                     continue
                 size_bytes += len(queued.write.value)
@@ -133,7 +134,7 @@
                 batch.append(queued)
         return batch
 
-    async def _send(self, batch: list[_Queued]) -> None:
+    async def _send(self, batch: list[_QueuedWrite]) -> None:
         try:
             await self._send_batch(batch)
         finally:
@@ -143,33 +144,33 @@
                         base.PlatformError(failure=base.PlatformFailure.UNKNOWN)
                     )
 
-    async def _send_batch(self, batch: list[_Queued]) -> None:
+    async def _send_batch(self, batch: list[_QueuedWrite]) -> None:
         if len(batch) == 1:
-            await self._send_alone(batch[0])
+            await self._send_single(batch[0])
             return
         writes = []
         for queued in batch:
             writes.append(queued.write)
-        self._count(len(writes))
+        self._record_call(len(writes))
         try:
             results = await self._service.write_many(writes=writes)
         except base.PlatformError as error:
             if error.failure is base.PlatformFailure.REFUSED:
-                await self._send_each(batch)
+                await self._send_individually(batch)
                 return
             for queued in batch:
                 _fail(queued, error)
             return
         for queued, result in zip(batch, results, strict=True):
-            _finish(queued, result)
+            _complete(queued, result)
 
-    async def _send_each(self, batch: list[_Queued]) -> None:
+    async def _send_individually(self, batch: list[_QueuedWrite]) -> None:
         async with asyncio.TaskGroup() as group:
             for queued in batch:
-                group.create_task(self._send_alone(queued))
+                group.create_task(self._send_single(queued))
 
-    async def _send_alone(self, queued: _Queued) -> None:
-        self._count(1)
+    async def _send_single(self, queued: _QueuedWrite) -> None:
+        self._record_call(1)
         try:
             result = await self._service.compare_and_swap(
                 **queued.write._asdict()
@@ -177,38 +178,38 @@
         except base.PlatformError as error:
             _fail(queued, error)
             return
-        _finish(queued, result)
+        _complete(queued, result)
 
-    def _count(self, writes: int) -> None:
+    def _record_call(self, writes: int) -> None:
         self._counts = BatchCounts(
             self._counts.writes + writes, self._counts.calls + 1
         )
 
 
-def _finish(queued: _Queued, result: base.CasResult) -> None:
+def _complete(queued: _QueuedWrite, result: base.CasResult) -> None:
     if not queued.future.done():
         queued.future.set_result(result)
 
 
-def _fail(queued: _Queued, error: base.PlatformError) -> None:
+def _fail(queued: _QueuedWrite, error: base.PlatformError) -> None:
     if not queued.future.done():
         queued.future.set_exception(
             base.PlatformError(failure=error.failure, detail=error.detail)
         )
 
 
-def _note_error(task: asyncio.Task[int]) -> None:
-    """Reads the error of a task whose waiters may all have gone."""
+def _consume_error(task: asyncio.Task[int]) -> None:
+    """Retrieves the error of a task that may have no waiters left."""
     if not task.cancelled():
         task.exception()
 
 
 class SharedLease:
-    """One lease for all keys of a period.
+    """Provides one lease for all keys written within a period.
 
-    A lease for each key would double the writes, and a lease kept alive would
-    end early when its holder dies, which takes the keys with it. So leases are
-    granted for long and never kept alive.
+    A lease for each key would double the writes. A lease that is kept alive
+    would expire early if its holder crashes, and delete the keys. So leases
+    have a long TTL and are never renewed.
     """
 
     def __init__(
@@ -219,13 +220,13 @@
         period_s: float,
         now: Callable[[], float],
     ) -> None:
-        """Makes a holder without a lease.
+        """Initializes without a lease.
 
         Args:
-          service: where leases are granted.
-          keep_s: shortest time that a key stays.
-          period_s: how long one lease is used for new keys.
-          now: monotonic clock.
+          service: service that grants the leases.
+          keep_s: minimum lifetime of a key, in seconds.
+          period_s: how long a lease is used for new keys, in seconds.
+          now: returns monotonic seconds.
         """
         self._service = service
         self._ttl_s = int(keep_s + period_s)
@@ -236,17 +237,19 @@
         self._grant: asyncio.Task[int] | None = None
 
     async def current(self) -> int:
-        """Returns the lease to be used now.
+        """Returns the ID of the lease for new keys.
 
         Raises:
-          PlatformError: a lease was needed and not granted; never `unknown`,
-            since no key is touched.
+          PlatformError: A new lease was needed and not granted. The failure
+            is never `unknown`, since no key is changed.
         """
         if self._lease_id and self._now() < self._granted_s + self._period_s:
             return self._lease_id
         if self._grant is None:
-            self._grant = asyncio.get_running_loop().create_task(self._get())
-            self._grant.add_done_callback(_note_error)
+            self._grant = asyncio.get_running_loop().create_task(
+                self._request_lease()
+            )
+            self._grant.add_done_callback(_consume_error)
         grant = self._grant
         try:
             return await asyncio.shield(grant)
@@ -256,16 +259,16 @@
             ) from error
 
     def forget(self, lease_id: int) -> None:
-        """Drops a lease that the service refused."""
+        """Discards a lease that the service refused."""
         if self._lease_id == lease_id:
             self._lease_id = 0
 
-    async def _get(self) -> int:
-        # The lease runs from some moment after this one.
-        asked_s = self._now()
+    async def _request_lease(self) -> int:
+        # The lease starts after this point, so the expiry is not overestimated.
+        requested_s = self._now()
         try:
             self._lease_id = await self._service.grant_lease(ttl_s=self._ttl_s)
-            self._granted_s = asked_s
+            self._granted_s = requested_s
             return self._lease_id
         finally:
             self._grant = None
--- a/almondstair/configuration_checks.py
+++ b/almondstair/configuration_checks.py
@@ -1,7 +1,7 @@
-"""Checks a deployment configuration against itself.
+"""Consistency checks of a deployment configuration.
 
-Types are checked before; here names must exist, ends must be unique, and one
-document must not say two things.
+Types are checked earlier. These checks cover references to names, uniqueness
+and contradictions within the document.
 """
 
 from collections.abc import Sequence
@@ -13,9 +13,9 @@
 
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]*$"
 _NAME_REMEDY = "use letters, digits, '.', '_' and '-', a letter or digit first"
-# The first part of the entries' own paths, such as /v1/entries.
+# First segment of the entries' own paths, such as /v1/entries.
 _RESERVED_SERVICE = "v1"
-# Longest body that an entry holds whole; see almondstair.body.
+# Longest body that an entry buffers completely; see almondstair.body.
 HELD_BODY_BYTES = 65_536
 _HTTP_METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
 
@@ -23,7 +23,7 @@
 def check(
     configuration: model.Configuration, *, faults: faults_module.FaultList
 ) -> None:
-    """Adds every fault of a configuration."""
+    """Adds every inconsistency of a configuration to `faults`."""
     _check_names(configuration, faults=faults)
     _check_regions(configuration, faults=faults)
     _check_services(configuration, faults=faults)
@@ -66,13 +66,15 @@
         if re.match(NAME_PATTERN, name):
             continue
         faults.add(
-            key=key, problem=f"{name!r} is not a name", remedy=_NAME_REMEDY
+            key=key,
+            problem=f"{name!r} is not a valid name",
+            remedy=_NAME_REMEDY,
         )
     if _RESERVED_SERVICE in configuration.services:
-        # Its requests could not be told from those to the entry itself.
+        # Requests to it would be indistinguishable from requests to the entry.
         faults.add(
             key=f"services.{_RESERVED_SERVICE}",
-            problem="the name is taken by the entries' own paths",
+            problem="the name is reserved for the entries' own paths",
             remedy="give the service another name",
         )
 
@@ -129,7 +131,7 @@
         if request_class.name in seen:
             faults.add(
                 key=f"{key}.name",
-                problem=f"{request_class.name!r} names an earlier class too",
+                problem=f"{request_class.name!r} already names an earlier class",
                 remedy="give each class of a service its own name",
             )
         seen.add(request_class.name)
@@ -148,19 +150,19 @@
             problem="the class covers no method",
             remedy="name at least one HTTP method",
         )
-    _check_known(
+    _check_known_names(
         request_class.methods,
         _HTTP_METHODS,
         key=f"{key}.methods",
-        problem="{!r} is no HTTP method that is served",
+        problem="{!r} is not a supported HTTP method",
         faults=faults,
     )
     if (
         not request_class.idempotent
         and request_class.body_limit_bytes > HELD_BODY_BYTES
     ):
-        # A longer body streams, and a repeat of the request could not be told
-        # from another request under the same key by its first part alone.
+        # A longer body is streamed. Its first part alone does not tell a retry
+        # from a different request with the same key.
         faults.add(
             key=f"{key}.body_limit_bytes",
             problem=f"{request_class.body_limit_bytes} is too long for a class "
@@ -181,7 +183,7 @@
         )
 
 
-def _check_known(
+def _check_known_names(
     words: Sequence[str],
     known: tuple[str, ...],
     *,
@@ -189,7 +191,7 @@
     problem: str,
     faults: faults_module.FaultList,
 ) -> None:
-    """Notes a fault for each word that is not among the known ones."""
+    """Adds a fault for each word that is not among the known words."""
     for index, word in enumerate(words):
         if word in known:
             continue
@@ -223,7 +225,7 @@
                 problem="the upstream runs no service",
                 remedy="name at least one service",
             )
-        _check_known(
+        _check_known_names(
             upstream.services,
             services,
             key=f"{key}.services",
@@ -238,7 +240,7 @@
                 remedy=addresses.REMEDY,
             )
         if upstream.address in seen:
-            # Two names for one instance would count its slots twice.
+            # Two names for one upstream would count its slots twice.
             faults.add(
                 key=f"{key}.address",
                 problem=f"{upstream.address} is also {seen[upstream.address]}",
@@ -271,7 +273,7 @@
             )
         ends = (link.availability_zone, link.region)
         if ends in seen:
-            # Two caps for one link would leave open which one holds.
+            # With two caps for one link it is unclear which one applies.
             faults.add(
                 key=key,
                 problem=f"the same link as {seen[ends]}",
--- a/almondstair/configuration_keeper.py
+++ b/almondstair/configuration_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration in force: follows it, seeds it, edits it."""
+"""Configuration in force: following, seeding and editing it."""
 
 import asyncio
 from collections.abc import Callable
@@ -27,12 +27,12 @@
 from almondstair.store import ConfigurationStore
 from almondstair.watch_turns import WatchTurns
 
-# How long an edit is waited for before its operator is told `edit_pending`.
+# Maximum wait for an edit to take effect before returning `edit_pending`.
 ACCEPT_WAIT_S = 5.0
 ACCEPT_POLL_S = 0.05
 SEED_AUTHOR = "deployment file"
 
-_FATE_KINDS = {
+_ERROR_KINDS = {
     EditFate.PENDING: ErrorKind.EDIT_PENDING,
     EditFate.CONFLICT: ErrorKind.EDIT_CONFLICT,
     EditFate.UNKNOWN: ErrorKind.EDIT_UNKNOWN,
@@ -41,7 +41,11 @@
 
 
 class ConfigurationKeeper:
-    """Brings this entry's configuration and the platform's together."""
+    """Synchronizes this entry's configuration with the platform's.
+
+    Attributes:
+      configuration: configuration in force, None before the first.
+    """
 
     def __init__(
         self,
@@ -52,13 +56,14 @@
         fresh_limit_s: float,
         on_configuration: Callable[[Configuration], None],
     ) -> None:
-        """Prepares.
+        """Initializes without a configuration.
 
         Args:
-          state: what is in force here.
-          membership: who else reports a version.
-          store: the configuration in the platform.
-          fresh_limit_s: age past which a report of a version is silence.
+          state: configuration in force on this entry.
+          membership: provides the versions that other entries report.
+          store: configuration in the platform.
+          fresh_limit_s: age in seconds beyond which a version report is
+            ignored.
           on_configuration: called with each configuration put in force.
         """
         self._state = state
@@ -66,27 +71,27 @@
         self._store = store
         self._fresh_limit_s = fresh_limit_s
         self._on_configuration = on_configuration
-        self._turns = WatchTurns(
+        self._watcher = WatchTurns(
             membership=membership,
             make=lambda: self._store.follower(on_configuration=self.take),
         )
-        self._bad_version = 0
-        # Base of each edit whose write may take effect yet, by edit id.
-        self._unsettled: dict[str, int] = {}
+        self._invalid_version = 0
+        # Base versions of edits whose write may still take effect, by edit ID.
+        self._unknown_edits: dict[str, int] = {}
         self.configuration: Configuration | None = None
 
     @property
     def version(self) -> int:
-        """Version in force here, 0 before the first."""
+        """Returns the version in force on this entry, 0 before the first."""
         return self._state.version
 
     @property
     def in_force(self) -> StoredConfiguration | None:
-        """What is in force here."""
+        """Returns the stored configuration in force on this entry."""
         return self._state.in_force
 
     def take(self, stored: StoredConfiguration) -> None:
-        """Takes a configuration from the platform or a peer, if newer."""
+        """Applies a configuration from the platform or a peer, if newer."""
         judgement = self._state.judge(stored)
         if judgement in (Offer.OLDER, Offer.DIVERGED):
             log.event(
@@ -96,21 +101,22 @@
             )
         if judgement is not Offer.APPLIED:
             return
-        if stored.version == self._bad_version:
+        if stored.version == self._invalid_version:
             return
         try:
             configuration = read_configuration(
                 stored.text, f"configuration version {stored.version}"
             )
         except AlmondstairError as error:
-            self._bad_version = stored.version
+            self._invalid_version = stored.version
             log.event(
                 log.Event.CONFIGURATION_BAD,
                 version=stored.version,
                 detail=error.detail,
             )
             return
-        # Put in force first: what a heartbeat calls in force must already act.
+        # Apply before recording: heartbeats report the recorded version, which
+        # must already be in effect.
         self.configuration = configuration
         self._on_configuration(configuration)
         self._state.offer(stored)
@@ -121,15 +127,18 @@
         )
 
     def follow(self) -> None:
-        """Holds a watch while it is this entry's turn to."""
-        self._turns.update()
+        """Starts or stops the watch as this entry is elected."""
+        self._watcher.update()
 
     def stop(self) -> None:
-        """Follows nothing more."""
-        self._turns.stop()
+        """Stops the watch."""
+        self._watcher.stop()
 
     async def read(self) -> bool:
-        """Reads the platform's configuration; returns whether there is one.
+        """Reads and applies the platform's configuration.
+
+        Returns:
+          Whether the platform has a configuration.
 
         Raises:
           AlmondstairError: `platform_unavailable`.
@@ -142,8 +151,8 @@
     async def seed(self, text: str) -> None:
         """Writes the first configuration if the platform has none.
 
-        Only while no configuration is in force here or on any peer heard: a
-        platform that was wiped looks the same as one never used.
+        Does nothing if a configuration is in force on this entry or any peer
+        heard from: a wiped platform looks the same as an unused one.
 
         Raises:
           AlmondstairError: `platform_unavailable`.
@@ -157,7 +166,7 @@
             base_version=0,
             edit_id=uuid.uuid4().hex,
             author=SEED_AUTHOR,
-            edited_at=_now_text(),
+            edited_at=_timestamp(),
             text=text,
         )
         self.take(await self._store.seed(edit=edit))
@@ -167,7 +176,7 @@
 
         Raises:
           AlmondstairError: `configuration_invalid` or `platform_unavailable`;
-            the edit was surely not applied.
+            the edit was definitely not applied.
         """
         read_configuration(request.text, "the edited configuration")
         before = self._state.in_force
@@ -175,7 +184,7 @@
             base_version=request.base_version,
             edit_id=request.edit_id,
             author=request.author,
-            edited_at=_now_text(),
+            edited_at=_timestamp(),
             text=request.text,
         )
         result = await self._store.edit(
@@ -193,41 +202,45 @@
             version=result.version,
         )
         if result.fate is EditFate.PENDING:
-            return await self._until_accepted(result)
+            return await self._wait_until_accepted(result)
         if result.fate is EditFate.UNKNOWN:
-            self._unsettled[edit.edit_id] = edit.base_version
-        return await self._answer(result, request.base_version, before)
+            self._unknown_edits[edit.edit_id] = edit.base_version
+        return await self._edit_answer(result, request.base_version, before)
 
     async def fate(self, edit_id: str) -> EditAnswer:
-        """Returns what is known of an edit.
+        """Returns the status of an edit.
 
         Raises:
           AlmondstairError: `platform_unavailable`, `not_found`.
         """
-        # Before it is looked up among the edits in force: those do not go
-        # away, and the platform may be out when an operator asks.
-        note = self._note_in_force(edit_id)
-        if note is None and edit_id in self._unsettled:
+        # The edits in force are checked first: they do not disappear, and the
+        # platform may be unavailable.
+        edit_record = self._record_in_force(edit_id)
+        if edit_record is None and edit_id in self._unknown_edits:
             result = await self._store.fate(
-                edit_id=edit_id, base_version=self._unsettled[edit_id]
+                edit_id=edit_id, base_version=self._unknown_edits[edit_id]
             )
-            return await self._answer(self._judged(result), 0, None)
-        if note is None:
+            return await self._edit_answer(
+                self._applied_status(result), 0, None
+            )
+        if edit_record is None:
             stored = await self._store.read()
             if stored is not None:
                 self.take(stored)
-                note = stored.find(edit_id=edit_id)
-        if note is not None:
-            result = EditResult(EditFate.PENDING, edit_id, note.version)
-            return await self._answer(self._judged(result), 0, None)
+                edit_record = stored.find(edit_id=edit_id)
+        if edit_record is not None:
+            result = EditResult(EditFate.PENDING, edit_id, edit_record.version)
+            return await self._edit_answer(
+                self._applied_status(result), 0, None
+            )
         raise AlmondstairError(
             kind=ErrorKind.NOT_FOUND,
             ran=Ran.UNKNOWN,
             detail=f"no edit {edit_id} among the latest; it was not applied, "
-            "is older than those remembered, or its write is under way yet",
+            "is older than the edits kept, or its write is still in flight",
         )
 
-    def _note_in_force(self, edit_id: str) -> EditNote | None:
+    def _record_in_force(self, edit_id: str) -> EditNote | None:
         if self._state.in_force is None:
             return None
         return self._state.in_force.find(edit_id=edit_id)
@@ -238,16 +251,16 @@
         versions: list[dict[str, object]] = []
         if stored is None:
             return versions
-        for note in stored.recent:
-            versions.append(dict(note._asdict()))
+        for edit_record in stored.recent:
+            versions.append(dict(edit_record._asdict()))
         return versions
 
     def marked(self, *, name: str, leaving: bool) -> tuple[int, str]:
-        """Returns the version in force and its text with a mark set.
+        """Returns the version in force, and its text with a mark changed.
 
         Raises:
           AlmondstairError: `platform_unavailable` while nothing is in force;
-            `not_found` if there is neither an upstream nor an entry.
+            `not_found` if neither an upstream nor an entry has the name.
         """
         stored = self._state.in_force
         if stored is None or self.configuration is None:
@@ -263,46 +276,46 @@
         text = documents.set_leaving(stored.text, name, leaving)
         return stored.version, text
 
-    async def _until_accepted(self, result: EditResult) -> EditAnswer:
-        stored = await self._read_quietly()
+    async def _wait_until_accepted(self, result: EditResult) -> EditAnswer:
+        stored = await self._read_or_none()
         if stored is not None:
             self.take(stored)
-        until_s = time.monotonic() + ACCEPT_WAIT_S
-        judged = self._judged(result)
-        while judged.fate is EditFate.PENDING and time.monotonic() < until_s:
+        deadline_s = time.monotonic() + ACCEPT_WAIT_S
+        status = self._applied_status(result)
+        while status.fate is EditFate.PENDING and time.monotonic() < deadline_s:
             await asyncio.sleep(ACCEPT_POLL_S)
-            judged = self._judged(result)
-        return await self._answer(judged, 0, None)
+            status = self._applied_status(result)
+        return await self._edit_answer(status, 0, None)
 
-    async def _read_quietly(self) -> StoredConfiguration | None:
+    async def _read_or_none(self) -> StoredConfiguration | None:
         try:
             return await self._store.read()
         except AlmondstairError:
             return None
 
-    def _judged(self, result: EditResult) -> EditResult:
-        """Returns `accepted` or `pending` for an edit that the platform has."""
+    def _applied_status(self, result: EditResult) -> EditResult:
+        """Returns `accepted` or `pending` for an edit in the platform."""
         stored = self._state.in_force
-        note = None
+        edit_record = None
         if stored is not None:
-            note = stored.find(edit_id=result.edit_id)
-        if note is None:
+            edit_record = stored.find(edit_id=result.edit_id)
+        if edit_record is None:
             return result
         return applied_result(
-            note=note,
+            note=edit_record,
             reports=self._membership.version_reports(
                 own_version=self._state.version, now_s=time.monotonic()
             ),
             fresh_limit_s=self._fresh_limit_s,
         )
 
-    async def _answer(
+    async def _edit_answer(
         self,
         result: EditResult,
         base_version: int,
         before: StoredConfiguration | None,
     ) -> EditAnswer:
-        kind = _FATE_KINDS.get(result.fate)
+        kind = _ERROR_KINDS.get(result.fate)
         if kind is None:
             return EditAnswer(
                 result.edit_id, str(result.fate), result.version, result.lacking
@@ -310,7 +323,7 @@
         changed: tuple[str, ...] = ()
         detail = ""
         if result.fate is EditFate.CONFLICT:
-            changed = await self._changed(base_version, before)
+            changed = await self._changed_keys(base_version, before)
             detail = _conflict_detail(result)
         if result.lacking:
             detail = "not known to be in force on: " + ", ".join(result.lacking)
@@ -323,24 +336,26 @@
             AlmondstairError(kind=kind, detail=detail),
         )
 
-    async def _changed(
+    async def _changed_keys(
         self, base_version: int, before: StoredConfiguration | None
     ) -> tuple[str, ...]:
-        stored = await self._read_quietly()
+        stored = await self._read_or_none()
         if stored is None:
             return ()
         self.take(stored)
         if before is None or before.version != base_version:
-            before = await self._past_quietly(base_version)
+            before = await self._past_version_or_none(base_version)
         if before is None:
             return ()
         return tuple(documents.describe_changes(before.text, stored.text))
 
-    async def _past_quietly(self, version: int) -> StoredConfiguration | None:
-        """Returns the version an edit was made on, if it is still kept.
+    async def _past_version_or_none(
+        self, version: int
+    ) -> StoredConfiguration | None:
+        """Returns the base version of an edit if it is still stored.
 
-        The loser of a race often has the winner's version in force already,
-        so its own copy of the base is gone.
+        After a conflict this entry often has the winning version in force
+        already, so it no longer has the base.
         """
         try:
             return await self._store.past(version=version)
@@ -351,13 +366,13 @@
 def _conflict_detail(result: EditResult) -> str:
     winner = result.winner
     if winner is None:
-        return "the version edited is not the one in force; read it again"
+        return "the edited version is not the one in force; read it again"
     return (
         f"{winner.author} made version {winner.version} at {winner.edited_at}; "
         "read it and edit again"
     )
 
 
-def _now_text() -> str:
+def _timestamp() -> str:
     now = datetime.datetime.now(datetime.UTC)
     return now.isoformat(timespec="seconds")
--- a/almondstair/document_exchange.py
+++ b/almondstair/document_exchange.py
@@ -1,8 +1,8 @@
-"""Entry tables and configurations pulled from peers.
+"""Exchange of entry tables and configurations between peers.
 
-An entry learns from a heartbeat that a peer has something newer and asks that
-peer for it. So a change reaches entries that hold no watch, and all of them
-while the platform is out. At start an entry asks the peers of its settings.
+When a heartbeat shows that a peer has a newer document, an entry requests it
+from that peer. So changes reach entries without a watch, and all entries while
+the platform is unavailable. At startup an entry asks the peers in its settings.
 """
 
 from collections.abc import Callable, Iterable
@@ -21,14 +21,14 @@
 from almondstair.store import decode_configuration
 from almondstair.store import encode_configuration
 
-# Heartbeats of many peers show the same news; one question in this time is
-# enough, and the next one goes to another peer if the first is lost.
+# Minimum interval between requests for one kind of document. Many peers report
+# the same change; if a request is lost, the next one goes to another peer.
 ASK_AGAIN_S = 0.5
 ANY_EPOCH = -1
 
 
 class DocumentExchange:
-    """Asks peers for newer documents and answers such questions.
+    """Requests newer documents from peers and serves such requests.
 
     Attributes:
       peer_epoch: highest epoch of a table that a peer sent, 0 before any.
@@ -45,16 +45,16 @@
         on_configuration: Callable[[StoredConfiguration], None],
         clock: Callable[[], float],
     ) -> None:
-        """Prepares.
+        """Initializes without sending a request.
 
         Args:
-          peer_address: `ip:port` at which this entry takes answers.
-          peers: the sockets.
-          membership: has the entry table in force.
-          configuration: has the configuration in force.
+          peer_address: `ip:port` at which this entry receives documents.
+          peers: sends messages to peers.
+          membership: provides the entry table in force.
+          configuration: provides the configuration in force.
           on_table: called with a table that a peer sent.
           on_configuration: called with a configuration that a peer sent; it
-            validates the text and offers it to the state.
+            validates the text and applies it.
           clock: returns monotonic seconds.
         """
         self._peer_address = peer_address
@@ -64,52 +64,53 @@
         self._on_table = on_table
         self._on_configuration = on_configuration
         self._clock = clock
-        self._table_asked_s = float("-inf")
-        self._configuration_asked_s = float("-inf")
+        self._table_requested_s = float("-inf")
+        self._configuration_requested_s = float("-inf")
         self.peer_epoch = 0
-        self._packed = b""
+        self._packed_configuration = b""
         self._packed_version = 0
 
     def ask_addresses(self, addresses: Iterable[str]) -> None:
-        """Asks peers by address, as at start; to be repeated until answered.
+        """Requests documents from peers by address, at startup.
 
-        A first question to an address is lost while its connection opens.
+        The caller repeats this until a peer responds: the first request to an
+        address is lost while its connection opens.
         """
         for address in addresses:
             if address == self._peer_address:
                 continue
-            # Answered whatever was read from the platform meanwhile: that the
-            # peers have nothing newer is an answer too.
+            # ANY_EPOCH gets a response even if the table read from the platform
+            # is as new: startup has to know that the peers have none newer.
             self._peers.send_to_address(
                 address, TableRequest(self._peer_address, ANY_EPOCH)
             )
             self._peers.send_to_address(address, self._configuration_request())
 
     def follow_heartbeat(self, *, name: str, heartbeat: Heartbeat) -> None:
-        """Asks a peer for what its heartbeat shows to be newer."""
+        """Requests the documents that a peer's heartbeat shows as newer."""
         now_s = self._clock()
         if heartbeat.epoch > self._membership.table.epoch:
-            if now_s - self._table_asked_s >= ASK_AGAIN_S:
-                self._table_asked_s = now_s
+            if now_s - self._table_requested_s >= ASK_AGAIN_S:
+                self._table_requested_s = now_s
                 self._peers.send(name, self._table_request())
         if heartbeat.configuration_version > self._configuration.version:
-            if now_s - self._configuration_asked_s >= ASK_AGAIN_S:
-                self._configuration_asked_s = now_s
+            if now_s - self._configuration_requested_s >= ASK_AGAIN_S:
+                self._configuration_requested_s = now_s
                 self._peers.send(name, self._configuration_request())
 
     def receive(self, message: object) -> bool:
-        """Handles a message if it is of this exchange.
+        """Handles a message if it belongs to this exchange.
 
         Returns:
-          Whether it was.
+          Whether the message belongs to it.
         """
         if isinstance(message, TableRequest):
-            self._answer_table(message)
+            self._send_table(message)
         elif isinstance(message, TableDocument):
             self.peer_epoch = max(self.peer_epoch, message.table.epoch)
             self._on_table(message.table)
         elif isinstance(message, ConfigurationRequest):
-            self._answer_configuration(message)
+            self._send_configuration(message)
         elif isinstance(message, ConfigurationDocument):
             value = messages.unpack(message.packed)
             self._on_configuration(decode_configuration(value))
@@ -125,22 +126,27 @@
             self._peer_address, self._configuration.version
         )
 
-    def _answer_table(self, request: TableRequest) -> None:
+    def _send_table(self, request: TableRequest) -> None:
         table = self._membership.table
         if table.epoch <= request.epoch:
             return
-        self._answer(request.peer_address, TableDocument(table))
+        self._send_document(request.peer_address, TableDocument(table))
 
-    def _answer_configuration(self, request: ConfigurationRequest) -> None:
+    def _send_configuration(self, request: ConfigurationRequest) -> None:
         stored = self._configuration.in_force
         if stored is None or stored.version <= request.version:
             return
         if self._packed_version != stored.version:
-            self._packed = messages.pack(encode_configuration(stored))
+            self._packed_configuration = messages.pack(
+                encode_configuration(stored)
+            )
             self._packed_version = stored.version
-        self._answer(request.peer_address, ConfigurationDocument(self._packed))
+        self._send_document(
+            request.peer_address,
+            ConfigurationDocument(self._packed_configuration),
+        )
 
-    def _answer(
+    def _send_document(
         self, peer_address: str, document: TableDocument | ConfigurationDocument
     ) -> None:
         for row in self._membership.table.entries:
--- a/almondstair/documents.py
+++ b/almondstair/documents.py
@@ -1,7 +1,7 @@
-"""Edits the deployment configuration as TOML text, comments kept.
+"""Edits of the deployment configuration's TOML text that keep its comments.
 
-Each edit takes the text and returns the new text; nothing is checked against
-the types here, since `almondstair.settings` does that for the whole document.
+Each edit takes the text and returns the new text. Types are not checked here;
+`almondstair.settings` does that for the whole document.
 """
 
 import tomllib
@@ -18,7 +18,7 @@
 def set_profile_field(text: str, profile: str, key: str, value: Scalar) -> str:
     """Sets one field of a steering profile.
 
-    A profile that does not exist yet is made by setting its `policy`.
+    Setting `policy` creates the profile if it does not exist.
 
     Args:
       text: the configuration.
@@ -39,19 +39,19 @@
         raise _not_found(f"there is no profile {profile!r}; {remedy}")
     if profile not in profiles:
         profiles[profile] = {key: value}
-        # A table put in after the other profiles would part the comment above
-        # the next table from that table; at the end it parts nothing.
+        # Inserted after the other profiles, the table would separate the next
+        # table from the comment above it; so it is appended at the end.
         added = tomlkit.dumps({"profiles": {profile: {key: value}}})
-        return _checked(f"{text.rstrip()}\n\n{added}", expected=expected)
+        return _verify_edit(f"{text.rstrip()}\n\n{added}", expected=expected)
     profiles[profile][key] = value
 
     document = tomlkit.parse(text)
     document["profiles"][profile][key] = value
-    return _checked(tomlkit.dumps(document), expected=expected)
+    return _verify_edit(tomlkit.dumps(document), expected=expected)
 
 
 def assign_profile(text: str, service: str, profile: str) -> str:
-    """Puts a service under a steering profile.
+    """Assigns a steering profile to a service.
 
     Args:
       text: the configuration.
@@ -77,19 +77,19 @@
 
     document = tomlkit.parse(text)
     document["services"][service]["profile"] = profile
-    return _checked(tomlkit.dumps(document), expected=expected)
+    return _verify_edit(tomlkit.dumps(document), expected=expected)
 
 
 def set_leaving(text: str, name: str, leaving: bool) -> str:
-    """Marks a VM as leaving, or takes the mark away.
+    """Marks a VM as leaving, or removes the mark.
 
     Args:
       text: the configuration.
       name: name of the upstream or entry.
-      leaving: whether it is to be marked.
+      leaving: whether to set the mark or remove it.
 
     Returns:
-      The new configuration; the same text if the mark is as asked already.
+      The new configuration; the same text if nothing changes.
     """
     expected = _parse(text)
     names = expected.setdefault("marks", {}).setdefault("leaving", [])
@@ -107,15 +107,15 @@
         marks["leaving"].append(name)
     else:
         marks["leaving"].remove(name)
-    return _checked(tomlkit.dumps(document), expected=expected)
+    return _verify_edit(tomlkit.dumps(document), expected=expected)
 
 
 def describe_changes(old_text: str, new_text: str) -> list[str]:
     """Returns the dotted keys that differ between two configurations.
 
-    Links and request classes are named by what they are, such as
-    `links[bkk-1>cnx].cap_bytes_per_s`, so that one more link does not make
-    all later ones look changed.
+    Links and request classes are identified by name rather than index, such as
+    `links[bkk-1>cnx].cap_bytes_per_s`, so that inserting a link does not make
+    all later ones differ.
 
     Args:
       old_text: the earlier configuration.
@@ -148,12 +148,12 @@
     )
 
 
-def _checked(text: str, *, expected: dict[str, Any]) -> str:
-    """Returns an edited text if it says exactly what was meant.
+def _verify_edit(text: str, *, expected: dict[str, Any]) -> str:
+    """Returns the edited text if it parses to the expected document.
 
-    A document whose tables stand out of order can be written back wrongly, and
-    an operator would only notice by a setting that moved elsewhere. Reading the
-    text back and comparing refuses such an edit instead.
+    A document whose tables are out of order can be serialized wrongly, and the
+    operator would notice only by a setting that moved elsewhere. Such an edit
+    is refused instead.
     """
     try:
         if tomllib.loads(text) == expected:
@@ -171,13 +171,13 @@
     if isinstance(old, dict) and isinstance(new, dict):
         _compare_tables(old, new, key=key, changed=changed)
         return
-    old_named = _named_items(old)
-    new_named = _named_items(new)
+    old_named = _tables_by_name(old)
+    new_named = _tables_by_name(new)
     if old_named is None or new_named is None:
         if old != new:
             changed.append(key)
         return
-    for name in _union(old_named, new_named):
+    for name in _merge_names(old_named, new_named):
         _compare_member(
             old_named.get(name),
             new_named.get(name),
@@ -185,14 +185,14 @@
             changed=changed,
         )
     if set(old_named) == set(new_named) and list(old_named) != list(new_named):
-        # The order of request classes decides which one a request falls in.
+        # The order of request classes decides which one a request matches.
         changed.append(key)
 
 
 def _compare_tables(
     old: dict[str, Any], new: dict[str, Any], *, key: str, changed: list[str]
 ) -> None:
-    for name in _union(old, new):
+    for name in _merge_names(old, new):
         _compare_member(
             old.get(name),
             new.get(name),
@@ -210,7 +210,7 @@
     _compare(old, new, key=key, changed=changed)
 
 
-def _union(old: dict[str, Any], new: dict[str, Any]) -> list[str]:
+def _merge_names(old: dict[str, Any], new: dict[str, Any]) -> list[str]:
     names = list(old)
     for name in new:
         if name in old:
@@ -219,20 +219,20 @@
     return names
 
 
-def _named_items(value: Any) -> dict[str, Any] | None:
-    """Returns an array's tables by name, None if they have no unique names."""
+def _tables_by_name(value: Any) -> dict[str, Any] | None:
+    """Returns an array's tables by name, None without unique names."""
     if not isinstance(value, list):
         return None
     named: dict[str, Any] = {}
     for item in value:
-        name = _name_of(item)
+        name = _table_name(item)
         if name is None or name in named:
             return None
         named[name] = item
     return named
 
 
-def _name_of(item: Any) -> str | None:
+def _table_name(item: Any) -> str | None:
     if not isinstance(item, dict):
         return None
     if "name" in item:
--- a/almondstair/errors.py
+++ b/almondstair/errors.py
@@ -1,7 +1,7 @@
-"""The closed list of error kinds and the table from kind to answer.
+"""Error kinds and the table that maps each kind to a response.
 
-Every answer the system makes itself is built from this table, so a caller, an
-operator and a script see the same kind under the same code everywhere.
+Every error response that the system generates is built from this table, so
+callers, operators and scripts see the same code for a kind everywhere.
 """
 
 import enum
@@ -11,7 +11,7 @@
 
 
 class Ran(enum.StrEnum):
-    """Whether the request may have been run by an upstream."""
+    """Whether an upstream may have executed the request."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -19,7 +19,7 @@
 
 
 class ErrorKind(enum.StrEnum):
-    """Every way in which the system refuses, fails or stops."""
+    """Every kind of error that the system reports."""
 
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -56,17 +56,16 @@
 
 
 class ErrorRule(NamedTuple):
-    """How one error kind is answered.
+    """Defines the response to one error kind.
 
     Attributes:
-      code: number of the kind; never reused.
-      http_status: HTTP status of an answer of this kind.
-      ran: what the answer says about the request, unless the raiser knows
-        better.
-      retry_after_ms: when the caller may come back, in milliseconds; None
-        when coming back does not help.
+      code: numeric code of the kind; never reused.
+      http_status: HTTP status of the response.
+      ran: default for whether the request ran; an error may override it.
+      retry_after_ms: delay before the caller may retry, in milliseconds; None
+        when a retry does not help.
       exit_code: process exit code of a command-line tool or daemon.
-      title: one line for people.
+      title: one-line description for people.
     """
 
     code: int
@@ -178,7 +177,7 @@
 
 
 class Problem(TypedDict):
-    """Body of an answer of the system's own, after RFC 9457."""
+    """Body of an error response, as defined in RFC 9457."""
 
     type: str
     title: str
@@ -191,13 +190,13 @@
 
 
 class AlmondstairError(Exception):
-    """An error of the closed list.
+    """An error of one of the `ErrorKind` kinds.
 
     Attributes:
-      kind: which error.
-      detail: what happened, for people, with a remedy where there is one.
+      kind: kind of the error.
+      detail: what happened, for people, with a remedy if there is one.
       ran: whether the request may have run.
-      retry_after_ms: when coming back helps, in milliseconds, or None.
+      retry_after_ms: delay before a retry, in milliseconds, or None.
     """
 
     def __init__(
@@ -208,7 +207,7 @@
         ran: Ran | None = None,
         retry_after_ms: int | None = None,
     ) -> None:
-        """Makes an error; `ran` and `retry_after_ms` default to the table."""
+        """Initializes; `ran` and `retry_after_ms` default to the table."""
         rule = ERROR_TABLE[kind]
         super().__init__(f"{kind}: {detail or rule.title}")
         self.kind = kind
@@ -220,11 +219,11 @@
 
     @property
     def rule(self) -> ErrorRule:
-        """The table's row for this kind."""
+        """Returns the rule for this kind."""
         return ERROR_TABLE[self.kind]
 
     def problem(self) -> Problem:
-        """Returns the answer's body."""
+        """Returns the body of the response."""
         return Problem(
             type=f"urn:almondstair:error:{self.kind}",
             title=self.rule.title,
--- a/almondstair/faults.py
+++ b/almondstair/faults.py
@@ -1,4 +1,4 @@
-"""What is wrong with a document, and what to write instead."""
+"""Faults found in a document, each with a remedy."""
 
 import difflib
 from typing import NamedTuple
@@ -8,15 +8,15 @@
 Location = tuple[int | str, ...]
 
 UNKNOWN_KEY = "unknown key"
-_NEARLY_SAME = 0.85
+_CLOSE_MATCH_CUTOFF = 0.85
 
 
 class Fault(NamedTuple):
-    """One thing wrong with a document.
+    """A fault in a document.
 
     Attributes:
-      file: the file, or another name of the document.
-      key: dotted key, empty when the whole file is meant.
+      file: path or other name of the document.
+      key: dotted key, empty if the fault concerns the whole file.
       problem: what is wrong.
       remedy: what to write instead.
     """
@@ -35,16 +35,16 @@
 
 
 class InvalidDocumentError(errors.AlmondstairError):
-    """A document with faults.
+    """Raised for a document with faults.
 
     Attributes:
-      faults: every fault that was found.
+      faults: every fault found.
     """
 
     def __init__(
         self, *, kind: errors.ErrorKind, faults: tuple[Fault, ...]
     ) -> None:
-        """Makes the error; its detail has one line for each fault."""
+        """Initializes with a detail of one line for each fault."""
         lines: list[str] = []
         for fault in faults:
             lines.append(str(fault))
@@ -53,14 +53,14 @@
 
 
 class FaultList:
-    """Collects faults of one document.
+    """Collects the faults of one document.
 
     Attributes:
       file: name of the document in each fault.
     """
 
     def __init__(self, *, file: str) -> None:
-        """Starts without faults."""
+        """Initializes an empty list."""
         self.file = file
         self._faults: list[Fault] = []
 
@@ -71,10 +71,10 @@
         )
 
     def add_unless_covered(self, other: "FaultList") -> None:
-        """Adds the faults of another list that have not been named already.
+        """Adds the faults of another list that this one does not cover.
 
-        A fault on a key covers the keys above and below it: what is found
-        there stems from the stand-in for the faulty part.
+        A fault on a key covers the keys above and below it: a fault found
+        there is caused by the placeholder for the faulty part.
         """
         covered = tuple(fault.key for fault in self._faults)
         for fault in other.faults():
@@ -83,9 +83,9 @@
             self._faults.append(fault)
 
     def has_replaced(self, key: str) -> bool:
-        """Returns whether a part on or below a key lacks its true value.
+        """Returns whether a value at or below a key was replaced.
 
-        A key that is merely unknown takes nothing away from the rest.
+        An unknown key is dropped and replaces nothing.
         """
         for fault in self._faults:
             if fault.problem == UNKNOWN_KEY:
@@ -95,7 +95,7 @@
         return False
 
     def faults(self) -> tuple[Fault, ...]:
-        """Returns the faults in the order of their discovery."""
+        """Returns the faults in the order in which they were added."""
         return tuple(self._faults)
 
 
@@ -122,22 +122,24 @@
 
 
 def suggestions(word: str, known: tuple[str, ...]) -> tuple[str, ...]:
-    """Returns the known words that were most likely meant.
+    """Returns the known words that are closest to a misspelled one.
 
-    A word that lacks only its unit suffix, or has another unit, finds the
-    whole key.
+    A word without a unit suffix, or with the wrong one, matches the key with
+    the right suffix.
     """
     for candidate in known:
         if candidate.lower() == word.lower():
             return (candidate,)
         if candidate.startswith(f"{word}_"):
             return (candidate,)
-    # Names such as east-1 and west-1 may be equally close: both are named.
-    nearest = difflib.get_close_matches(word, known, n=2, cutoff=_NEARLY_SAME)
-    if not nearest:
-        nearest = difflib.get_close_matches(word, known, n=1)
-    if nearest:
-        return tuple(nearest)
+    # Names such as east-1 and west-1 may be equally close; return both.
+    matches = difflib.get_close_matches(
+        word, known, n=2, cutoff=_CLOSE_MATCH_CUTOFF
+    )
+    if not matches:
+        matches = difflib.get_close_matches(word, known, n=1)
+    if matches:
+        return tuple(matches)
     stem = word.rsplit("_", 1)[0]
     for candidate in known:
         if candidate.startswith(f"{stem}_"):
@@ -146,10 +148,10 @@
 
 
 def known_words(word: str, known: tuple[str, ...]) -> str:
-    """Returns the remedy for a word that is not one of the known ones."""
-    meant = suggestions(word, known)
-    if meant:
-        return f"write {' or '.join(meant)}"
+    """Returns the remedy for a word that is not among the known words."""
+    matches = suggestions(word, known)
+    if matches:
+        return f"write {' or '.join(matches)}"
     if not known:
         return "define it first"
     return f"use one of: {', '.join(known)}"
--- a/almondstair/joining.py
+++ b/almondstair/joining.py
@@ -1,4 +1,4 @@
-"""How an entry that starts comes to take work, and in which order."""
+"""Startup of an entry, until it accepts requests."""
 
 import asyncio
 import contextlib
@@ -15,16 +15,16 @@
 from almondstair.link_shares import LinkShares
 from almondstair.table_keeper import TableKeeper
 
-# Time between two looks at what a start waits for; a peer answers within it.
+# Poll interval during startup; a peer normally responds within it.
 START_POLL_S = 0.1
-# How long peers may take to answer before the platform alone is believed.
+# How long to wait for peers before relying on the platform alone.
 START_ASK_S = 2.0
-# Longest wait for shares of the links; a frozen entry may hold them back.
+# Maximum wait for link shares; a frozen entry may not release its shares.
 READY_LIMIT_S = 5.0
 
 
 class JoiningParts(NamedTuple):
-    """What a start has to do with."""
+    """Components that the startup uses."""
 
     membership: Membership
     heartbeats: Heartbeats
@@ -36,7 +36,7 @@
 
 
 class Joining:
-    """Takes a new entry into service."""
+    """Brings a new entry into service."""
 
     def __init__(
         self,
@@ -45,68 +45,72 @@
         peer_addresses: tuple[str, ...],
         seed_text: str,
     ) -> None:
-        """Prepares a start.
+        """Initializes; `run` does the startup.
 
         Args:
-          parts: what it has to do with.
-          peer_addresses: peers of the settings.
-          seed_text: configuration to begin with where there is none.
+          parts: components to use.
+          peer_addresses: peer addresses from the settings.
+          seed_text: configuration to write if the platform has none.
         """
-        self._parts = parts
+        self._components = parts
         self._peer_addresses = peer_addresses
         self._seed_text = seed_text
 
     async def run(self) -> None:
-        """Joins; on return look-ups name this entry."""
-        parts = self._parts
-        await self._ask_peers()
+        """Joins the fleet; on return, lookups include this entry."""
+        parts = self._components
+        await self._request_from_peers()
         while parts.configuration_keeper.configuration is None:
-            # The next round tries again; the adapter's outcome is logged.
+            # Retried in the next iteration; the adapter logs the failure.
             with contextlib.suppress(AlmondstairError):
                 await parts.configuration_keeper.seed(self._seed_text)
             parts.exchange.ask_addresses(self._peer_addresses)
             await asyncio.sleep(START_POLL_S)
         await parts.table_keeper.register()
-        await self._until_ready()
+        await self._wait_for_link_shares()
         parts.membership.joining = False
         parts.control.note_live()
         parts.heartbeats.announce()
         log.event(log.Event.STARTED, entry=parts.membership.own.name)
 
-    async def _until_ready(self) -> None:
-        """Waits until a request of a caller would not be refused here.
+    async def _wait_for_link_shares(self) -> None:
+        """Waits until this entry has shares of its links.
 
-        A new process has no share of its links for a while. Named in look-ups
-        at once, it would refuse callers that other entries would serve. The
-        wait is bounded: a frozen entry of the zone holds shares back.
+        A new process has no share at first. If lookups included it
+        immediately, it would refuse callers that other entries could serve.
+        The wait is bounded, since a frozen entry in the zone does not release
+        its shares.
         """
-        until_s = time.monotonic() + READY_LIMIT_S
-        while not self._parts.shares.ready() and time.monotonic() < until_s:
+        deadline_s = time.monotonic() + READY_LIMIT_S
+        while (
+            not self._components.shares.ready()
+            and time.monotonic() < deadline_s
+        ):
             await asyncio.sleep(START_POLL_S)
 
-    async def _ask_peers(self) -> None:
-        """Asks the peers of the settings before anything is written.
+    async def _request_from_peers(self) -> None:
+        """Requests the state of the configured peers before writing anything.
 
-        A platform that was wiped looks like one never used; a peer that runs
-        knows better. Without an answer of any peer the wait is bounded.
+        A wiped platform looks like an unused one; a running peer still has the
+        state. The wait is bounded for the case that no peer responds.
         """
-        exchange = self._parts.exchange
-        until_s = time.monotonic() + START_ASK_S
-        while self._peer_addresses and time.monotonic() < until_s:
+        exchange = self._components.exchange
+        deadline_s = time.monotonic() + START_ASK_S
+        while self._peer_addresses and time.monotonic() < deadline_s:
             exchange.ask_addresses(self._peer_addresses)
             await asyncio.sleep(START_POLL_S)
-            # A platform that was rolled back has a table as well. Only one
-            # that a peer has in force shows whether it is the latest.
+            # A platform that was rolled back also has a table. Only the
+            # table in force on a peer shows whether it is the latest.
             if not exchange.peer_epoch:
                 continue
-            if self._parts.configuration_keeper.configuration is not None:
+            if self._components.configuration_keeper.configuration is not None:
                 return
-            if await self._platform_has_one():
+            if await self._read_platform():
                 return
 
-    async def _platform_has_one(self) -> bool:
+    async def _read_platform(self) -> bool:
         try:
-            return await self._parts.configuration_keeper.read()
+            return await self._components.configuration_keeper.read()
         except AlmondstairError:
-            # Logged by the adapter; asked again in the next round.
+            # Logged by the adapter and retried in the next iteration.
             return False
--- a/almondstair/key_value/__init__.py
+++ b/almondstair/key_value/__init__.py
@@ -1,4 +1,5 @@
-"""The key-value service and VM list that `almondstaird` runs on.
+"""Key-value service and VM list of the platform.
 
-Base classes, and the adapter to the JSON gateway of the etcd v3 API.
+Contains the base classes, and the adapter for the JSON gateway of the etcd v3
+API.
 """
--- a/almondstair/key_value/base.py
+++ b/almondstair/key_value/base.py
@@ -1,7 +1,7 @@
-"""The platform as the rest of the system sees it: key-value service, VM list.
+"""Interfaces of the platform: key-value service and VM list.
 
-Every call either returns, or raises `PlatformError` which says whether the
-call may have taken effect. Nothing here is retried: whoever called decides.
+Every call either returns or raises `PlatformError`, which says whether the
+call may have taken effect. Calls are not retried here; the caller decides.
 """
 
 import abc
@@ -15,13 +15,13 @@
 
 
 class PlatformFailure(enum.StrEnum):
-    """What is known about a platform call that failed.
+    """Whether a failed platform call may have taken effect.
 
     Attributes:
-      UNAVAILABLE: not answered, and surely not applied.
-      REFUSED: answered with a refusal, and surely not applied; for example
-        the lease that a write names is gone.
-      UNKNOWN: may have been applied, now or a little later.
+      UNAVAILABLE: not answered, and definitely not applied.
+      REFUSED: rejected by the service, and definitely not applied; for
+        example because the lease of a write has expired.
+      UNKNOWN: may have been applied, or may still be applied shortly.
     """
 
     UNAVAILABLE = "unavailable"
@@ -30,18 +30,18 @@
 
 
 class PlatformError(AlmondstairError):
-    """A call to the platform that failed.
+    """Raised when a call to the platform fails.
 
-    Its `ran` is about the platform call alone: `no` when the call surely did
-    not take effect. It says nothing about the request of a caller, so whoever
-    answers a caller raises an error of its own.
+    Its `ran` refers to the platform call alone: `no` if the call definitely did
+    not take effect. It says nothing about a caller's request, so code that
+    responds to a caller must raise an error of its own.
 
     Attributes:
       failure: whether the call may have taken effect.
     """
 
     def __init__(self, *, failure: PlatformFailure, detail: str = "") -> None:
-        """Makes an error of kind `platform_unavailable`."""
+        """Initializes an error of kind `platform_unavailable`."""
         ran = Ran.NO
         if failure is PlatformFailure.UNKNOWN:
             ran = Ran.UNKNOWN
@@ -61,12 +61,12 @@
 
     Attributes:
       key: the key.
-      value: the value, at most a megabyte.
-      create_revision: revision of the service at which the key appeared.
-      mod_revision: revision of the last change; the token of a
+      value: the value, at most 1 MB.
+      create_revision: revision of the service that created the key.
+      mod_revision: revision of the last change; the condition of a
         compare-and-swap.
-      version: number of changes since the key appeared, from 1.
-      lease_id: lease that the key goes with, 0 when none.
+      version: number of changes since the key was created, from 1.
+      lease_id: lease that the key is attached to, 0 if none.
     """
 
     key: str
@@ -78,14 +78,14 @@
 
 
 class CasResult(NamedTuple):
-    """Outcome of a conditional write.
+    """Result of a conditional write.
 
     Attributes:
       succeeded: whether the write was applied.
       revision: revision of the service after the call; the `mod_revision` of
-        the key when the write succeeded.
-      current: what the key held when the condition failed; None when it held
-        nothing, or when the write succeeded.
+        the key if the write succeeded.
+      current: the record found when the condition failed; None if the key did
+        not exist or the write succeeded.
     """
 
     succeeded: bool
@@ -101,7 +101,7 @@
       value: its next value.
       mod_revision: revision that the writer read; 0 for a key that must not
         exist.
-      lease_id: lease of the key from now on, 0 when none.
+      lease_id: lease to attach the key to, 0 for none.
     """
 
     key: str
@@ -111,14 +111,14 @@
 
 
 class Listing(NamedTuple):
-    """Keys below a prefix, as of one revision, in the order of the keys."""
+    """Records with a prefix as of one revision, ordered by key."""
 
     records: tuple[Record, ...]
     revision: int
 
 
 class WatchEvent(NamedTuple):
-    """One change of a key; `record` is None when the key was deleted."""
+    """A change of a key; `record` is None if the key was deleted."""
 
     key: str
     record: Record | None
@@ -126,13 +126,14 @@
 
 
 class WatchNotice(NamedTuple):
-    """What a watch hands to its callback.
+    """Notification that a watch passes to its callback.
 
     Attributes:
-      events: changes in the order of their revisions; a callback may see one
-        again after a reconnect and goes by its revision.
+      events: changes ordered by revision; an event may be repeated after a
+        reconnect, which the callback detects by its revision.
       revision: the service's revision as of this notice.
-      gap: changes were missed for good, so the keys must be listed again.
+      gap: whether changes were permanently missed, so that the keys must be
+        listed again.
     """
 
     events: tuple[WatchEvent, ...]
@@ -145,23 +146,23 @@
 
     @abc.abstractmethod
     def cancel(self) -> None:
-        """Ends the watch; the callback is not called again."""
+        """Cancels the watch; the callback is not called again."""
 
 
 class KeyValueService(abc.ABC):
     """The platform's key-value service: compare-and-swap, leases, watches.
 
-    Every coroutine ends within a time limit of the adapter's own, and may raise
+    Every coroutine ends within the adapter's own timeout and may raise
     `PlatformError`; a read never raises one with failure `unknown`.
     """
 
     @abc.abstractmethod
     async def get(self, *, key: str) -> Record | None:
-        """Returns a key as it is now, None when it does not exist."""
+        """Returns the current record of a key, None if it does not exist."""
 
     @abc.abstractmethod
     async def list_prefix(self, *, prefix: str, limit: int = 0) -> Listing:
-        """Returns the keys below a prefix, at most `limit` unless it is 0."""
+        """Returns the records with a prefix, at most `limit` unless it is 0."""
 
     @abc.abstractmethod
     async def create(
@@ -173,23 +174,23 @@
     async def compare_and_swap(
         self, *, key: str, value: bytes, mod_revision: int, lease_id: int = 0
     ) -> CasResult:
-        """Writes a key if its last change was at `mod_revision`.
+        """Writes a key if its `mod_revision` has not changed.
 
         Args:
           key: the key.
           value: its next value.
           mod_revision: revision that the writer read; 0 for a key that must
             not exist.
-          lease_id: lease of the key from now on; a write without one takes
-            the key off its lease.
+          lease_id: lease to attach the key to; 0 detaches the key from its
+            lease.
 
         Returns:
-          The outcome.
+          The result of the write.
         """
 
     @abc.abstractmethod
     async def delete_if(self, *, key: str, mod_revision: int) -> CasResult:
-        """Deletes a key if its last change was at `mod_revision`."""
+        """Deletes a key if its `mod_revision` has not changed."""
 
     @abc.abstractmethod
     async def write_many(
@@ -197,18 +198,18 @@
     ) -> tuple[CasResult, ...]:
         """Writes each key whose condition holds, in one call.
 
-        A condition that fails does not keep the others from being written.
+        A failed condition does not prevent the other writes.
 
         Args:
-          writes: at most `MAX_BATCH`, each of another key.
+          writes: at most `MAX_BATCH`, each with a different key.
 
         Returns:
-          One outcome for each write, in their order.
+          One result for each write, in the same order.
         """
 
     @abc.abstractmethod
     async def grant_lease(self, *, ttl_s: int) -> int:
-        """Returns a new lease's id; its keys go when `ttl_s` have passed."""
+        """Returns the ID of a new lease; its keys are deleted after `ttl_s`."""
 
     @abc.abstractmethod
     def watch(
@@ -218,34 +219,34 @@
         from_revision: int,
         callback: Callable[[WatchNotice], None],
     ) -> Watch:
-        """Starts a watch over the keys below a prefix.
+        """Starts a watch on the keys with a prefix.
 
-        It reconnects by itself from the revision after the last that it saw.
+        It reconnects by itself, from the revision after the last one received.
 
         Args:
-          prefix: start of the keys.
-          from_revision: first revision of interest, from 1; usually one more
+          prefix: prefix of the keys.
+          from_revision: first revision to receive, from 1; usually one more
             than the revision of a listing.
-          callback: called with each notice, on the loop.
+          callback: called with each notice, on the event loop.
 
         Returns:
-          The watch, to be cancelled.
+          The running watch.
         """
 
 
 MAX_BATCH = 64
-"""Most writes in one `write_many`; etcd takes 128 operations by default."""
+"""Maximum writes per `write_many`; etcd allows 128 operations by default."""
 
 
 class VmState(enum.StrEnum):
-    """What the platform says of a VM."""
+    """State of a VM according to the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Vm(NamedTuple):
-    """A VM of the platform's list."""
+    """A VM in the platform's list."""
 
     name: str
     address: str
@@ -254,14 +255,14 @@
 
 
 class VmListing(NamedTuple):
-    """The platform's list of VMs and how old it is, in seconds."""
+    """The platform's list of VMs and its age in seconds."""
 
     vms: tuple[Vm, ...]
     age_s: float
 
 
 class VmList(abc.ABC):
-    """The platform's lagging list of VMs."""
+    """The platform's list of VMs, which lags behind the VMs."""
 
     @abc.abstractmethod
     async def list_vms(self) -> VmListing:
--- a/almondstair/key_value/etcd.py
+++ b/almondstair/key_value/etcd.py
@@ -1,6 +1,6 @@
-"""Adapter to the JSON gateway of the etcd v3 API, and to the VM list.
+"""Adapters for the JSON gateway of the etcd v3 API and for the VM list.
 
-No call is ever sent twice by this module.
+This module never sends a call twice.
 """
 
 from collections.abc import Callable, Sequence
@@ -28,27 +28,27 @@
 T = TypeVar("T")
 
 
-def _ignore(failure: str) -> None:
+def _ignore_outcome(failure: str) -> None:
     del failure
 
 
 class EtcdService(base.KeyValueService):
-    """The key-value service behind an etcd v3 JSON gateway."""
+    """Accesses the key-value service through an etcd v3 JSON gateway."""
 
     def __init__(
         self,
         *,
         url: str,
         timeout_s: float,
-        on_outcome: Callable[[str], None] = _ignore,
+        on_outcome: Callable[[str], None] = _ignore_outcome,
     ) -> None:
-        """Makes an adapter.
+        """Initializes; connections are opened on demand.
 
         Args:
           url: `http://ip:port` of the gateway.
-          timeout_s: longest time of one call.
-          on_outcome: called after each call with why the service gave no
-            answer, empty when it gave one.
+          timeout_s: timeout of one call, in seconds.
+          on_outcome: called after each call with the reason why the service
+            did not answer, empty if it did.
         """
         self._on_outcome = on_outcome
         self._url = url.rstrip("/")
@@ -57,7 +57,7 @@
         self._watches: list[base.Watch] = []
 
     def close(self) -> None:
-        """Ends the watches and closes the client."""
+        """Cancels the watches and closes the client."""
         for watch in self._watches:
             watch.cancel()
         self._caller.close()
@@ -131,7 +131,7 @@
         if len(results) != len(writes):
             raise base.PlatformError(
                 failure=base.PlatformFailure.UNKNOWN,
-                detail="the platform answered for another number of keys",
+                detail="the platform returned a different number of results",
             )
         return tuple(results)
 
@@ -186,10 +186,10 @@
 
 
 class HttpVmList(base.VmList):
-    """The VM list over HTTP."""
+    """Reads the VM list over HTTP."""
 
     def __init__(self, *, url: str, timeout_s: float) -> None:
-        """Makes an adapter; `url` is that of the list, path included."""
+        """Initializes; `url` is the URL of the list, including the path."""
         self._caller = EtcdCaller(url=url, timeout_s=timeout_s)
 
     def close(self) -> None:
--- a/almondstair/key_value/etcd_calls.py
+++ b/almondstair/key_value/etcd_calls.py
@@ -1,4 +1,7 @@
-"""Single calls over HTTP; each is sent once and says what its failure means."""
+"""Single HTTP calls to the platform, sent once each.
+
+A failed call reports whether it may have taken effect.
+"""
 
 import asyncio
 from typing import TypeVar
@@ -17,26 +20,26 @@
 from almondstair.key_value import base
 
 MAX_CALLS = 32
-"""Calls under way at once; further ones wait here, within their timeout."""
+"""Maximum concurrent calls; further ones wait within their timeout."""
 
 MIN_CALL_S = 0.02
-"""A call that waited until less than this is left is not sent."""
+"""Minimum time left for a call; with less left, it is not sent."""
 
 MAX_ANSWER_BYTES = 16 << 20
 _HTTP_OK = 200
-_SURELY_REFUSED_STATUSES = (400, 401, 403, 404, 429)
+_NOT_APPLIED_STATUSES = (400, 401, 403, 404, 429)
 
 T = TypeVar("T")
 
 
 def _no_refusal(head: ResponseHead) -> str:
-    """Finds no refusal of an upstream: the platform knows none."""
+    """Returns no refusal: the platform has no upstream refusals."""
     del head
     return ""
 
 
-class _Collector(AnswerSink):
-    """Collects an answer whole."""
+class _BufferedResponse(AnswerSink):
+    """Buffers a complete response."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -52,27 +55,28 @@
 
 
 class EtcdCaller:
-    """Sends single calls and says of each failure what it means.
+    """Sends single calls and classifies their failures.
 
-    While no byte of a call was written the service cannot have it, so it
-    surely was not applied. Without this an outage would make every refused
-    claim `unknown`. Connections are kept: a new one for each call took most
-    of a claim's processor time. A call on a kept connection that the service
-    just closed is lost and `unknown`; it is not sent again here.
+    If no byte of a call was written, the service cannot have applied it.
+    Without this distinction an outage would make every refused claim
+    `unknown`. Connections are kept alive: a new one for each call took most of
+    the CPU time of a claim. A call on a connection that the service has just
+    closed is lost and `unknown`; it is not sent again.
     """
 
     def __init__(self, *, url: str, timeout_s: float) -> None:
-        """Makes a caller.
+        """Initializes; connections are opened on demand.
 
         Args:
-          url: `http://ip:port`, perhaps with the start of a path.
-          timeout_s: longest time of a call, waiting for a place included.
+          url: `http://ip:port`, optionally with a base path.
+          timeout_s: timeout of a call in seconds, including the wait for a
+            free call slot.
         """
         parts = urllib.parse.urlsplit(url)
         self._address = parts.netloc
         self._path = parts.path.rstrip("/")
         self._timeout_s = timeout_s
-        self._places = asyncio.Semaphore(MAX_CALLS)
+        self._call_slots = asyncio.Semaphore(MAX_CALLS)
         self._client = HttpClient(connect_timeout_s=timeout_s)
 
     def close(self) -> None:
@@ -82,41 +86,41 @@
     async def call(
         self, *, path: str, body: bytes | None, writes: bool, answer: type[T]
     ) -> T:
-        """Posts a body, or gets when there is none.
+        """Sends a POST with a body, or a GET without one.
 
         Args:
-          path: path below the URL.
+          path: path relative to the URL.
           body: JSON, or None for a GET.
-          writes: whether the call changes anything.
-          answer: type of the answer.
+          writes: whether the call changes data.
+          answer: type of the response body.
 
         Returns:
-          The decoded answer.
+          The decoded response body.
 
         Raises:
-          PlatformError: no usable answer came.
+          PlatformError: if no usable response arrived.
         """
         deadline_s = asyncio.get_running_loop().time() + self._timeout_s
         try:
-            # A call sent at the last moment would only come back as unknown.
+            # A call sent too late would only time out as `unknown`.
             async with asyncio.timeout_at(deadline_s - MIN_CALL_S):
-                await self._places.acquire()
+                await self._call_slots.acquire()
         except TimeoutError as error:
             raise base.PlatformError(
                 failure=base.PlatformFailure.UNAVAILABLE,
-                detail="too many calls to the platform are under way",
+                detail="too many calls to the platform are in flight",
             ) from error
         try:
             response = await self._fetch(path, body, writes, deadline_s)
         finally:
-            self._places.release()
+            self._call_slots.release()
         return self._decode(response, writes, answer)
 
     async def _fetch(
         self, path: str, body: bytes | None, writes: bool, deadline_s: float
-    ) -> _Collector:
+    ) -> _BufferedResponse:
         written = False
-        collector = _Collector()
+        collector = _BufferedResponse()
         problem = "the connection was lost"
         try:
             async with asyncio.timeout_at(deadline_s):
@@ -140,7 +144,7 @@
         stream: IOStream,
         path: str,
         body: bytes | None,
-        collector: _Collector,
+        collector: _BufferedResponse,
     ) -> Exchange:
         method = "GET" if body is None else "POST"
         request_body = RequestBody()
@@ -161,16 +165,18 @@
             refusal=_no_refusal,
         )
 
-    def _decode(self, response: _Collector, writes: bool, answer: type[T]) -> T:
-        if response.status in _SURELY_REFUSED_STATUSES:
+    def _decode(
+        self, response: _BufferedResponse, writes: bool, answer: type[T]
+    ) -> T:
+        if response.status in _NOT_APPLIED_STATUSES:
             raise base.PlatformError(
                 failure=base.PlatformFailure.REFUSED,
                 detail=f"the platform answered {response.status}",
             )
         failure = base.PlatformFailure.UNAVAILABLE
         if writes:
-            # A gateway answers 503 or 504 also when the service behind it was
-            # too slow to say that it applied the write.
+            # A gateway also returns 503 or 504 if the service behind it was too
+            # slow to confirm that it applied the write.
             failure = base.PlatformFailure.UNKNOWN
         if response.status != _HTTP_OK:
             raise base.PlatformError(
--- a/almondstair/key_value/etcd_watch.py
+++ b/almondstair/key_value/etcd_watch.py
@@ -1,4 +1,4 @@
-"""A watch on a prefix of the etcd store, which reconnects."""
+"""Watch on an etcd key prefix, with reconnects."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,13 +29,13 @@
 
 
 class _WatchSink(AnswerSink):
-    """Hands over the bytes of a watch as they come."""
+    """Passes on the bytes of a watch as they arrive."""
 
     def __init__(self, *, receive: Callable[[bytes], None]) -> None:
         self._receive = receive
 
     def head(self, head: ResponseHead) -> None:
-        """Nothing is read off the head: lines tell how the watch fares."""
+        """Ignores the head: the lines carry the state of the watch."""
 
     async def data(self, chunk: bytes) -> None:
         self._receive(chunk)
@@ -44,11 +44,11 @@
 class EtcdWatch(base.Watch):
     """A watch that reconnects until it is cancelled.
 
-    A connection cut off in the network without a packet looks like a quiet
-    watch, and the watcher would stay on old values for good; so a connection
-    is given up after `WATCH_LIFETIME_S` and the next starts from the revision
-    after the last one seen. A connection that is given up is closed: the
-    service would go on counting it as a watch.
+    A connection that the network drops silently looks like an idle watch, and
+    the watcher would keep old values forever. So each connection is replaced
+    after `WATCH_LIFETIME_S`, and the next one starts from the revision after
+    the last one received. The old connection is closed, since the service would
+    otherwise still count it as a watch.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         callback: Callable[[base.WatchNotice], None],
         connect_timeout_s: float,
     ) -> None:
-        """Starts the watch on the running loop."""
+        """Starts the watch on the running event loop."""
         parts = urllib.parse.urlsplit(url)
         self._address = parts.netloc
         self._path = parts.path
@@ -68,7 +68,7 @@
         self._callback = callback
         self._client = HttpClient(connect_timeout_s=connect_timeout_s)
         self._next_revision = max(from_revision, 1)
-        self._heard = False
+        self._received_any = False
         self._buffer = b""
         self._ended = asyncio.Event()
         self._task = asyncio.get_running_loop().create_task(self._run())
@@ -81,11 +81,11 @@
     async def _run(self) -> None:
         delay_s = RECONNECT_FIRST_S
         while True:
-            self._heard = False
-            # Whatever ended the connection, connecting again is the remedy.
+            self._received_any = False
+            # Reconnect, whatever ended the connection.
             with contextlib.suppress(OSError):
                 await self._connect()
-            if self._heard:
+            if self._received_any:
                 delay_s = RECONNECT_FIRST_S
             await asyncio.sleep(delay_s * random.uniform(0.5, 1.0))
             delay_s = min(delay_s * 2, RECONNECT_LAST_S)
@@ -140,14 +140,14 @@
             except msgspec.MsgspecError:
                 self._ended.set()
                 return
-            self._take(answer.get("result", {}))
+            self._handle_result(answer.get("result", {}))
 
-    def _take(self, result: WatchResult) -> None:
-        self._heard = True
+    def _handle_result(self, result: WatchResult) -> None:
+        self._received_any = True
         revision = to_revision(result.get("header"))
         compacted_revision = int(result.get("compact_revision", "0"))
         if compacted_revision:
-            # The service dropped revisions that this watch had not seen yet.
+            # The service compacted revisions that this watch has not received.
             self._next_revision = max(revision, compacted_revision)
             self._ended.set()
             self._callback(base.WatchNotice((), revision, gap=True))
@@ -157,13 +157,13 @@
             return
         events = []
         for wire in result.get("events", []):
-            event = self._event(wire)
+            event = self._to_event(wire)
             self._next_revision = max(self._next_revision, event.revision + 1)
             events.append(event)
         if events:
             self._callback(base.WatchNotice(tuple(events), revision))
 
-    def _event(self, wire: WireEvent) -> base.WatchEvent:
+    def _to_event(self, wire: WireEvent) -> base.WatchEvent:
         record = to_record(wire.get("kv", {}))
         if wire.get("type", "PUT") == "DELETE":
             return base.WatchEvent(record.key, None, record.mod_revision)
--- a/almondstair/key_value/etcd_wire.py
+++ b/almondstair/key_value/etcd_wire.py
@@ -1,7 +1,6 @@
 """Messages of the JSON gateway of the etcd v3 API.
 
-Keys and values travel in base64 and 64-bit integers as strings, as the gateway
-has them.
+The gateway encodes keys and values in base64, and 64-bit integers as strings.
 """
 
 import base64
@@ -11,13 +10,13 @@
 
 
 class WireHeader(TypedDict, total=False):
-    """The store's revision, in every answer."""
+    """Header of every response, with the revision of the store."""
 
     revision: str
 
 
 class WireKeyValue(TypedDict, total=False):
-    """A key; its fields are in base64 or strings of digits."""
+    """A record; its fields are base64 or decimal strings."""
 
     key: str
     value: str
@@ -28,21 +27,21 @@
 
 
 class RangeAnswer(TypedDict, total=False):
-    """The answer to a read."""
+    """Response to a read."""
 
     header: WireHeader
     kvs: list[WireKeyValue]
 
 
 class NestedAnswer(TypedDict, total=False):
-    """The answer to one operation of a transaction."""
+    """Response to one operation of a transaction."""
 
     response_range: RangeAnswer
     response_txn: "TxnAnswer"
 
 
 class TxnAnswer(TypedDict, total=False):
-    """The answer to a transaction."""
+    """Response to a transaction."""
 
     header: WireHeader
     succeeded: bool
@@ -50,21 +49,21 @@
 
 
 class LeaseAnswer(TypedDict, total=False):
-    """The answer to the grant of a lease."""
+    """Response to a lease grant."""
 
     ID: str
     TTL: str
 
 
 class WireEvent(TypedDict, total=False):
-    """One change that a watch tells."""
+    """One change reported by a watch."""
 
     type: str
     kv: WireKeyValue
 
 
 class WatchResult(TypedDict, total=False):
-    """What a line of a watch holds."""
+    """Content of a line of a watch."""
 
     header: WireHeader
     events: list[WireEvent]
@@ -79,7 +78,7 @@
 
 
 class WireVm(TypedDict):
-    """A VM of the VM list."""
+    """A VM in the VM list."""
 
     name: str
     address: str
@@ -88,19 +87,19 @@
 
 
 class WireVmList(TypedDict):
-    """The VM list with its age."""
+    """The VM list with its age in milliseconds."""
 
     vms: list[WireVm]
     age_ms: float
 
 
 def to_wire(data: bytes) -> str:
-    """Returns bytes as the gateway writes them."""
+    """Returns bytes in the gateway's encoding."""
     return base64.b64encode(data).decode("ascii")
 
 
 def to_record(wire: WireKeyValue) -> base.Record:
-    """Returns a key as the product knows it."""
+    """Returns a decoded record."""
     return base.Record(
         key=base64.b64decode(wire.get("key", "")).decode(),
         value=base64.b64decode(wire.get("value", "")),
@@ -112,14 +111,14 @@
 
 
 def to_revision(header: WireHeader | None) -> int:
-    """Returns the revision of an answer, 0 where it has none."""
+    """Returns the revision in a response header, 0 if there is none."""
     if header is None:
         return 0
     return int(header.get("revision", "0"))
 
 
 def prefix_end(prefix: str) -> bytes:
-    """Returns the first key after all keys below a prefix."""
+    """Returns the first key after all keys with a prefix."""
     data = prefix.encode()
     return data[:-1] + bytes([data[-1] + 1])
 
@@ -127,7 +126,7 @@
 def conditional(
     *, key: str, mod_revision: int, change: dict[str, Any]
 ) -> dict[str, Any]:
-    """Returns a transaction: change the key if unchanged, else read it."""
+    """Returns a transaction that changes a key if unchanged, else reads it."""
     wire_key = to_wire(key.encode())
     condition = {
         "key": wire_key,
@@ -154,7 +153,7 @@
 
 
 def cas_result(answer: TxnAnswer, revision: int) -> base.CasResult:
-    """Returns what became of a conditional write."""
+    """Returns the result of a conditional write."""
     if answer.get("succeeded", False):
         return base.CasResult(succeeded=True, revision=revision)
     for response in answer.get("responses", []):
--- a/almondstair/leaving.py
+++ b/almondstair/leaving.py
@@ -1,4 +1,4 @@
-"""A planned stop: what an entry gives up, in which order, and until when."""
+"""Graceful shutdown of an entry."""
 
 import asyncio
 import time
@@ -15,12 +15,12 @@
 
 POLL_S = 0.05
 HAND_OVER_POLL_S = 0.2
-# For the last links, homes and claims, after the last answer.
+# Limit for releasing links, homes and claims after the last response.
 RELEASE_LIMIT_S = 3.0
 
 
 class LeavingParts(NamedTuple):
-    """What a stop has to do with."""
+    """Components that the shutdown uses."""
 
     membership: Membership
     heartbeats: Heartbeats
@@ -33,7 +33,7 @@
 
 
 class Leaving:
-    """Takes an entry out of service without cutting off a request.
+    """Takes an entry out of service without aborting requests.
 
     Attributes:
       refusing: whether new requests are refused.
@@ -42,81 +42,82 @@
     def __init__(
         self, *, parts: LeavingParts, serve_s: float, finish_s: float
     ) -> None:
-        """Prepares a stop.
+        """Initializes; `run` does the shutdown.
 
         Args:
-          parts: what it has to do with.
-          serve_s: how long callers may still come by look-ups they keep.
-          finish_s: how long running requests may take after that.
+          parts: components to use.
+          serve_s: how long callers may still use cached lookups, in seconds.
+          finish_s: how long requests in flight may take after that, in
+            seconds.
         """
-        self._parts = parts
-        self._serve_s = serve_s
-        self._finish_s = finish_s
+        self._components = parts
+        self._lookup_grace_s = serve_s
+        self._drain_limit_s = finish_s
         self.refusing = False
 
     async def run(self) -> None:
-        """Leaves; on return nothing runs here and nothing is held.
+        """Shuts down; on return no request runs and nothing is held.
 
-        Callers hold the answers of look-ups for a while, so the entry serves
-        on for that long after it has dropped out of them; its duties go to
-        others meanwhile.
+        Callers cache lookups for a while, so the entry continues to serve for
+        that long after lookups stop including it. Meanwhile its home roles
+        pass to other entries.
         """
-        parts = self._parts
+        parts = self._components
         parts.membership.leaving = True
         parts.caller_door.end_keep_alive()
         parts.forward_door.end_keep_alive()
         parts.heartbeats.announce()
-        until_s = time.monotonic() + self._serve_s
-        await self._hand_over(until_s)
-        await asyncio.sleep(max(0.0, until_s - time.monotonic()))
+        deadline_s = time.monotonic() + self._lookup_grace_s
+        await self._mark_leaving(deadline_s)
+        await asyncio.sleep(max(0.0, deadline_s - time.monotonic()))
         self.refusing = True
         parts.caller_door.stop_listening()
-        await self._finish_running()
+        await self._drain_requests()
         await self._release()
 
-    async def _hand_over(self, until_s: float) -> None:
-        """Has the row marked as leaving, so that the duties go to others.
+    async def _mark_leaving(self, deadline_s: float) -> None:
+        """Marks the row as leaving, so that the home roles pass to others.
 
-        Tried until it holds: given up after one lost call, this entry would
-        stay the home of its upstreams until it is gone, and they would stand
-        idle meanwhile.
+        Retried until it succeeds. Without retries, one lost call would leave
+        this entry the home of its upstreams until it is gone, and they would
+        be idle until then.
         """
-        membership = self._parts.membership
-        keeper = self._parts.table_keeper
+        membership = self._components.membership
+        keeper = self._components.table_keeper
         while True:
             await keeper.change(lambda table: keeper.plans.leaving(table=table))
             row = membership.table.row(name=membership.own.name)
-            if row is None or row.leaving or time.monotonic() >= until_s:
+            if row is None or row.leaving or time.monotonic() >= deadline_s:
                 return
             await asyncio.sleep(HAND_OVER_POLL_S)
 
-    async def _finish_running(self) -> None:
-        until_s = time.monotonic() + self._finish_s
-        while self.running() and time.monotonic() < until_s:
+    async def _drain_requests(self) -> None:
+        deadline_s = time.monotonic() + self._drain_limit_s
+        while self.running() and time.monotonic() < deadline_s:
             await asyncio.sleep(POLL_S)
         if self.running():
             log.event(log.Event.STOP_CUT, running=self.running())
-        await self._parts.claims.drain(timeout_s=RELEASE_LIMIT_S)
+        await self._components.claims.drain(timeout_s=RELEASE_LIMIT_S)
 
     def running(self) -> int:
-        """Returns how many requests are under way."""
-        parts = self._parts
+        """Returns the number of requests in flight."""
+        parts = self._components
         return len(parts.caller_door.running) + len(parts.forward_door.running)
 
     async def _release(self) -> None:
-        """Gives up links and homes, and has the row dropped."""
-        parts = self._parts
-        until_s = time.monotonic() + RELEASE_LIMIT_S
+        """Releases links and home roles, and removes the row from the table."""
+        parts = self._components
+        deadline_s = time.monotonic() + RELEASE_LIMIT_S
         parts.shares.release()
         while not parts.homes.idle(now_s=time.monotonic()):
-            if time.monotonic() > until_s:
+            if time.monotonic() > deadline_s:
                 break
             await asyncio.sleep(POLL_S)
         if not parts.homes.nothing_held(now_s=time.monotonic()):
             return
-        # While the platform is out the row stays. The others drop it on the
-        # word `finished` once the platform is back; without that word they
-        # would hold its upstreams' slots back for the longest deadline.
+        # If the platform is unavailable, the row stays. Because of `finished`
+        # the peers remove it once the platform is back; otherwise they would
+        # hold its upstreams' slots back for the longest deadline.
         parts.forward_door.stop_listening()
         keeper = parts.table_keeper
         await keeper.change(lambda table: keeper.plans.release(table=table))
--- a/almondstair/settings.py
+++ b/almondstair/settings.py
@@ -1,8 +1,8 @@
-"""Reads and checks the settings of an entry and the deployment configuration.
+"""Settings of an entry, and reading of the deployment configuration.
 
-The settings file says what one process is: its name, availability zone and
-addresses. The deployment configuration says what the whole system steers; it is
-kept in the platform's service, and the file only seeds it.
+The settings file describes one process: its name, availability zone and
+addresses. The deployment configuration describes the whole system; it is stored
+in the platform's key-value service, and the deployment file only seeds it.
 """
 
 import enum
@@ -22,8 +22,8 @@
 from almondstair import validation
 from almondstair.core import model
 
-# A heartbeat may be lost; two lost in a row must not look like a dead entry.
-_HEARTBEATS_IN_SILENCE_LIMIT = 3
+# Two heartbeats lost in a row must not make an entry look dead.
+_MIN_HEARTBEATS_IN_SILENCE_LIMIT = 3
 
 
 def _check_address(address: str) -> str:
@@ -60,7 +60,7 @@
 
 
 class LogLevel(enum.StrEnum):
-    """Least level of a log event that is written."""
+    """Minimum level of the log events that are written."""
 
     DEBUG = "DEBUG"
     INFO = "INFO"
@@ -69,7 +69,7 @@
 
 
 class TraceExporter(enum.StrEnum):
-    """Where finished spans go."""
+    """Destination of finished spans."""
 
     NONE = "none"
     CONSOLE = "console"
@@ -77,18 +77,18 @@
 
 
 class EntrySettings(NamedTuple):
-    """Who this entry is.
+    """Identity and addresses of this entry.
 
     Attributes:
       name: name of the VM, as in the platform's list of VMs.
-      availability_zone: where the VM runs.
-      region: the region of that availability zone.
+      availability_zone: availability zone of the VM.
+      region: region of that availability zone.
       caller_address: HTTP listener for callers.
       forward_address: HTTP listener for requests from other entries.
       peer_address: listener for control messages between entries.
       operator_address: HTTP listener for operators.
-      peer_addresses: `peer_address` of some other entries, asked at a start
-        while the platform does not answer.
+      peer_addresses: `peer_address` of some other entries, which a starting
+        entry asks for the table and configuration in force.
     """
 
     name: Name
@@ -102,15 +102,15 @@
 
 
 class PlatformSettings(NamedTuple):
-    """How the platform's services are reached.
+    """Connection to the platform's services.
 
     Attributes:
-      url: the key-value service.
-      vm_list_url: the list of live and leaving VMs.
-      timeout_ms: longest wait for one call.
-      claim_retention_s: how long a claimed idempotency key is kept; longer
-        than any deadline and any resend.
-      refresh_interval_ms: pause between two looks at the list of VMs.
+      url: URL of the key-value service.
+      vm_list_url: URL of the list of live and leaving VMs.
+      timeout_ms: timeout of one call.
+      claim_retention_s: how long a claimed idempotency key is kept; must
+        exceed every deadline and the delay of any resend.
+      refresh_interval_ms: interval between reads of the VM list.
     """
 
     url: Url
@@ -124,16 +124,17 @@
     """Intervals and limits of the entry.
 
     Attributes:
-      heartbeat_interval_ms: pause between two heartbeats to a peer.
-      silence_limit_ms: a peer not heard for this long counts as silent.
-      lookup_ttl_ms: how long a caller may keep the answer to a look-up.
+      heartbeat_interval_ms: interval between heartbeats to a peer.
+      silence_limit_ms: time without a heartbeat after which a peer counts as
+        silent.
+      lookup_ttl_ms: how long a caller may cache a lookup.
       load_report_limit_ms: a load report older than this counts as unknown.
-      probe_interval_ms: pause between two probes of an upstream without
+      probe_interval_ms: interval between probes of an upstream without
         traffic.
-      drain_margin_ms: how long a leaving entry serves on after every cached
-        look-up has lapsed.
+      drain_margin_ms: how long a leaving entry continues to serve after every
+        cached lookup has expired.
       stop_limit_ms: how long a leaving entry waits for requests in flight;
-        longer than the longest deadline, or some may be cut off.
+        must exceed the longest deadline, or some may be aborted.
     """
 
     heartbeat_interval_ms: IntervalMs = 250
@@ -146,11 +147,11 @@
 
 
 class LogSettings(NamedTuple):
-    """Where log events go.
+    """Destination of log events.
 
     Attributes:
-      level: least level that is written.
-      file: path of the log; empty for the standard error stream.
+      level: minimum level that is written.
+      file: path of the log; empty for standard error.
     """
 
     level: LogLevel = LogLevel.INFO
@@ -158,7 +159,7 @@
 
 
 class MetricsSettings(NamedTuple):
-    """Where metrics go.
+    """Destination of metrics.
 
     Attributes:
       statsd_address: UDP address of a statsd server; empty for no metrics.
@@ -170,14 +171,14 @@
 
 
 class TracingSettings(NamedTuple):
-    """Where trace spans go.
+    """Destination of trace spans.
 
     Attributes:
       exporter: kind of exporter.
-      file: path of the spans, one JSON object a line; needed by the exporter
-        `file`.
-      sample_fraction: part of the traces begun here that is kept; a caller
-        that samples its own trace is always followed.
+      file: path of the spans, one JSON object per line; required by the
+        exporter `file`.
+      sample_fraction: fraction of the traces started here that is sampled; a
+        trace that the caller samples is always kept.
     """
 
     exporter: TraceExporter = TraceExporter.NONE
@@ -189,14 +190,14 @@
     """The whole settings file.
 
     Attributes:
-      entry: who this entry is.
-      platform: how the platform's services are reached.
-      deployment_file: configuration that seeds an empty platform, relative to
-        the settings file.
+      entry: identity and addresses of this entry.
+      platform: connection to the platform's services.
+      deployment_file: path of the configuration that seeds an empty platform,
+        relative to the settings file.
       timing: intervals and limits.
-      log: where log events go.
-      metrics: where metrics go.
-      tracing: where trace spans go.
+      log: destination of log events.
+      metrics: destination of metrics.
+      tracing: destination of trace spans.
     """
 
     entry: EntrySettings
@@ -209,12 +210,12 @@
 
 
 class Loaded(NamedTuple):
-    """Settings and the deployment configuration that they name.
+    """Settings and the deployment configuration that they refer to.
 
     Attributes:
       settings: the settings.
       configuration: the deployment configuration, checked.
-      configuration_text: its TOML text, as the platform's service keeps it.
+      configuration_text: its TOML text, as stored in the platform.
     """
 
     settings: Settings
@@ -226,7 +227,7 @@
 
 
 def read_settings(path: str | Path) -> Settings:
-    """Reads a settings file, without the deployment file that it names.
+    """Reads a settings file, without the deployment file it refers to.
 
     Args:
       path: the settings file.
@@ -267,13 +268,13 @@
 
 
 def load(path: str | Path) -> Loaded:
-    """Reads a settings file and the deployment file that it names.
+    """Reads a settings file and the deployment file it refers to.
 
     Args:
       path: the settings file.
 
     Returns:
-      Both, checked, also against each other.
+      The settings and the configuration, also checked against each other.
 
     Raises:
       InvalidDocumentError: SETTINGS_INVALID, with every fault of both files.
@@ -317,11 +318,11 @@
     settings = _convert(text, to=Settings, faults=faults)
     if settings is None:
         return None, faults.faults()
-    across = faults_module.FaultList(file=str(path))
-    _check_entry_addresses(settings.entry, faults=across)
-    _check_timing(settings.timing, faults=across)
-    _check_tracing(settings.tracing, faults=across)
-    faults.add_unless_covered(across)
+    cross_checks = faults_module.FaultList(file=str(path))
+    _check_entry_addresses(settings.entry, faults=cross_checks)
+    _check_timing(settings.timing, faults=cross_checks)
+    _check_tracing(settings.tracing, faults=cross_checks)
+    faults.add_unless_covered(cross_checks)
     if faults.has_replaced("deployment_file"):
         return None, faults.faults()
     deployment_path = path.parent / settings.deployment_file
@@ -335,11 +336,11 @@
     faults = faults_module.FaultList(file=source)
     configuration = _convert(text, to=model.Configuration, faults=faults)
     if configuration is None or faults.has_replaced("regions"):
-        # Without its regions, nearly every other name would seem unknown.
+        # Without regions, nearly every other name would be reported as unknown.
         return None, faults.faults()
-    across = faults_module.FaultList(file=source)
-    configuration_checks.check(configuration, faults=across)
-    faults.add_unless_covered(across)
+    cross_checks = faults_module.FaultList(file=source)
+    configuration_checks.check(configuration, faults=cross_checks)
+    faults.add_unless_covered(cross_checks)
     return configuration, faults.faults()
 
 
@@ -373,13 +374,13 @@
 def _check_timing(
     timing: TimingSettings, *, faults: faults_module.FaultList
 ) -> None:
-    least_ms = timing.heartbeat_interval_ms * _HEARTBEATS_IN_SILENCE_LIMIT
-    if timing.silence_limit_ms < least_ms:
+    min_ms = timing.heartbeat_interval_ms * _MIN_HEARTBEATS_IN_SILENCE_LIMIT
+    if timing.silence_limit_ms < min_ms:
         faults.add(
             key="timing.silence_limit_ms",
             problem=f"{timing.silence_limit_ms} is too short for heartbeats",
-            remedy=f"write at least {least_ms}, "
-            f"{_HEARTBEATS_IN_SILENCE_LIMIT} heartbeat intervals",
+            remedy=f"write at least {min_ms}, "
+            f"{_MIN_HEARTBEATS_IN_SILENCE_LIMIT} heartbeat intervals",
         )
 
 
@@ -397,7 +398,7 @@
 def check_together(
     *, settings: Settings, configuration: model.Configuration, source: str
 ) -> tuple[faults_module.Fault, ...]:
-    """Returns what in the settings does not fit the configuration."""
+    """Returns the inconsistencies of the settings with the configuration."""
     faults = faults_module.FaultList(file=source)
     zone = settings.entry.availability_zone
     region = configuration.region_of(availability_zone=zone)
@@ -417,15 +418,15 @@
         )
     longest_ms = configuration_checks.longest_deadline_ms(configuration)
     if settings.platform.claim_retention_s * 1000 <= longest_ms:
-        # A claim that is forgotten while its request may still run would let
-        # a resend of the same key run a second time.
+        # If a claim expired while its request may still run, a resend with the
+        # same key could run a second time.
         faults.add(
             key="platform.claim_retention_s",
             problem=f"not longer than the longest deadline, {longest_ms} ms",
             remedy="write a time longer than any deadline and any resend",
         )
     if settings.timing.stop_limit_ms <= longest_ms:
-        # A stop that ends sooner cuts off the requests that still run.
+        # A shorter limit would abort requests that are still running.
         faults.add(
             key="timing.stop_limit_ms",
             problem=f"not longer than the longest deadline, {longest_ms} ms",
--- a/almondstair/store.py
+++ b/almondstair/store.py
@@ -3,17 +3,16 @@
 Keys, below one prefix:
 
 * `entries`: the entry table.
-* `configuration`: the configuration in TOML with who made it, and the notes of
-  the latest edits, by which a lost answer is found again.
+* `configuration`: the configuration in TOML with its author, and records of the
+  latest edits, which show whether an edit whose response was lost was applied.
 * `history/SLOT`: earlier configurations, one each in a ring of slots.
 
-A configuration is copied into its slot of the history before it is replaced.
-So the history needs no transaction over two keys, and an edit that dies in
-between leaves a copy of the version that is still current, which harms
-nothing.
+A configuration is copied into its history slot before it is replaced. So the
+history needs no transaction over two keys. If an edit fails in between, the
+slot holds a copy of the version that is still current, which is harmless.
 
-Nothing here is written without a compare-and-swap, and nothing is written back
-when the platform serves less than what is in force: see `core.configuration`.
+Every write is a compare-and-swap. Nothing is written back when the platform
+serves an older version than the one in force: see `core.configuration`.
 """
 
 import asyncio
@@ -43,7 +42,7 @@
 from almondstair.store_follower import Follower
 
 DEFAULT_PREFIX = "almondstair/"
-# The platform takes values up to a megabyte; the rest is left for the notes.
+# The platform accepts values up to 1 MB; the rest is for the edit records.
 DOCUMENT_LIMIT_BYTES = 900_000
 CHANGE_ATTEMPTS = 5
 EDIT_PAUSE_S = 0.1
@@ -53,12 +52,12 @@
 
 
 def encode_configuration(stored: StoredConfiguration) -> bytes:
-    """Returns a configuration as the platform and peers keep it."""
+    """Returns a configuration as stored in the platform and sent to peers."""
     return _encoder.encode(stored)
 
 
 def decode_configuration(value: bytes) -> StoredConfiguration:
-    """Returns the configuration of a value.
+    """Returns the configuration encoded in a value.
 
     Raises:
       AlmondstairError: CONFIGURATION_INVALID if it is not one.
@@ -67,7 +66,7 @@
 
 
 def decode_table(value: bytes) -> EntryTable:
-    """Returns the entry table of a value.
+    """Returns the entry table encoded in a value.
 
     Raises:
       AlmondstairError: CONFIGURATION_INVALID if it is not one.
@@ -86,17 +85,17 @@
 
 
 class EntryTableStore:
-    """The entry table in the platform."""
+    """Stores the entry table in the platform."""
 
     def __init__(
         self, *, service: KeyValueService, prefix: str = DEFAULT_PREFIX
     ) -> None:
-        """Names the key; `prefix` begins every key of the system."""
+        """Initializes; `prefix` starts every key of the system."""
         self._service = service
         self.key = f"{prefix}entries"
 
     async def read(self) -> EntryTable:
-        """Returns the table, the empty one if there is none.
+        """Returns the table, an empty one if there is none.
 
         Raises:
           PlatformError: if the platform does not answer.
@@ -108,21 +107,21 @@
     ) -> EntryTable:
         """Applies a change by compare-and-swap.
 
-        Who else changed the table in between is no conflict: the plan is made
-        anew from their table. A lost answer needs no care either, for the same
-        reason: once the change took effect, the plan for the table read back
-        is None.
+        A concurrent change is not a conflict: the plan is computed again from
+        the new table. The same covers a lost response: if the change was
+        applied, the plan for the table read back is None.
 
         Args:
-          plan: gives the next table for the present one, None for no change.
-            The next one's epoch must be higher.
+          plan: returns the next table for the current one, None for no change.
+            The epoch of the next table must be higher.
 
         Returns:
-          The table as the platform has it afterwards.
+          The table in the platform afterwards.
 
         Raises:
           PlatformError: if the platform does not answer.
-          AlmondstairError: PLATFORM_UNAVAILABLE if others kept winning.
+          AlmondstairError: PLATFORM_UNAVAILABLE if concurrent changes won
+            every attempt.
         """
         for _ in range(CHANGE_ATTEMPTS):
             record = await self._service.get(key=self.key)
@@ -134,7 +133,7 @@
                 return planned
         raise AlmondstairError(
             kind=ErrorKind.PLATFORM_UNAVAILABLE,
-            detail=f"the entry table changed {CHANGE_ATTEMPTS} times meanwhile",
+            detail=f"the entry table changed during {CHANGE_ATTEMPTS} attempts",
         )
 
     async def _try_write(
@@ -149,15 +148,15 @@
         except PlatformError as error:
             if not error.may_be_applied:
                 raise
-            # Read back by the next round of `change`.
+            # The next iteration of `change` reads the table back.
             return False
         return result.succeeded
 
     def follower(self, *, on_table: Callable[[EntryTable], None]) -> Follower:
-        """Returns a follower of the table."""
+        """Returns a watcher of the table, not yet started."""
 
         def on_value(value: bytes) -> None:
-            table = _or_none(value, decode_table)
+            table = _decode_or_none(value, decode_table)
             if table is not None:
                 on_table(table)
 
@@ -165,12 +164,12 @@
 
 
 class ConfigurationStore:
-    """The configuration and its history in the platform."""
+    """Stores the configuration and its history in the platform."""
 
     def __init__(
         self, *, service: KeyValueService, prefix: str = DEFAULT_PREFIX
     ) -> None:
-        """Names the keys; `prefix` begins every key of the system."""
+        """Initializes; `prefix` starts every key of the system."""
         self._service = service
         self.key = f"{prefix}configuration"
         self._history_prefix = f"{prefix}history/"
@@ -186,11 +185,11 @@
     async def seed(self, *, edit: Edit) -> StoredConfiguration:
         """Writes the first configuration unless there is one.
 
-        Only for a first start: whoever seeds has asked the peers before, since
-        a platform that was wiped looks the same.
+        Only for a first start. The caller must ask the peers before, since a
+        wiped platform looks the same.
 
         Returns:
-          The configuration as the platform has it afterwards.
+          The configuration in the platform afterwards.
 
         Raises:
           PlatformError: if the platform does not answer.
@@ -209,33 +208,33 @@
 
         Args:
           edit: the edit; its text is valid.
-          highest_version: highest version in force on any entry, as heard.
-          all_heard: whether every entry of the table was heard lately.
+          highest_version: highest version that any entry reports in force.
+          all_heard: whether every entry in the table reported recently.
 
         Returns:
-          `pending` if the platform holds the edit (whether it is in force
-          everywhere is for the caller to judge), `conflict` if another edit
-          came first, `unknown` if that cannot be found out now.
+          `pending` if the platform has the edit (the caller checks whether it
+          is in force everywhere), `conflict` if another edit came first,
+          `unknown` if the outcome cannot be determined now.
 
         Raises:
           PlatformError: if the platform does not answer and the edit was
-            surely not applied.
+            definitely not applied.
           AlmondstairError: CONFIGURATION_INVALID if the text is too long.
         """
-        _check_length(edit.text)
+        _check_size(edit.text)
         lost = False
         for _ in range(CHANGE_ATTEMPTS):
             try:
                 result = await self._attempt(edit, highest_version, all_heard)
-            except _LostAnswerError:
-                # The next round reads back and looks for the edit's id.
-                # Trying the same write again is safe: it names the same
-                # revision, so only one of the two can take effect.
+            except _LostResponseError:
+                # The next iteration reads back and looks for the edit's ID.
+                # Retrying the same write is safe: it has the same revision
+                # as its condition, so only one of the two can take effect.
                 lost = True
                 result = None
             except PlatformError:
-                # After a lost answer, a later call that surely changed nothing
-                # does not settle what became of the first.
+                # After a lost response, a later call that definitely changed
+                # nothing does not determine the outcome of the first.
                 if not lost:
                     raise
                 result = None
@@ -246,7 +245,7 @@
             return EditResult(EditFate.UNKNOWN, edit.edit_id)
         raise PlatformError(
             failure=PlatformFailure.UNAVAILABLE,
-            detail="the compare-and-swap kept failing without a cause",
+            detail="the compare-and-swap failed repeatedly without a cause",
         )
 
     async def _attempt(
@@ -255,45 +254,47 @@
         try:
             record = await self._service.get(key=self.key)
             stored = _configuration_of(record)
-            settled = _settled(edit, stored, highest_version, all_heard)
-            if settled is not None:
-                return settled
-            await self._keep(stored)
+            known_result = _result_without_write(
+                edit, stored, highest_version, all_heard
+            )
+            if known_result is not None:
+                return known_result
+            await self._archive(stored)
         except PlatformError as error:
-            # Whatever became of this call, the edit was not yet sent.
+            # Whatever the outcome of this call, the edit was not sent yet.
             raise PlatformError(
                 failure=PlatformFailure.UNAVAILABLE, detail=error.detail
             ) from error
-        following = next_stored(
+        replacement = next_stored(
             edit=edit, stored=stored, highest_version=highest_version
         )
-        if not await self._replace(record, following):
+        if not await self._replace(record, replacement):
             return None
-        return EditResult(EditFate.PENDING, edit.edit_id, following.version)
+        return EditResult(EditFate.PENDING, edit.edit_id, replacement.version)
 
     async def _replace(
-        self, record: Record | None, following: StoredConfiguration
+        self, record: Record | None, replacement: StoredConfiguration
     ) -> bool:
         try:
             result = await self._service.compare_and_swap(
                 key=self.key,
-                value=encode_configuration(following),
+                value=encode_configuration(replacement),
                 mod_revision=_mod_revision(record),
             )
         except PlatformError as error:
             if error.may_be_applied:
-                raise _LostAnswerError from error
+                raise _LostResponseError from error
             raise
         return result.succeeded
 
-    async def _keep(self, stored: StoredConfiguration | None) -> None:
-        """Copies the version about to be replaced into its slot."""
+    async def _archive(self, stored: StoredConfiguration | None) -> None:
+        """Copies the version about to be replaced into its history slot."""
         if stored is None:
             return
         key = self._history_key(stored.version)
         record = await self._service.get(key=key)
-        kept = _configuration_of(record)
-        if kept is not None and kept.edit_id == stored.edit_id:
+        archived = _configuration_of(record)
+        if archived is not None and archived.edit_id == stored.edit_id:
             return
         result = await self._service.compare_and_swap(
             key=key,
@@ -309,36 +310,36 @@
     async def fate(
         self, *, edit_id: str, base_version: int | None
     ) -> EditResult:
-        """Looks up what became of an edit, after a lost answer or later.
+        """Looks up the outcome of an edit, after a lost response or later.
 
         Args:
-          edit_id: the edit.
-          base_version: version that it was made on; None if forgotten.
+          edit_id: ID of the edit.
+          base_version: version that the edit was based on; None if not known.
 
         Returns:
-          `pending` if it was applied (whether it is in force everywhere is for
-          the caller to judge), `not_found` if it surely was not, `unknown`
-          while the platform does not answer, or while the lost write could
-          still take effect.
+          `pending` if it was applied (the caller checks whether it is in force
+          everywhere), `not_found` if it definitely was not, `unknown` while
+          the platform does not answer or the write could still take effect.
         """
         try:
             stored = await self.read()
         except PlatformError:
             return EditResult(EditFate.UNKNOWN, edit_id)
-        note = None
+        edit_record = None
         if stored is not None:
-            note = stored.find(edit_id=edit_id)
-        if note is not None:
-            return EditResult(EditFate.PENDING, edit_id, note.version)
+            edit_record = stored.find(edit_id=edit_id)
+        if edit_record is not None:
+            return EditResult(EditFate.PENDING, edit_id, edit_record.version)
         if stored is None or base_version is None:
             return EditResult(EditFate.UNKNOWN, edit_id)
         if stored.version > base_version:
-            # The write named the revision of its base, which is gone.
+            # The write was conditional on the revision of its base version,
+            # which has been replaced.
             return EditResult(EditFate.NOT_FOUND, edit_id)
         return EditResult(EditFate.UNKNOWN, edit_id)
 
     async def history(self) -> tuple[EditNote, ...]:
-        """Returns who made the latest versions, the latest first.
+        """Returns the records of the latest edits, the latest first.
 
         Raises:
           PlatformError: if the platform does not answer.
@@ -349,7 +350,7 @@
         return stored.recent
 
     async def past(self, *, version: int) -> StoredConfiguration | None:
-        """Returns an earlier version, None if it is no longer kept.
+        """Returns an earlier version, None if it is no longer stored.
 
         Raises:
           PlatformError: if the platform does not answer.
@@ -358,35 +359,35 @@
         if stored is not None and stored.version == version:
             return stored
         key = self._history_key(version)
-        kept = _configuration_of(await self._service.get(key=key))
-        if kept is None or kept.version != version:
+        archived = _configuration_of(await self._service.get(key=key))
+        if archived is None or archived.version != version:
             return None
-        return kept
+        return archived
 
     def follower(
         self, *, on_configuration: Callable[[StoredConfiguration], None]
     ) -> Follower:
-        """Returns a follower of the configuration."""
+        """Returns a watcher of the configuration, not yet started."""
 
         def on_value(value: bytes) -> None:
-            stored = _or_none(value, decode_configuration)
+            stored = _decode_or_none(value, decode_configuration)
             if stored is not None:
                 on_configuration(stored)
 
         return Follower(service=self._service, key=self.key, on_value=on_value)
 
 
-class _LostAnswerError(Exception):
-    """The write of an edit may have taken effect, its answer was lost."""
+class _LostResponseError(Exception):
+    """Raised when the response to a write that may be applied was lost."""
 
 
-def _settled(
+def _result_without_write(
     edit: Edit,
     stored: StoredConfiguration | None,
     highest_version: int,
     all_heard: bool,
 ) -> EditResult | None:
-    """Returns the result that needs no write, None if a write is due."""
+    """Returns the result if no write is needed, None otherwise."""
     basis = basis_of(
         edit=edit,
         stored=stored,
@@ -394,8 +395,8 @@
         all_heard=all_heard,
     )
     if basis is Basis.DONE and stored is not None:
-        note = stored.find(edit_id=edit.edit_id)
-        version = note.version if note is not None else 0
+        edit_record = stored.find(edit_id=edit.edit_id)
+        version = edit_record.version if edit_record is not None else 0
         return EditResult(EditFate.PENDING, edit.edit_id, version)
     if basis is Basis.BEHIND:
         winner = stored.note() if stored is not None else None
@@ -406,21 +407,21 @@
             ran=Ran.NO,
             detail=(
                 "the platform lost versions of the configuration, and a silent "
-                "entry may have a higher one than is known; edit again when "
-                "every entry is heard or gone from the entry table"
+                "entry may have a higher version than any reported; retry when "
+                "every entry reports or is removed from the entry table"
             ),
         )
     return None
 
 
-def _check_length(text: str) -> None:
+def _check_size(text: str) -> None:
     length_bytes = len(text.encode())
     if length_bytes > DOCUMENT_LIMIT_BYTES:
         raise AlmondstairError(
             kind=ErrorKind.CONFIGURATION_INVALID,
             detail=(
-                f"the document has {length_bytes} bytes, at most "
-                f"{DOCUMENT_LIMIT_BYTES} fit into the platform's value"
+                f"the document has {length_bytes} bytes, but at most "
+                f"{DOCUMENT_LIMIT_BYTES} fit into a value of the platform"
             ),
         )
 
@@ -443,11 +444,11 @@
     return record.mod_revision
 
 
-def _or_none(
+def _decode_or_none(
     value: bytes, decode: Callable[[bytes], _Document]
 ) -> _Document | None:
-    # An unreadable value, as written by another release, must not stop the
-    # watch: what is in force stays, and the log shows it.
+    # An unreadable value, such as one from another release, must not stop the
+    # watch: the value in force stays, and the error is logged.
     try:
         return decode(value)
     except AlmondstairError as error:
--- a/almondstair/store_follower.py
+++ b/almondstair/store_follower.py
@@ -1,4 +1,4 @@
-"""Reads a key of the platform's service and hears of its changes."""
+"""Reader of one key of the platform that follows its changes."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,10 +20,10 @@
 
 
 class Follower:
-    """Reads a key and hears of its changes.
+    """Reads a key and watches it for changes.
 
-    A change may be handed over twice or, around a reconnect, late; whoever
-    takes it compares versions.
+    A change may be delivered twice or, around a reconnect, late; the receiver
+    must compare versions.
     """
 
     def __init__(
@@ -33,12 +33,12 @@
         key: str,
         on_value: Callable[[bytes], None],
     ) -> None:
-        """Prepares to follow; nothing is called before `start`.
+        """Initializes; nothing is called before `start`.
 
         Args:
           service: the platform's service.
-          key: the key.
-          on_value: called with each value, on the loop.
+          key: key to watch.
+          on_value: called with each value, on the event loop.
         """
         self._service = service
         self._key = key
@@ -47,12 +47,12 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Starts to follow; while the platform is out it tries again."""
+        """Starts watching; retries while the platform is unavailable."""
         if self._task is None and self._watch is None:
             self._restart()
 
     def stop(self) -> None:
-        """Stops; `on_value` is not called again."""
+        """Stops watching; `on_value` is not called again."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
@@ -62,9 +62,11 @@
 
     def _restart(self) -> None:
         self.stop()
-        self._task = asyncio.get_running_loop().create_task(self._begin())
+        self._task = asyncio.get_running_loop().create_task(
+            self._list_and_watch()
+        )
 
-    async def _begin(self) -> None:
+    async def _list_and_watch(self) -> None:
         wait_s = REREAD_FIRST_S
         while True:
             try:
@@ -75,7 +77,7 @@
             await asyncio.sleep(wait_s)
             wait_s = min(2 * wait_s, REREAD_LAST_S)
         for record in listing.records:
-            self._hand_over(record)
+            self._deliver(record)
         self._watch = self._service.watch(
             prefix=self._key,
             from_revision=listing.revision + 1,
@@ -85,12 +87,12 @@
 
     def _on_notice(self, notice: WatchNotice) -> None:
         for event in notice.events:
-            # A deletion is not followed: what is in force stays.
+            # Deletions are ignored: the value in force stays.
             if event.record is not None:
-                self._hand_over(event.record)
+                self._deliver(event.record)
         if notice.gap:
             self._restart()
 
-    def _hand_over(self, record: Record) -> None:
+    def _deliver(self, record: Record) -> None:
         if record.key == self._key:
             self._on_value(record.value)
--- a/almondstair/table_keeper.py
+++ b/almondstair/table_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the entry table: registers, plans changes, hands duties over."""
+"""Registration in the entry table, and changes to it."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,18 +16,19 @@
 from almondstair.store import EntryTableStore
 from almondstair.watch_turns import WatchTurns
 
-# An entry whose turn is the n-th waits this long for each before it.
+# Delay before a write, for each entry with a lower planner rank.
 TURN_S = 0.5
 REGISTER_AGAIN_S = 0.5
 
 
 class TableKeeper:
-    """Brings this entry's view and the platform's entry table together.
+    """Synchronizes this entry's membership with the platform's entry table.
 
     Attributes:
-      plans: changes of the table that this entry may make.
-      vms_leaving: VMs that the list has as leaving.
-      list_described_s: moment that the newest listing describes.
+      plans: computes the changes that this entry may make to the table.
+      joined: whether this entry has been registered since it started.
+      vms_leaving: VMs that the VM list shows as leaving.
+      list_described_s: monotonic time that the newest listing describes.
     """
 
     def __init__(
@@ -38,12 +39,12 @@
         vm_list: VmList,
         on_table: Callable[[EntryTable, bool], None],
     ) -> None:
-        """Prepares.
+        """Initializes without reading the table.
 
         Args:
-          membership: this entry's view.
-          store: the table in the platform.
-          vm_list: the platform's lagging list of VMs.
+          membership: this entry's view of the entries.
+          store: entry table in the platform.
+          vm_list: the platform's list of VMs, which lags.
           on_table: called with each newer table, and whether this process
             read it from the platform.
         """
@@ -52,26 +53,26 @@
         self._store = store
         self._vm_list = vm_list
         self._on_table = on_table
-        self._turns = WatchTurns(
+        self._watcher = WatchTurns(
             membership=membership,
             make=lambda: self._store.follower(
                 on_table=lambda table: self.take(table, from_platform=True)
             ),
         )
-        self._planned_since_s: float | None = None
+        self._change_due_since_s: float | None = None
         self._changing = False
-        self._list_failed = False
+        self._vm_list_failed = False
         self.joined = False
         self.vms_leaving: frozenset[str] = frozenset()
         self.list_described_s = float("-inf")
 
     @property
     def list_is_out(self) -> bool:
-        """Whether the VM list was never read, or not the last time."""
-        return self._list_failed or math.isinf(self.list_described_s)
+        """Whether the VM list was never read or the last read failed."""
+        return self._vm_list_failed or math.isinf(self.list_described_s)
 
     def take(self, table: EntryTable, *, from_platform: bool) -> None:
-        """Takes a table from the platform or a peer, if it is newer."""
+        """Applies a table from the platform or a peer if it is newer."""
         newer = self._membership.replace_table(
             table=table, now_s=time.monotonic()
         )
@@ -87,7 +88,7 @@
             self._on_table(self._membership.table, from_platform)
 
     async def register(self) -> None:
-        """Gets this process into the table; tries until it is in it."""
+        """Registers this process in the table; retries until it succeeds."""
         while not self._membership.registered:
             await self.change(
                 lambda table: self.plans.registration(table=table)
@@ -96,10 +97,10 @@
                 await asyncio.sleep(REGISTER_AGAIN_S)
         self.joined = True
 
-    def _on_base(
+    def _plan_from_base(
         self, plan: Callable[[EntryTable], EntryTable | None]
     ) -> Callable[[EntryTable], EntryTable | None]:
-        """Has a change start from the table that it must start from."""
+        """Wraps a plan so that it starts from the right base table."""
 
         def planned(table: EntryTable) -> EntryTable | None:
             base = self.plans.base(table=table, now_s=time.monotonic())
@@ -120,67 +121,67 @@
         """Applies a change to the platform's table.
 
         Returns:
-          Whether the platform has it now; False while it does not answer.
+          Whether the platform has the change; False if it does not respond.
         """
         try:
-            table = await self._store.change(plan=self._on_base(plan))
+            table = await self._store.change(plan=self._plan_from_base(plan))
         except AlmondstairError:
             return False
         self.take(table, from_platform=True)
         return True
 
     def follow(self) -> None:
-        """Holds a watch on the table while it is this entry's turn to."""
-        self._turns.update()
+        """Starts or stops the watch on the table as this entry is elected."""
+        self._watcher.update()
 
     def stop(self) -> None:
-        """Follows nothing more."""
-        self._turns.stop()
+        """Stops the watch on the table."""
+        self._watcher.stop()
 
     async def observe_vms(self) -> None:
-        """Reads the VM list once; while it is out the last one holds."""
-        asked_s = time.monotonic()
+        """Reads the VM list once; on failure the last list stays in force."""
+        requested_s = time.monotonic()
         try:
             listing = await self._vm_list.list_vms()
         except AlmondstairError as error:
-            if not self._list_failed:
+            if not self._vm_list_failed:
                 log.event(log.Event.VM_LIST_STALE, detail=error.detail)
-            self._list_failed = True
+            self._vm_list_failed = True
             return
-        self._list_failed = False
+        self._vm_list_failed = False
         listed = set()
         leaving = set()
         for vm in listing.vms:
             listed.add(vm.name)
             if vm.state is VmState.LEAVING:
                 leaving.add(vm.name)
-        described_s = asked_s - listing.age_s
-        self._note_leaving(listed, leaving, described_s)
+        as_of_s = requested_s - listing.age_s
+        self._update_leaving_vms(listed, leaving, as_of_s)
         self._membership.observe(
             listing=VmObservation(
-                frozenset(listed), frozenset(leaving), described_s
+                frozenset(listed), frozenset(leaving), as_of_s
             ),
             now_s=time.monotonic(),
         )
 
-    def _note_leaving(
-        self, listed: set[str], leaving: set[str], described_s: float
+    def _update_leaving_vms(
+        self, listed: set[str], leaving: set[str], as_of_s: float
     ) -> None:
-        if described_s < self.list_described_s:
+        if as_of_s < self.list_described_s:
             return
-        self.list_described_s = described_s
-        # A VM that the list lacks keeps its mark: that is silence.
-        kept = self.vms_leaving - listed
-        self.vms_leaving = frozenset(kept | leaving)
+        self.list_described_s = as_of_s
+        # Absence from the list says nothing: the VM stays marked as leaving.
+        unlisted = self.vms_leaving - listed
+        self.vms_leaving = frozenset(unlisted | leaving)
 
     async def plan(self) -> None:
-        """Writes a due change when it is this entry's turn.
+        """Writes a due change after a delay that depends on the planner rank.
 
-        Every entry sees the same VM list; without turns each of them would
-        write the same change in the same moment.
+        Every entry sees the same VM list; without the delay all of them would
+        write the same change at the same time.
         """
         if self.joined and not self._membership.registered:
-            # Dropped by mistake, or by a platform that lost the table.
+            # Removed by mistake, or the platform lost the table.
             await self.change(
                 lambda table: self.plans.registration(table=table)
             )
@@ -188,17 +189,17 @@
         table = self._membership.table
         gone = self._membership.gone_names() & set(table.names())
         if not gone or self._changing:
-            self._planned_since_s = None
+            self._change_due_since_s = None
             return
         now_s = time.monotonic()
-        if self._planned_since_s is None:
-            self._planned_since_s = now_s
-        turn = self._membership.planner_rank(now_s=now_s)
-        if now_s - self._planned_since_s < turn * TURN_S:
+        if self._change_due_since_s is None:
+            self._change_due_since_s = now_s
+        rank = self._membership.planner_rank(now_s=now_s)
+        if now_s - self._change_due_since_s < rank * TURN_S:
             return
         self._changing = True
         try:
             await self.change(lambda table: self.plans.change(table=table))
         finally:
             self._changing = False
-            self._planned_since_s = None
+            self._change_due_since_s = None
--- a/almondstair/validation.py
+++ b/almondstair/validation.py
@@ -1,8 +1,8 @@
-"""Checks TOML documents against typed data and names every fault at once.
+"""Validation of TOML documents against types, reporting all faults at once.
 
-A fault names the file, the dotted key, what is wrong and the remedy. Types come
-from NamedTuples; `pydantic` does the checking in its strict mode, so that a
-string never passes for a number.
+A fault has the file, the dotted key, the problem and the remedy. NamedTuples
+define the types; `pydantic` validates in strict mode, so that a string is never
+accepted for a number.
 """
 
 import copy
@@ -31,8 +31,8 @@
 
 _UNKNOWN_KEYS = ("unexpected_keyword_argument", "extra_forbidden")
 _MISSING_KEYS = ("missing_argument", "missing")
-# Tried in this order in place of a faulty value.
-_STAND_INS: tuple[Any, ...] = (
+# Candidates to replace a faulty value, tried in this order.
+_PLACEHOLDERS: tuple[Any, ...] = (
     True,
     1,
     60,
@@ -65,7 +65,7 @@
 
 
 def parse_toml(text: str, *, faults: FaultList) -> dict[str, Any] | None:
-    """Returns the document as a dict; None, with a fault, if it is no TOML."""
+    """Returns the document as a dict; None, with a fault, if not TOML."""
     try:
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -80,18 +80,18 @@
 def convert(
     document: dict[str, Any], *, to: type[T], faults: FaultList
 ) -> T | None:
-    """Turns a parsed document into typed data.
+    """Converts a parsed document into typed data.
 
     Args:
       document: the parsed TOML.
       to: a NamedTuple type.
-      faults: receives every difference from the type.
+      faults: receives every deviation from the type.
 
     Returns:
-      The typed data. Where there was a fault, a stand-in takes the faulty
-      part's place, so that the checks across keys can still run and the
-      operator sees all faults in one go; so look at `faults` first. None if
-      no stand-in fits.
+      The typed data; None if a faulty part has no valid placeholder. Faulty
+      parts are replaced by placeholders, so that the checks across keys can
+      still run and the operator sees all faults at once. Check `faults` before
+      using the data.
     """
     repaired = copy.deepcopy(document)
     for location, annotation in _arrays_for_tables(document, annotation=to):
@@ -107,7 +107,7 @@
     except pydantic.ValidationError as error:
         details = error.errors(include_url=False)
     for detail in details:
-        _add_detail(detail, root=to, faults=faults)
+        _add_pydantic_error(detail, root=to, faults=faults)
         _repair(repaired, detail=detail, root=to)
     try:
         return _validate(repaired, to=to)
@@ -116,19 +116,19 @@
 
 
 def _validate(document: Any, *, to: Any) -> Any:
-    # The JSON form lets pydantic be strict about numbers and text, and still
-    # take an array for a tuple and a string for an enum member.
+    # In JSON mode, pydantic is strict about numbers and strings but accepts an
+    # array for a tuple and a string for an enum member.
     encoded = json.dumps(document, default=_encode_date)
     return pydantic.TypeAdapter(to).validate_json(encoded, strict=True)
 
 
 def _encode_date(value: Any) -> dict[str, str]:
-    """Encodes a TOML date so that it cannot pass for a string."""
+    """Encodes a TOML date so that it is not accepted as a string."""
     return {"date": str(value)}
 
 
 def stand_in(annotation: Any) -> Any:
-    """Returns a value that a type accepts, None if none is known."""
+    """Returns a placeholder that a type accepts, None if none fits."""
     if field_names(annotation):
         table: dict[str, Any] = {}
         hints = get_type_hints(annotation, include_extras=True)
@@ -137,7 +137,7 @@
                 continue
             table[field] = stand_in(hints[field])
         return table
-    candidates = list(_STAND_INS)
+    candidates = list(_PLACEHOLDERS)
     if isinstance(annotation, enum.EnumType):
         candidates.extend(annotation)
     for candidate in candidates:
@@ -168,8 +168,10 @@
     return document
 
 
-def _add_detail(detail: ErrorDetails, *, root: Any, faults: FaultList) -> None:
-    """Adds one finding of pydantic as a fault."""
+def _add_pydantic_error(
+    detail: ErrorDetails, *, root: Any, faults: FaultList
+) -> None:
+    """Adds one pydantic error as a fault."""
     location = detail["loc"]
     key = key_of(location)
     if detail["type"] in _UNKNOWN_KEYS:
@@ -187,13 +189,13 @@
     remedy = message.replace("Input should", "the value must", 1)
     faults.add(
         key=key,
-        problem=f"{_shown(detail['input'])} is not allowed",
+        problem=f"{_describe_value(detail['input'])} is not allowed",
         remedy=f"{remedy[0].lower()}{remedy[1:]}",
     )
 
 
-def _shown(value: Any) -> str:
-    """Returns a faulty value for a message, without the bulk of a table."""
+def _describe_value(value: Any) -> str:
+    """Returns a faulty value for a message; tables and arrays are not shown."""
     if isinstance(value, dict) and "date" in value:
         return f"the date {value['date']}"
     if isinstance(value, dict):
@@ -204,7 +206,7 @@
 
 
 def field_names(annotation: Any) -> tuple[str, ...]:
-    """Returns the keys of a NamedTuple type, none for any other type."""
+    """Returns the fields of a NamedTuple type, none for any other type."""
     return tuple(getattr(annotation, "_fields", ()))
 
 
@@ -229,10 +231,10 @@
 def _arrays_for_tables(
     value: Any, *, annotation: Any, location: Location = ()
 ) -> list[tuple[Location, Any]]:
-    """Returns where an array stands for a table, with the table's type.
+    """Returns where an array replaces a table, and the table's type.
 
-    pydantic would take the array's items for the fields in their order, and a
-    later field put between them would shift the rest without a word.
+    pydantic would assign the array's items to the fields by position, and a
+    field inserted later would silently shift the rest.
     """
     if isinstance(value, list) and field_names(annotation):
         return [(location, annotation)]
--- a/almondstair/watch_turns.py
+++ b/almondstair/watch_turns.py
@@ -1,7 +1,7 @@
-"""Holds a watch on the platform while it is this entry's turn to.
+"""Watches the platform while this entry is one of the elected watchers.
 
-A waiting watch is a counted call, so two entries of each availability zone hold
-one; the others learn from heartbeats.
+An open watch counts as a call, so only two entries in each availability zone
+hold one; the others learn of changes from heartbeats.
 """
 
 from collections.abc import Callable
@@ -13,34 +13,34 @@
 
 
 class WatchTurns:
-    """Starts and stops one follower as the turns go."""
+    """Starts and stops a key watcher as this entry is elected or not."""
 
     def __init__(
         self, *, membership: Membership, make: Callable[[], Follower]
     ) -> None:
-        """Follows nothing yet.
+        """Initializes without a watch.
 
         Args:
-          membership: tells whose turn it is.
-          make: makes a follower, not yet started.
+          membership: decides which entries watch.
+          make: creates a key watcher, not yet started.
         """
         self._membership = membership
-        self._make = make
+        self._make_follower = make
         self._follower: Follower | None = None
 
     def update(self) -> None:
-        """Starts or stops, as this entry's turn has it now."""
+        """Starts or stops the watch as the live entries now require."""
         live = self._membership.live(now_s=time.monotonic())
         wanted = holds_watch(own=self._membership.own, live=live)
         if not wanted:
             self.stop()
             return
         if self._follower is None:
-            self._follower = self._make()
+            self._follower = self._make_follower()
             self._follower.start()
 
     def stop(self) -> None:
-        """Follows nothing more."""
+        """Stops the watch."""
         if self._follower is not None:
             self._follower.stop()
             self._follower = None
