--- a/almondstair/configuration_checks.py
+++ b/almondstair/configuration_checks.py
@@ -16,7 +16,7 @@
 # First segment of the entries' own paths, such as /v1/entries.
 _RESERVED_SERVICE = "v1"
 # Longest body that an entry buffers completely; see almondstair.body.
-HELD_BODY_BYTES = 65_536
+MAX_BUFFERED_BODY_BYTES = 65_536
 _HTTP_METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
 
 
@@ -111,7 +111,7 @@
             faults.add(
                 key=f"services.{name}.profile",
                 problem=f"there is no profile {service.profile!r}",
-                remedy=faults_module.known_words(service.profile, profiles),
+                remedy=faults_module.remedy_for_word(service.profile, profiles),
             )
         if not service.classes:
             faults.add(
@@ -131,7 +131,7 @@
         if request_class.name in seen:
             faults.add(
                 key=f"{key}.name",
-                problem=f"{request_class.name!r} already names an earlier class",
+                problem=f"{request_class.name!r} already names another class",
                 remedy="give each class of a service its own name",
             )
         seen.add(request_class.name)
@@ -159,7 +159,7 @@
     )
     if (
         not request_class.idempotent
-        and request_class.body_limit_bytes > HELD_BODY_BYTES
+        and request_class.body_limit_bytes > MAX_BUFFERED_BODY_BYTES
     ):
         # A longer body is streamed. Its first part alone does not tell a retry
         # from a different request with the same key.
@@ -167,7 +167,7 @@
             key=f"{key}.body_limit_bytes",
             problem=f"{request_class.body_limit_bytes} is too long for a class "
             "that runs at most once",
-            remedy=f"write {HELD_BODY_BYTES} or less",
+            remedy=f"write {MAX_BUFFERED_BODY_BYTES} or less",
         )
     if not request_class.path.startswith("/"):
         faults.add(
@@ -198,7 +198,7 @@
         faults.add(
             key=f"{key}[{index}]",
             problem=problem.format(word),
-            remedy=faults_module.known_words(word, known),
+            remedy=faults_module.remedy_for_word(word, known),
         )
 
 
@@ -215,7 +215,7 @@
                 key=f"{key}.availability_zone",
                 problem="no region has the availability zone "
                 f"{upstream.availability_zone!r}",
-                remedy=faults_module.known_words(
+                remedy=faults_module.remedy_for_word(
                     upstream.availability_zone, zones
                 ),
             )
@@ -263,13 +263,15 @@
                 key=f"{key}.availability_zone",
                 problem="no region has the availability zone "
                 f"{link.availability_zone!r}",
-                remedy=faults_module.known_words(link.availability_zone, zones),
+                remedy=faults_module.remedy_for_word(
+                    link.availability_zone, zones
+                ),
             )
         if link.region not in regions:
             faults.add(
                 key=f"{key}.region",
                 problem=f"there is no region {link.region!r}",
-                remedy=faults_module.known_words(link.region, regions),
+                remedy=faults_module.remedy_for_word(link.region, regions),
             )
         ends = (link.availability_zone, link.region)
         if ends in seen:
--- a/almondstair/configuration_keeper.py
+++ b/almondstair/configuration_keeper.py
@@ -25,7 +25,7 @@
 from almondstair.operators import EditRequest
 from almondstair.settings import read_configuration
 from almondstair.store import ConfigurationStore
-from almondstair.watch_turns import WatchTurns
+from almondstair.watch_turns import ElectedWatcher
 
 # Maximum wait for an edit to take effect before returning `edit_pending`.
 ACCEPT_WAIT_S = 5.0
@@ -71,9 +71,11 @@
         self._store = store
         self._fresh_limit_s = fresh_limit_s
         self._on_configuration = on_configuration
-        self._watcher = WatchTurns(
+        self._watcher = ElectedWatcher(
             membership=membership,
-            make=lambda: self._store.follower(on_configuration=self.take),
+            create_watcher=lambda: self._store.follower(
+                on_configuration=self.take
+            ),
         )
         self._invalid_version = 0
         # Base versions of edits whose write may still take effect, by edit ID.
@@ -92,14 +94,14 @@
 
     def take(self, stored: StoredConfiguration) -> None:
         """Applies a configuration from the platform or a peer, if newer."""
-        judgement = self._state.judge(stored)
-        if judgement in (Offer.OLDER, Offer.DIVERGED):
+        outcome = self._state.judge(stored)
+        if outcome in (Offer.OLDER, Offer.DIVERGED):
             log.event(
                 log.Event.CONFIGURATION_OLDER,
                 offered_version=stored.version,
                 in_force_version=self._state.version,
             )
-        if judgement is not Offer.APPLIED:
+        if outcome is not Offer.APPLIED:
             return
         if stored.version == self._invalid_version:
             return
--- a/almondstair/document_exchange.py
+++ b/almondstair/document_exchange.py
@@ -23,7 +23,7 @@
 
 # Minimum interval between requests for one kind of document. Many peers report
 # the same change; if a request is lost, the next one goes to another peer.
-ASK_AGAIN_S = 0.5
+MIN_REQUEST_INTERVAL_S = 0.5
 ANY_EPOCH = -1
 
 
@@ -66,11 +66,11 @@
         self._clock = clock
         self._table_requested_s = float("-inf")
         self._configuration_requested_s = float("-inf")
-        self.peer_epoch = 0
+        self.highest_peer_epoch = 0
         self._packed_configuration = b""
         self._packed_version = 0
 
-    def ask_addresses(self, addresses: Iterable[str]) -> None:
+    def request_from_addresses(self, addresses: Iterable[str]) -> None:
         """Requests documents from peers by address, at startup.
 
         The caller repeats this until a peer responds: the first request to an
@@ -90,11 +90,14 @@
         """Requests the documents that a peer's heartbeat shows as newer."""
         now_s = self._clock()
         if heartbeat.epoch > self._membership.table.epoch:
-            if now_s - self._table_requested_s >= ASK_AGAIN_S:
+            if now_s - self._table_requested_s >= MIN_REQUEST_INTERVAL_S:
                 self._table_requested_s = now_s
                 self._peers.send(name, self._table_request())
         if heartbeat.configuration_version > self._configuration.version:
-            if now_s - self._configuration_requested_s >= ASK_AGAIN_S:
+            if (
+                now_s - self._configuration_requested_s
+                >= MIN_REQUEST_INTERVAL_S
+            ):
                 self._configuration_requested_s = now_s
                 self._peers.send(name, self._configuration_request())
 
@@ -107,7 +110,9 @@
         if isinstance(message, TableRequest):
             self._send_table(message)
         elif isinstance(message, TableDocument):
-            self.peer_epoch = max(self.peer_epoch, message.table.epoch)
+            self.highest_peer_epoch = max(
+                self.highest_peer_epoch, message.table.epoch
+            )
             self._on_table(message.table)
         elif isinstance(message, ConfigurationRequest):
             self._send_configuration(message)
--- a/almondstair/faults.py
+++ b/almondstair/faults.py
@@ -110,7 +110,7 @@
     return key == ancestor or key.startswith((f"{ancestor}.", f"{ancestor}["))
 
 
-def key_of(location: Location) -> str:
+def dotted_key(location: Location) -> str:
     """Returns a location as a dotted key, such as `links[2].region`."""
     key = ""
     for part in location:
@@ -121,7 +121,7 @@
     return key
 
 
-def suggestions(word: str, known: tuple[str, ...]) -> tuple[str, ...]:
+def closest_words(word: str, known: tuple[str, ...]) -> tuple[str, ...]:
     """Returns the known words that are closest to a misspelled one.
 
     A word without a unit suffix, or with the wrong one, matches the key with
@@ -147,9 +147,9 @@
     return ()
 
 
-def known_words(word: str, known: tuple[str, ...]) -> str:
+def remedy_for_word(word: str, known: tuple[str, ...]) -> str:
     """Returns the remedy for a word that is not among the known words."""
-    matches = suggestions(word, known)
+    matches = closest_words(word, known)
     if matches:
         return f"write {' or '.join(matches)}"
     if not known:
--- a/almondstair/joining.py
+++ b/almondstair/joining.py
@@ -18,9 +18,9 @@
 # Poll interval during startup; a peer normally responds within it.
 START_POLL_S = 0.1
 # How long to wait for peers before relying on the platform alone.
-START_ASK_S = 2.0
+PEER_RESPONSE_LIMIT_S = 2.0
 # Maximum wait for link shares; a frozen entry may not release its shares.
-READY_LIMIT_S = 5.0
+LINK_SHARES_LIMIT_S = 5.0
 
 
 class JoiningParts(NamedTuple):
@@ -58,20 +58,20 @@
 
     async def run(self) -> None:
         """Joins the fleet; on return, lookups include this entry."""
-        parts = self._components
+        components = self._components
         await self._request_from_peers()
-        while parts.configuration_keeper.configuration is None:
+        while components.configuration_keeper.configuration is None:
             # Retried in the next iteration; the adapter logs the failure.
             with contextlib.suppress(AlmondstairError):
-                await parts.configuration_keeper.seed(self._seed_text)
-            parts.exchange.ask_addresses(self._peer_addresses)
+                await components.configuration_keeper.seed(self._seed_text)
+            components.exchange.request_from_addresses(self._peer_addresses)
             await asyncio.sleep(START_POLL_S)
-        await parts.table_keeper.register()
+        await components.table_keeper.register()
         await self._wait_for_link_shares()
-        parts.membership.joining = False
-        parts.control.note_live()
-        parts.heartbeats.announce()
-        log.event(log.Event.STARTED, entry=parts.membership.own.name)
+        components.membership.joining = False
+        components.control.note_live()
+        components.heartbeats.announce()
+        log.event(log.Event.STARTED, entry=components.membership.own.name)
 
     async def _wait_for_link_shares(self) -> None:
         """Waits until this entry has shares of its links.
@@ -81,7 +81,7 @@
         The wait is bounded, since a frozen entry in the zone does not release
         its shares.
         """
-        deadline_s = time.monotonic() + READY_LIMIT_S
+        deadline_s = time.monotonic() + LINK_SHARES_LIMIT_S
         while (
             not self._components.shares.ready()
             and time.monotonic() < deadline_s
@@ -95,13 +95,13 @@
         state. The wait is bounded for the case that no peer responds.
         """
         exchange = self._components.exchange
-        deadline_s = time.monotonic() + START_ASK_S
+        deadline_s = time.monotonic() + PEER_RESPONSE_LIMIT_S
         while self._peer_addresses and time.monotonic() < deadline_s:
-            exchange.ask_addresses(self._peer_addresses)
+            exchange.request_from_addresses(self._peer_addresses)
             await asyncio.sleep(START_POLL_S)
             # A platform that was rolled back also has a table. Only the
             # table in force on a peer shows whether it is the latest.
-            if not exchange.peer_epoch:
+            if not exchange.highest_peer_epoch:
                 continue
             if self._components.configuration_keeper.configuration is not None:
                 return
--- a/almondstair/key_value/etcd.py
+++ b/almondstair/key_value/etcd.py
@@ -9,14 +9,14 @@
 import msgspec
 
 from almondstair.key_value import base
-from almondstair.key_value.etcd_calls import EtcdCaller
+from almondstair.key_value.etcd_calls import JsonClient
 from almondstair.key_value.etcd_watch import EtcdWatch
 from almondstair.key_value.etcd_wire import LeaseAnswer
 from almondstair.key_value.etcd_wire import RangeAnswer
 from almondstair.key_value.etcd_wire import TxnAnswer
 from almondstair.key_value.etcd_wire import WireVmList
 from almondstair.key_value.etcd_wire import cas_result
-from almondstair.key_value.etcd_wire import conditional
+from almondstair.key_value.etcd_wire import conditional_transaction
 from almondstair.key_value.etcd_wire import prefix_end
 from almondstair.key_value.etcd_wire import put_operation
 from almondstair.key_value.etcd_wire import to_record
@@ -52,7 +52,7 @@
         """
         self._on_outcome = on_outcome
         self._url = url.rstrip("/")
-        self._caller = EtcdCaller(url=url, timeout_s=timeout_s)
+        self._client = JsonClient(url=url, timeout_s=timeout_s)
         self._connect_timeout_s = timeout_s
         self._watches: list[base.Watch] = []
 
@@ -60,7 +60,7 @@
         """Cancels the watches and closes the client."""
         for watch in self._watches:
             watch.cancel()
-        self._caller.close()
+        self._client.close()
 
     async def get(self, *, key: str) -> base.Record | None:
         """See the base class."""
@@ -115,7 +115,7 @@
             put = put_operation(
                 key=write.key, value=write.value, lease_id=write.lease_id
             )
-            transaction = conditional(
+            transaction = conditional_transaction(
                 key=write.key, mod_revision=write.mod_revision, change=put
             )
             operations.append({"request_txn": transaction})
@@ -163,26 +163,32 @@
     async def _change(
         self, key: str, mod_revision: int, change: dict[str, Any]
     ) -> base.CasResult:
-        body = conditional(key=key, mod_revision=mod_revision, change=change)
+        body = conditional_transaction(
+            key=key, mod_revision=mod_revision, change=change
+        )
         answer = await self._call("/v3/kv/txn", body, True, TxnAnswer)
         return cas_result(answer, to_revision(answer.get("header")))
 
     async def _call(
-        self, path: str, body: dict[str, Any], writes: bool, answer: type[T]
+        self,
+        path: str,
+        body: dict[str, Any],
+        writes: bool,
+        response_type: type[T],
     ) -> T:
         try:
-            found = await self._caller.call(
+            result = await self._client.call(
                 path=path,
                 body=msgspec.json.encode(body),
                 writes=writes,
-                answer=answer,
+                response_type=response_type,
             )
         except base.PlatformError as error:
             if error.failure is not base.PlatformFailure.REFUSED:
                 self._on_outcome(error.detail)
             raise
         self._on_outcome("")
-        return found
+        return result
 
 
 class HttpVmList(base.VmList):
@@ -190,16 +196,16 @@
 
     def __init__(self, *, url: str, timeout_s: float) -> None:
         """Initializes; `url` is the URL of the list, including the path."""
-        self._caller = EtcdCaller(url=url, timeout_s=timeout_s)
+        self._client = JsonClient(url=url, timeout_s=timeout_s)
 
     def close(self) -> None:
         """Closes the client."""
-        self._caller.close()
+        self._client.close()
 
     async def list_vms(self) -> base.VmListing:
         """See the base class."""
-        answer = await self._caller.call(
-            path="", body=None, writes=False, answer=WireVmList
+        answer = await self._client.call(
+            path="", body=None, writes=False, response_type=WireVmList
         )
         vms = []
         for wire in answer["vms"]:
--- a/almondstair/key_value/etcd_calls.py
+++ b/almondstair/key_value/etcd_calls.py
@@ -25,7 +25,7 @@
 MIN_CALL_S = 0.02
 """Minimum time left for a call; with less left, it is not sent."""
 
-MAX_ANSWER_BYTES = 16 << 20
+MAX_RESPONSE_BYTES = 16 << 20
 _HTTP_OK = 200
 _NOT_APPLIED_STATUSES = (400, 401, 403, 404, 429)
 
@@ -49,12 +49,12 @@
         self.status = head.status
 
     async def data(self, chunk: bytes) -> None:
-        if len(self.body) + len(chunk) > MAX_ANSWER_BYTES:
-            raise OSError("the answer is too large")
+        if len(self.body) + len(chunk) > MAX_RESPONSE_BYTES:
+            raise OSError("the response is too large")
         self.body += chunk
 
 
-class EtcdCaller:
+class JsonClient:
     """Sends single calls and classifies their failures.
 
     If no byte of a call was written, the service cannot have applied it.
@@ -84,7 +84,12 @@
         self._client.close()
 
     async def call(
-        self, *, path: str, body: bytes | None, writes: bool, answer: type[T]
+        self,
+        *,
+        path: str,
+        body: bytes | None,
+        writes: bool,
+        response_type: type[T],
     ) -> T:
         """Sends a POST with a body, or a GET without one.
 
@@ -92,7 +97,7 @@
           path: path relative to the URL.
           body: JSON, or None for a GET.
           writes: whether the call changes data.
-          answer: type of the response body.
+          response_type: type of the response body.
 
         Returns:
           The decoded response body.
@@ -114,21 +119,21 @@
             response = await self._fetch(path, body, writes, deadline_s)
         finally:
             self._call_slots.release()
-        return self._decode(response, writes, answer)
+        return self._decode(response, writes, response_type)
 
     async def _fetch(
         self, path: str, body: bytes | None, writes: bool, deadline_s: float
     ) -> _BufferedResponse:
         written = False
-        collector = _BufferedResponse()
+        response = _BufferedResponse()
         problem = "the connection was lost"
         try:
             async with asyncio.timeout_at(deadline_s):
                 stream = await self._client.connect(self._address, fresh=writes)
                 written = True
-                exchange = await self._exchange(stream, path, body, collector)
+                exchange = await self._exchange(stream, path, body, response)
             if exchange.sent is Sent.WHOLE:
-                return collector
+                return response
             written = exchange.sent is not Sent.NOT_SENT
         except OSError as error:
             problem = str(error) or "no answer in time"
@@ -144,7 +149,7 @@
         stream: IOStream,
         path: str,
         body: bytes | None,
-        collector: _BufferedResponse,
+        response: _BufferedResponse,
     ) -> Exchange:
         method = "GET" if body is None else "POST"
         request_body = RequestBody()
@@ -161,12 +166,12 @@
             ),
             headers=headers,
             body=request_body,
-            sink=collector,
+            sink=response,
             refusal=_no_refusal,
         )
 
     def _decode(
-        self, response: _BufferedResponse, writes: bool, answer: type[T]
+        self, response: _BufferedResponse, writes: bool, response_type: type[T]
     ) -> T:
         if response.status in _NOT_APPLIED_STATUSES:
             raise base.PlatformError(
@@ -184,7 +189,7 @@
                 detail=f"the platform answered {response.status}",
             )
         try:
-            return msgspec.json.decode(response.body, type=answer)
+            return msgspec.json.decode(response.body, type=response_type)
         except msgspec.MsgspecError as error:
             raise base.PlatformError(
                 failure=failure, detail=f"the platform's answer: {error}"
--- a/almondstair/key_value/etcd_wire.py
+++ b/almondstair/key_value/etcd_wire.py
@@ -123,7 +123,7 @@
     return data[:-1] + bytes([data[-1] + 1])
 
 
-def conditional(
+def conditional_transaction(
     *, key: str, mod_revision: int, change: dict[str, Any]
 ) -> dict[str, Any]:
     """Returns a transaction that changes a key if unchanged, else reads it."""
--- a/almondstair/leaving.py
+++ b/almondstair/leaving.py
@@ -13,8 +13,8 @@
 from almondstair.link_shares import LinkShares
 from almondstair.table_keeper import TableKeeper
 
-POLL_S = 0.05
-HAND_OVER_POLL_S = 0.2
+DRAIN_POLL_S = 0.05
+MARK_LEAVING_POLL_S = 0.2
 # Limit for releasing links, homes and claims after the last response.
 RELEASE_LIMIT_S = 3.0
 
@@ -62,16 +62,16 @@
         that long after lookups stop including it. Meanwhile its home roles
         pass to other entries.
         """
-        parts = self._components
-        parts.membership.leaving = True
-        parts.caller_door.end_keep_alive()
-        parts.forward_door.end_keep_alive()
-        parts.heartbeats.announce()
+        components = self._components
+        components.membership.leaving = True
+        components.caller_door.end_keep_alive()
+        components.forward_door.end_keep_alive()
+        components.heartbeats.announce()
         deadline_s = time.monotonic() + self._lookup_grace_s
         await self._mark_leaving(deadline_s)
         await asyncio.sleep(max(0.0, deadline_s - time.monotonic()))
         self.refusing = True
-        parts.caller_door.stop_listening()
+        components.caller_door.stop_listening()
         await self._drain_requests()
         await self._release()
 
@@ -83,42 +83,48 @@
         be idle until then.
         """
         membership = self._components.membership
-        keeper = self._components.table_keeper
+        table_manager = self._components.table_keeper
         while True:
-            await keeper.change(lambda table: keeper.plans.leaving(table=table))
+            await table_manager.change(
+                lambda table: table_manager.plans.leaving(table=table)
+            )
             row = membership.table.row(name=membership.own.name)
             if row is None or row.leaving or time.monotonic() >= deadline_s:
                 return
-            await asyncio.sleep(HAND_OVER_POLL_S)
+            await asyncio.sleep(MARK_LEAVING_POLL_S)
 
     async def _drain_requests(self) -> None:
         deadline_s = time.monotonic() + self._drain_limit_s
         while self.running() and time.monotonic() < deadline_s:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(DRAIN_POLL_S)
         if self.running():
             log.event(log.Event.STOP_CUT, running=self.running())
         await self._components.claims.drain(timeout_s=RELEASE_LIMIT_S)
 
     def running(self) -> int:
         """Returns the number of requests in flight."""
-        parts = self._components
-        return len(parts.caller_door.running) + len(parts.forward_door.running)
+        components = self._components
+        return len(components.caller_door.running) + len(
+            components.forward_door.running
+        )
 
     async def _release(self) -> None:
         """Releases links and home roles, and removes the row from the table."""
-        parts = self._components
+        components = self._components
         deadline_s = time.monotonic() + RELEASE_LIMIT_S
-        parts.shares.release()
-        while not parts.homes.idle(now_s=time.monotonic()):
+        components.shares.release()
+        while not components.homes.idle(now_s=time.monotonic()):
             if time.monotonic() > deadline_s:
                 break
-            await asyncio.sleep(POLL_S)
-        if not parts.homes.nothing_held(now_s=time.monotonic()):
+            await asyncio.sleep(DRAIN_POLL_S)
+        if not components.homes.nothing_held(now_s=time.monotonic()):
             return
         # If the platform is unavailable, the row stays. Because of `finished`
         # the peers remove it once the platform is back; otherwise they would
         # hold its upstreams' slots back for the longest deadline.
-        parts.forward_door.stop_listening()
-        keeper = parts.table_keeper
-        await keeper.change(lambda table: keeper.plans.release(table=table))
-        parts.heartbeats.announce(finished=True)
+        components.forward_door.stop_listening()
+        table_manager = components.table_keeper
+        await table_manager.change(
+            lambda table: table_manager.plans.release(table=table)
+        )
+        components.heartbeats.announce(finished=True)
--- a/almondstair/settings.py
+++ b/almondstair/settings.py
@@ -294,7 +294,7 @@
         )
         faults += found
     if settings is not None and configuration is not None:
-        faults += check_together(
+        faults += check_consistency(
             settings=settings, configuration=configuration, source=str(path)
         )
     if faults or settings is None or configuration is None or text is None:
@@ -395,7 +395,7 @@
         )
 
 
-def check_together(
+def check_consistency(
     *, settings: Settings, configuration: model.Configuration, source: str
 ) -> tuple[faults_module.Fault, ...]:
     """Returns the inconsistencies of the settings with the configuration."""
@@ -406,7 +406,7 @@
         faults.add(
             key="entry.availability_zone",
             problem=f"no region has the availability zone {zone!r}",
-            remedy=faults_module.known_words(
+            remedy=faults_module.remedy_for_word(
                 zone, configuration_checks.availability_zones(configuration)
             ),
         )
--- a/almondstair/store.py
+++ b/almondstair/store.py
@@ -39,13 +39,13 @@
 from almondstair.key_value.base import PlatformError
 from almondstair.key_value.base import PlatformFailure
 from almondstair.key_value.base import Record
-from almondstair.store_follower import Follower
+from almondstair.store_follower import KeyWatcher
 
 DEFAULT_PREFIX = "almondstair/"
 # The platform accepts values up to 1 MB; the rest is for the edit records.
 DOCUMENT_LIMIT_BYTES = 900_000
 CHANGE_ATTEMPTS = 5
-EDIT_PAUSE_S = 0.1
+EDIT_RETRY_DELAY_S = 0.1
 _log = logging.getLogger(__name__)
 _encoder = msgspec.json.Encoder()
 _Document = TypeVar("_Document")
@@ -152,7 +152,7 @@
             return False
         return result.succeeded
 
-    def follower(self, *, on_table: Callable[[EntryTable], None]) -> Follower:
+    def follower(self, *, on_table: Callable[[EntryTable], None]) -> KeyWatcher:
         """Returns a watcher of the table, not yet started."""
 
         def on_value(value: bytes) -> None:
@@ -160,7 +160,9 @@
             if table is not None:
                 on_table(table)
 
-        return Follower(service=self._service, key=self.key, on_value=on_value)
+        return KeyWatcher(
+            service=self._service, key=self.key, on_value=on_value
+        )
 
 
 class ConfigurationStore:
@@ -240,7 +242,7 @@
                 result = None
             if result is not None:
                 return result
-            await asyncio.sleep(EDIT_PAUSE_S)
+            await asyncio.sleep(EDIT_RETRY_DELAY_S)
         if lost:
             return EditResult(EditFate.UNKNOWN, edit.edit_id)
         raise PlatformError(
@@ -366,7 +368,7 @@
 
     def follower(
         self, *, on_configuration: Callable[[StoredConfiguration], None]
-    ) -> Follower:
+    ) -> KeyWatcher:
         """Returns a watcher of the configuration, not yet started."""
 
         def on_value(value: bytes) -> None:
@@ -374,7 +376,9 @@
             if stored is not None:
                 on_configuration(stored)
 
-        return Follower(service=self._service, key=self.key, on_value=on_value)
+        return KeyWatcher(
+            service=self._service, key=self.key, on_value=on_value
+        )
 
 
 class _LostResponseError(Exception):
--- a/almondstair/store_follower.py
+++ b/almondstair/store_follower.py
@@ -13,13 +13,13 @@
 _log = logging.getLogger(__name__)
 
 
-REREAD_FIRST_S = 0.5
+MIN_RETRY_DELAY_S = 0.5
 
 
-REREAD_LAST_S = 8.0
+MAX_RETRY_DELAY_S = 8.0
 
 
-class Follower:
+class KeyWatcher:
     """Reads a key and watches it for changes.
 
     A change may be delivered twice or, around a reconnect, late; the receiver
@@ -67,7 +67,7 @@
         )
 
     async def _list_and_watch(self) -> None:
-        wait_s = REREAD_FIRST_S
+        wait_s = MIN_RETRY_DELAY_S
         while True:
             try:
                 listing = await self._service.list_prefix(prefix=self._key)
@@ -75,7 +75,7 @@
             except PlatformError as error:
                 _log.debug("cannot read %s: %s", self._key, error)
             await asyncio.sleep(wait_s)
-            wait_s = min(2 * wait_s, REREAD_LAST_S)
+            wait_s = min(2 * wait_s, MAX_RETRY_DELAY_S)
         for record in listing.records:
             self._deliver(record)
         self._watch = self._service.watch(
--- a/almondstair/table_keeper.py
+++ b/almondstair/table_keeper.py
@@ -14,11 +14,11 @@
 from almondstair.key_value.base import VmList
 from almondstair.key_value.base import VmState
 from almondstair.store import EntryTableStore
-from almondstair.watch_turns import WatchTurns
+from almondstair.watch_turns import ElectedWatcher
 
 # Delay before a write, for each entry with a lower planner rank.
-TURN_S = 0.5
-REGISTER_AGAIN_S = 0.5
+CHANGE_DELAY_PER_RANK_S = 0.5
+REGISTER_RETRY_DELAY_S = 0.5
 
 
 class TableKeeper:
@@ -53,9 +53,9 @@
         self._store = store
         self._vm_list = vm_list
         self._on_table = on_table
-        self._watcher = WatchTurns(
+        self._watcher = ElectedWatcher(
             membership=membership,
-            make=lambda: self._store.follower(
+            create_watcher=lambda: self._store.follower(
                 on_table=lambda table: self.take(table, from_platform=True)
             ),
         )
@@ -94,7 +94,7 @@
                 lambda table: self.plans.registration(table=table)
             )
             if not self._membership.registered:
-                await asyncio.sleep(REGISTER_AGAIN_S)
+                await asyncio.sleep(REGISTER_RETRY_DELAY_S)
         self.joined = True
 
     def _plan_from_base(
@@ -195,7 +195,7 @@
         if self._change_due_since_s is None:
             self._change_due_since_s = now_s
         rank = self._membership.planner_rank(now_s=now_s)
-        if now_s - self._change_due_since_s < rank * TURN_S:
+        if now_s - self._change_due_since_s < rank * CHANGE_DELAY_PER_RANK_S:
             return
         self._changing = True
         try:
--- a/almondstair/validation.py
+++ b/almondstair/validation.py
@@ -24,8 +24,8 @@
 from almondstair.faults import UNKNOWN_KEY
 from almondstair.faults import FaultList
 from almondstair.faults import Location
-from almondstair.faults import key_of
-from almondstair.faults import known_words
+from almondstair.faults import dotted_key
+from almondstair.faults import remedy_for_word
 
 T = TypeVar("T")
 
@@ -96,12 +96,12 @@
     repaired = copy.deepcopy(document)
     for location, annotation in _arrays_for_tables(document, annotation=to):
         faults.add(
-            key=key_of(location),
+            key=dotted_key(location),
             problem="this is an array",
             remedy="write a table with the keys "
             + ", ".join(field_names(annotation)),
         )
-        _replace(repaired, location=location, value=stand_in(annotation))
+        _replace(repaired, location=location, value=placeholder_for(annotation))
     try:
         return _validate(repaired, to=to)
     except pydantic.ValidationError as error:
@@ -127,7 +127,7 @@
     return {"date": str(value)}
 
 
-def stand_in(annotation: Any) -> Any:
+def placeholder_for(annotation: Any) -> Any:
     """Returns a placeholder that a type accepts, None if none fits."""
     if field_names(annotation):
         table: dict[str, Any] = {}
@@ -135,7 +135,7 @@
         for field in field_names(annotation):
             if field in annotation._field_defaults:
                 continue
-            table[field] = stand_in(hints[field])
+            table[field] = placeholder_for(hints[field])
         return table
     candidates = list(_PLACEHOLDERS)
     if isinstance(annotation, enum.EnumType):
@@ -154,7 +154,7 @@
     if detail["type"] in _UNKNOWN_KEYS:
         del _parent(document, location=location)[location[-1]]
         return
-    value = stand_in(type_at(root, location))
+    value = placeholder_for(type_at(root, location))
     _replace(document, location=location, value=value)
 
 
@@ -173,13 +173,13 @@
 ) -> None:
     """Adds one pydantic error as a fault."""
     location = detail["loc"]
-    key = key_of(location)
+    key = dotted_key(location)
     if detail["type"] in _UNKNOWN_KEYS:
         fields = field_names(type_at(root, location[:-1]))
         faults.add(
             key=key,
             problem=UNKNOWN_KEY,
-            remedy=known_words(str(location[-1]), fields),
+            remedy=remedy_for_word(str(location[-1]), fields),
         )
         return
     if detail["type"] in _MISSING_KEYS:
--- a/almondstair/watch_turns.py
+++ b/almondstair/watch_turns.py
@@ -9,24 +9,27 @@
 
 from almondstair.core.heartbeats import holds_watch
 from almondstair.core.membership import Membership
-from almondstair.store_follower import Follower
+from almondstair.store_follower import KeyWatcher
 
 
-class WatchTurns:
+class ElectedWatcher:
     """Starts and stops a key watcher as this entry is elected or not."""
 
     def __init__(
-        self, *, membership: Membership, make: Callable[[], Follower]
+        self,
+        *,
+        membership: Membership,
+        create_watcher: Callable[[], KeyWatcher],
     ) -> None:
         """Initializes without a watch.
 
         Args:
           membership: decides which entries watch.
-          make: creates a key watcher, not yet started.
+          create_watcher: creates a key watcher, not yet started.
         """
         self._membership = membership
-        self._make_follower = make
-        self._follower: Follower | None = None
+        self._create_watcher = create_watcher
+        self._key_watcher: KeyWatcher | None = None
 
     def update(self) -> None:
         """Starts or stops the watch as the live entries now require."""
@@ -35,12 +38,12 @@
         if not wanted:
             self.stop()
             return
-        if self._follower is None:
-            self._follower = self._make_follower()
-            self._follower.start()
+        if self._key_watcher is None:
+            self._key_watcher = self._create_watcher()
+            self._key_watcher.start()
 
     def stop(self) -> None:
         """Stops the watch."""
-        if self._follower is not None:
-            self._follower.stop()
-            self._follower = None
+        if self._key_watcher is not None:
+            self._key_watcher.stop()
+            self._key_watcher = None
