--- a/almondstair/batching.py
+++ b/almondstair/batching.py
@@ -264,7 +264,7 @@
             self._lease_id = 0
 
     async def _request_lease(self) -> int:
-        # Taken before the call: the lease starts later, so it is not used too long.
+        # The lease starts later than this, so it is never used too long.
         requested_s = self._now()
         try:
             self._lease_id = await self._service.grant_lease(ttl_s=self._ttl_s)
