--- a/almondstair/document_exchange.py
+++ b/almondstair/document_exchange.py
@@ -31,7 +31,7 @@
     """Requests newer documents from peers and serves such requests.
 
     Attributes:
-      peer_epoch: highest epoch of a table that a peer sent, 0 before any.
+      highest_peer_epoch: highest epoch of a table from a peer, 0 before any.
     """
 
     def __init__(
--- a/almondstair/joining.py
+++ b/almondstair/joining.py
@@ -48,7 +48,7 @@
         """Initializes; `run` does the startup.
 
         Args:
-          parts: components to use.
+          parts: components to start.
           peer_addresses: peer addresses from the settings.
           seed_text: configuration to write if the platform has none.
         """
--- a/almondstair/leaving.py
+++ b/almondstair/leaving.py
@@ -45,10 +45,9 @@
         """Initializes; `run` does the shutdown.
 
         Args:
-          parts: components to use.
-          serve_s: how long callers may still use cached lookups, in seconds.
-          finish_s: how long requests in flight may take after that, in
-            seconds.
+          parts: components to shut down.
+          serve_s: how long callers may still use cached lookups.
+          finish_s: how long requests in flight may take after that.
         """
         self._components = parts
         self._lookup_grace_s = serve_s
