--- a/almondstair/core/agreed_places.py
+++ b/almondstair/core/agreed_places.py
@@ -1,8 +1,8 @@
-"""Where a request goes that may end upstreams: the same place for all entries.
+"""Orders upstreams, alike on all entries, for requests that may crash them.
 
-What goes wrong without: it is sent again through several entries at once, and
-each of them ends another upstream. The order for a key will not do, as it
-begins with the upstreams of the entry's own region.
+Callers retry such a request through several entries at once. If each entry sent
+it to an upstream of its own choice, each could crash another one. The order for
+a key is not suitable, as it begins with upstreams of the entry's own region.
 """
 
 from collections.abc import Collection, Iterable
@@ -15,15 +15,15 @@
 def agreed_order(
     *, key: str, upstreams: Iterable[UpstreamState], exposed: Collection[int]
 ) -> list[UpstreamState]:
-    """Returns upstreams that may get a request, in one order for all entries.
+    """Returns the upstreams for a request in the same order on all entries.
 
-    Those of the regions where it was before come first: they are near its
-    callers.
+    Upstreams in the regions to which it was already sent come first, as these
+    are near its callers.
 
     Args:
-      key: what all resends of the request have in common.
-      upstreams: the takers of its service.
-      exposed: hashes of the upstreams that it may have ended; left out.
+      key: key that is the same for all retries of the request.
+      upstreams: the eligible upstreams of its service.
+      exposed: hashes of the upstreams that it may have crashed; excluded.
     """
     candidates = list(upstreams)
     regions = set()
--- a/almondstair/core/choosing.py
+++ b/almondstair/core/choosing.py
@@ -1,4 +1,4 @@
-"""Which upstream takes a request, and when none should."""
+"""Selects the upstream for a request, or none if all are overloaded."""
 
 from collections.abc import Collection, Iterable, Mapping
 import math
@@ -10,42 +10,42 @@
 from almondstair.core.run_times import Expected
 from almondstair.core.upstream_state import UpstreamState
 
-# What a place further down in a key's order costs, in seconds. It decides
-# among equals only, so that entries that know nothing yet agree.
+# Cost in seconds of each position further down in a key's order. It only
+# breaks ties, so that entries without any load reports choose alike.
 PLACE_COST_S = 0.002
-# What it costs to run an object where it is not known, as a factor on the
-# longer run: at least, and more the fuller the service is, because the longer
-# run takes capacity from other requests.
+# Cost of running an object where it is not cached, as a factor on the
+# additional run time: a minimum, and a part that grows with the utilisation of
+# the service, because the longer run takes capacity from other requests.
 UNKNOWN_COST = 1.0
 UNKNOWN_COST_BY_USE = 2.0
-# Use of a service above which an object is run where it is known or at its
-# home, the first upstream in its order that takes it, and nowhere else. What
-# would run it as new elsewhere keeps its upstreams so busy with long runs that
-# none of them gets to the known ones.
+# Utilisation of a service above which an object runs only where it is cached or
+# at its home, the first eligible upstream in its order. Uncached runs elsewhere
+# take so long that upstreams would no longer get to requests for the objects
+# that they have cached.
 CROWDED_USE = 0.8
-# Part of an upstream's slots that stays free for the next more urgent rank.
+# Part of an upstream's slots that stays free for the next higher priority.
 RESERVE_SHARE = 0.25
-# Until when, as a part of its aim, a request that has to wait must be expected
-# to be answered, and how much of its time that may be. A longer queue serves
-# everybody late and is cut by refusing at once.
+# A request that has to wait is sent only if its expected time to the response is
+# at most these parts of its latency target and of the time until it is given
+# up. A longer queue would make every response late, so the request is refused.
 WAIT_AIM_SHARE = 1.6
 TIME_USED_SHARE = 0.9
 
 
 class Choice(NamedTuple):
-    """Why an upstream was chosen.
+    """Holds the selected upstream and the estimates behind the selection.
 
     Attributes:
       upstream: the upstream.
-      place: its place in the order of the request's key, from 0.
-      warm: whether it is known to know the request's object; None where it is
-        merely the place where every entry sends the object first.
-      busy: how many requests it was believed to hold.
-      expected_s: when an answer is expected, in seconds from now.
-      run_s: how long the request is expected to run, in seconds.
-      waits: whether it is expected to wait for a slot.
-      wait_s: how long it is expected to wait, in seconds.
-      way_s: the way there and back, in seconds.
+      place: its position in the order of the request's key, from 0.
+      warm: whether it is known to have the request's object cached; None if it
+        is only the object's home, to which every entry sends it first.
+      busy: estimated number of requests that it holds.
+      expected_s: expected time until the response, in seconds.
+      run_s: expected run time of the request, in seconds.
+      waits: whether the request is expected to wait for a slot.
+      wait_s: expected wait for a slot, in seconds.
+      way_s: round trip to the upstream, in seconds.
     """
 
     upstream: UpstreamState
@@ -60,26 +60,26 @@
 
 
 class Wanted(NamedTuple):
-    """What a choice has to fit.
+    """Holds the conditions under which an upstream is selected.
 
     Attributes:
       route: the request's route.
-      service: rule of the service that takes it.
-      tried: ids of upstreams that had it already.
-      warm_places: upstreams that are taken to know its object and may take new
-        work, by their hash.
-      expected: how long it is expected to run.
-      service_s: mean run time of its service.
-      use: part of the service's slots that is in use, 0 to 1 or more.
-      aim_left_s: time left within its aim.
-      left_s: time left before it is given up.
+      service: rule of the service that handles it.
+      tried: ids of upstreams to which it was already sent.
+      warm_places: hashes of the eligible upstreams that are assumed to have
+        its object cached.
+      expected: its expected run time.
+      service_s: mean run time of its service, in seconds.
+      use: utilisation of the service's slots, 0 to 1.
+      aim_left_s: time left within its latency target, in seconds.
+      left_s: time left before it is given up, in seconds.
       round_trips_s: round trip to each region, in seconds.
-      entry_names: live entries, among which bounds are shared.
-      joined: whether the others count this entry among them.
-      peers_heard: whether every entry tells its load.
-      barred_regions: regions that get none of the requests for now.
+      entry_names: live entries, among which limits are shared.
+      joined: whether the other entries count this one among them.
+      peers_heard: whether every entry reports its load.
+      barred_regions: regions that are excluded for now.
       most_queue_s: longest wait in an upstream's queue, in seconds.
-      now_s: the entry's clock.
+      now_s: the entry's clock, in seconds.
     """
 
     route: Route
@@ -106,46 +106,46 @@
     wanted: Wanted,
     cold_starts: ColdStarts,
 ) -> Choice | None:
-    """Returns the upstream that takes a request, None when none has room.
+    """Returns the upstream for a request, or None if none has capacity.
 
-    The one with the least expected cost takes it: the way there, the wait for
-    a slot, and the run, which is shorter where the object is known. A request
-    that would wait past its aim is not sent at all.
+    It is the one with the lowest expected cost: round trip, wait for a slot,
+    and run time, which is shorter where the object is cached. A request that
+    would wait past its latency target is not sent at all.
     """
     best: Choice | None = None
     best_cost_s = 0.0
     home = ""
-    unknown_cost_s = _unknown_cost_s(wanted)
+    uncached_cost_s = _uncached_cost_s(wanted)
     for place, upstream in enumerate(order):
         incarnation = upstream.incarnation
         known = upstream.name_hash in wanted.warm_places
         if best is not None:
             # Most of a few hundred upstreams cannot cost less than the best
-            # one so far, whatever they hold; passing over them makes a
-            # decision among hundreds several times cheaper.
-            least_s = PLACE_COST_S * place + wanted.expected.known_s
-            if least_s >= best_cost_s:
+            # one so far, whatever their load; skipping them makes a decision
+            # among hundreds several times cheaper.
+            min_cost_s = PLACE_COST_S * place + wanted.expected.known_s
+            if min_cost_s >= best_cost_s:
                 break
-            if not known and least_s + unknown_cost_s >= best_cost_s:
+            if not known and min_cost_s + uncached_cost_s >= best_cost_s:
                 continue
-        if not _may_take(upstream, wanted, cold_starts):
+        if not _is_eligible(upstream, wanted, cold_starts):
             continue
         home = home or incarnation
         at_home = incarnation == home
         if wanted.use > CROWDED_USE and not at_home and not known:
             continue
-        found, cost_s = _weigh(upstream, place, known, at_home, wanted)
+        candidate, cost_s = _estimate(upstream, place, known, at_home, wanted)
         if not known and not at_home:
-            cost_s += unknown_cost_s
+            cost_s += uncached_cost_s
         if best is None or cost_s < best_cost_s:
-            best = found
+            best = candidate
             best_cost_s = cost_s
-    if best is None or not _fits(best, wanted):
+    if best is None or not _is_timely(best, wanted):
         return None
     return best
 
 
-def _weigh(
+def _estimate(
     upstream: UpstreamState,
     place: int,
     known: bool,
@@ -159,8 +159,8 @@
     busy = upstream.busy(now_s=now_s, peers_heard=wanted.peers_heard)
     slots = upstream.record.slots
     reserve = RESERVE_SHARE * slots * min(1, max(0, wanted.route.priority - 1))
-    ahead = max(0.0, busy + 1 + reserve - slots)
-    wait_s = ahead / slots * wanted.service_s
+    queued = max(0.0, busy + 1 + reserve - slots)
+    wait_s = queued / slots * wanted.service_s
     way_s = wanted.round_trips_s.get(upstream.region, 0.0)
     risk_s = upstream.failure_share(now_s=now_s) * wanted.route.aim_s
     choice = Choice(
@@ -177,14 +177,14 @@
     return choice, choice.expected_s + risk_s + PLACE_COST_S * place
 
 
-def _unknown_cost_s(wanted: Wanted) -> float:
-    """Returns what it costs others that an object is run where it is new."""
+def _uncached_cost_s(wanted: Wanted) -> float:
+    """Returns the cost to other requests of a run without the cached object."""
     factor = UNKNOWN_COST + UNKNOWN_COST_BY_USE * wanted.use
     expected = wanted.expected
     return factor * (expected.new_s - expected.known_s)
 
 
-def _fits(choice: Choice, wanted: Wanted) -> bool:
+def _is_timely(choice: Choice, wanted: Wanted) -> bool:
     if not choice.waits:
         return True
     if choice.wait_s > wanted.most_queue_s:
@@ -194,7 +194,7 @@
     return choice.expected_s <= WAIT_AIM_SHARE * wanted.aim_left_s
 
 
-def _may_take(
+def _is_eligible(
     upstream: UpstreamState, wanted: Wanted, cold_starts: ColdStarts
 ) -> bool:
     if upstream.record.upstream_id in wanted.tried:
--- a/almondstair/core/cold_starts.py
+++ b/almondstair/core/cold_starts.py
@@ -1,39 +1,39 @@
-"""How many requests a second this entry may send to a cold upstream."""
+"""Limits the requests per second that an entry sends to cold upstreams."""
 
 from collections import deque
 
 import xxhash
 
-# Part of the operator's bound that is used; see `second_tries`.
+# Part of the operator's limit that is used; see `second_tries`.
 USED_SHARE = 0.8
-# The operators' second, and longer by the way to an upstream: requests of one
-# second arrive later than those of the next, by a new connection for instance,
-# and would meet them inside one second at the upstream.
+# The operators count per second. The window is longer by the time to reach an
+# upstream: a request that is delayed, for instance by a new connection, may
+# arrive within the same second as requests sent later.
 WINDOW_S = 1.25
 
 
 class ColdStarts:
-    """Keeps the sum over all entries under a cold upstream's bound.
+    """Keeps the rate of all entries together below a cold upstream's limit.
 
-    Each entry has an equal part of the bound. Where that is less than one
-    request a second, only as many entries as there are whole requests send at
-    all; which ones follows from a hash of entry and upstream.
+    Each entry has an equal share of the limit. If that is less than one request
+    per second, only as many entries send as the limit has whole requests; a
+    hash of entry and upstream selects them.
     """
 
     def __init__(self, *, own_name: str, over: float, slack: float) -> None:
-        """Makes the bounds of one entry.
+        """Creates the limits of one entry.
 
         Args:
           own_name: name of this entry.
           over: factor on the rate that a cold upstream tolerates.
-          slack: requests a second allowed besides.
+          slack: requests per second allowed in addition.
         """
         self._own_name = own_name
         self.set_bounds(over=over, slack=slack)
         self._sent: dict[str, deque[float]] = {}
 
     def set_bounds(self, *, over: float, slack: float) -> None:
-        """Takes other bounds; what was sent stays counted."""
+        """Replaces the limits; requests already sent stay counted."""
         self._over = over
         self._slack = slack
 
@@ -45,7 +45,7 @@
         entry_names: frozenset[str],
         now_s: float,
     ) -> bool:
-        """Whether one more request may go to a cold upstream now."""
+        """Returns whether a cold upstream may get another request now."""
         bound = USED_SHARE * (rate_per_s * self._over + self._slack)
         share = self._share(incarnation, int(bound), entry_names)
         sent = self._sent.setdefault(incarnation, deque())
@@ -58,7 +58,7 @@
         self._sent.setdefault(incarnation, deque()).append(now_s)
 
     def forget(self, *, incarnation: str) -> None:
-        """Drops the count of an upstream that is gone."""
+        """Drops the count of an upstream that no longer exists."""
         self._sent.pop(incarnation, None)
 
     def _share(
@@ -68,11 +68,11 @@
         if bound >= count:
             return bound // count
         own = _score(self._own_name, incarnation)
-        before = 0
+        ahead = 0
         for name in entry_names:
             if _score(name, incarnation) > own:
-                before += 1
-        return 1 if before < bound else 0
+                ahead += 1
+        return 1 if ahead < bound else 0
 
 
 def _score(entry_name: str, incarnation: str) -> int:
--- a/almondstair/core/crash_suspects.py
+++ b/almondstair/core/crash_suspects.py
@@ -1,15 +1,16 @@
-"""Requests that crash the upstreams that run them.
-
-Symptom: upstreams end one after the other, each in the middle of the same
-request, whose caller sends it again. A connection that ends without an answer
-is a hint only: upstreams lose answers too, and one that crashes takes along
-whatever else ran there. So a lost answer is a doubt until it is known whether
-its upstream is gone; then it is a strike, or nothing.
-
-While there is a doubt or a strike, all entries send the request to the same
-upstream, so that callers who send it again at once, through any entry, end one
-more at most; and with doubts at two upstreams no third one gets it before it is
-known whether they live. A whole answer to a request ends every suspicion.
+"""Detects requests that crash the upstreams that run them.
+
+Such a request shows as upstreams that end one after the other, each while it
+runs the same request, which the caller retries. A connection that ends without
+a response is only a hint: upstreams also lose responses, and a crash takes along
+every other request on the upstream. So a lost response is unconfirmed until it is
+known whether its upstream has ended; then it becomes a strike or is dismissed.
+
+While a request has an unconfirmed loss or a strike, all entries send it to the
+same upstream, so that callers that retry at once, through any entry, crash at
+most one more. With unconfirmed losses at two upstreams no third one gets the
+request until it is known whether they are alive. A complete response to a request
+clears it.
 """
 
 from collections import OrderedDict
@@ -19,35 +20,36 @@
 
 import xxhash
 
-# Upstreams that a request may end before it is refused. The operators' bound
+# Crashed upstreams from which on a request is refused. The operators' limit
 # counts from the third.
-STRIKES_TO_REFUSE = 3
-# Strikes in turn without which a request is not refused: a rack that is lost
+MIN_STRIKES_TO_REFUSE = 3
+# Consecutive strikes that are needed to refuse a request: the loss of a rack
 # ends several upstreams at once, whatever ran there.
-TURNS_TO_REFUSE = 2
-# Doubts and strikes with which a request that is in doubt does not run.
-PLACES_TO_SETTLE = 2
-# How long after a lost answer the upstream may turn out to be gone, and how
-# long a strike is kept. A crashed upstream is back after some seconds, and the
-# caller of a request gives up after ten or so.
+MIN_CONSECUTIVE_TO_REFUSE = 2
+# Losses and strikes at which a request with an unconfirmed loss does not run.
+MIN_UPSTREAMS_TO_HOLD = 2
+# Time after a lost response within which the end of the upstream counts as a
+# crash, and time for which a strike is kept. A crashed upstream is back after
+# some seconds, and the caller of a request gives up after about ten.
 CONFIRM_S = 3.0
 STRIKE_LIFE_S = 60.0
-# How long a doubt counts if nobody finds out whether the upstream lives.
+# Time for which an unconfirmed loss counts if it stays unknown whether the
+# upstream is alive.
 DOUBT_LIFE_S = 0.5
-# An entry hears of a strike later than it was by the way of the word. A request
-# that began this much before a strike still counts as begun after it.
-TRANSIT_S = 0.02
-# Requests that are remembered, 100 bytes each.
-CAPACITY = 2048
-# Answered requests that are remembered.
-ANSWERED_CAPACITY = 4096
+# Allowance for the delay of reported strikes: a request that began this long
+# before a strike still counts as begun after it.
+REPORT_DELAY_S = 0.02
+# Remembered requests with losses or strikes, 100 bytes each.
+MAX_CASES = 2048
+# Remembered answered requests.
+MAX_ANSWERED = 4096
 
 
 class Strike(NamedTuple):
-    """A request that was running where an upstream ended.
+    """Identifies a request that was running when an upstream ended.
 
     Attributes:
-      fingerprint: the request, 64 bits.
+      fingerprint: fingerprint of the request, 64 bits.
       upstream: hash of the upstream's id, 32 bits.
     """
 
@@ -56,13 +58,13 @@
 
 
 class Standing(enum.Enum):
-    """What may be done with a request.
+    """States how a request may be sent.
 
     Attributes:
-      CLEAR: it goes anywhere.
-      SUSPECT: it goes to the one upstream that all entries agree on.
-      UNSETTLED: it does not run until it is known whether upstreams live.
-      REFUSED: it has ended too many upstreams.
+      CLEAR: to any upstream.
+      SUSPECT: only to the one upstream that all entries select.
+      UNSETTLED: not until it is known whether upstreams are alive.
+      REFUSED: not at all, as it has crashed too many upstreams.
     """
 
     CLEAR = "clear"
@@ -72,71 +74,71 @@
 
 
 class _Loss(NamedTuple):
-    """When a request was lost at an upstream, and when it began there."""
+    """Holds when a request was lost at an upstream and when it began."""
 
     lost_s: float
     began_s: float
 
 
 class _Case:
-    """What stands against one request, by upstream.
+    """Holds the losses of one request, by upstream.
 
     Attributes:
-      doubts: losses at upstreams that may be gone.
-      settled: losses at upstreams that seemed to live, and may still turn out
-        to be gone.
-      struck: losses at upstreams that are gone.
+      unconfirmed: losses at upstreams that may have ended.
+      dismissed: losses at upstreams that seemed to be alive and may still turn
+        out to have ended.
+      strikes: losses at upstreams that have ended.
     """
 
-    __slots__ = ("doubts", "settled", "struck")
+    __slots__ = ("dismissed", "strikes", "unconfirmed")
 
     def __init__(self) -> None:
-        self.doubts: dict[int, _Loss] = {}
-        self.settled: dict[int, _Loss] = {}
-        self.struck: dict[int, _Loss] = {}
+        self.unconfirmed: dict[int, _Loss] = {}
+        self.dismissed: dict[int, _Loss] = {}
+        self.strikes: dict[int, _Loss] = {}
 
-    def forget_old(self, now_s: float) -> None:
-        _keep_younger(self.doubts, now_s - CONFIRM_S)
-        _keep_younger(self.settled, now_s - CONFIRM_S)
-        _keep_younger(self.struck, now_s - STRIKE_LIFE_S)
+    def drop_expired(self, now_s: float) -> None:
+        _drop_older(self.unconfirmed, now_s - CONFIRM_S)
+        _drop_older(self.dismissed, now_s - CONFIRM_S)
+        _drop_older(self.strikes, now_s - STRIKE_LIFE_S)
 
-    def doubt(self, upstream: int, loss: _Loss) -> None:
-        """Adds a loss; several at one upstream count as one that ran longest.
+    def add_unconfirmed(self, upstream: int, loss: _Loss) -> None:
+        """Adds an unconfirmed loss; of several the longest run counts.
 
-        What goes wrong with the last one: a look-up that had just begun is lost
-        with those that ran for long, and seems to have ended the upstream.
+        If the last one counted, a short request that had just begun would be
+        lost along with long ones and would seem to have crashed the upstream.
         """
-        before = self.doubts.get(upstream)
+        before = self.unconfirmed.get(upstream)
         if before is not None:
             began_s = min(before.began_s, loss.began_s)
             loss = _Loss(loss.lost_s, began_s)
-        self.doubts[upstream] = loss
+        self.unconfirmed[upstream] = loss
 
     def take_loss(self, upstream: int) -> _Loss | None:
-        """Takes out what was lost at an upstream that is gone now."""
-        settled = self.settled.pop(upstream, None)
-        return self.doubts.pop(upstream, settled)
+        """Removes and returns the loss at an upstream that has ended."""
+        dismissed = self.dismissed.pop(upstream, None)
+        return self.unconfirmed.pop(upstream, dismissed)
 
-    def strikes_in_turn(self) -> int:
-        """Returns how many strikes came to a request that began after one."""
+    def count_consecutive(self) -> int:
+        """Returns the number of strikes from runs that began after another."""
         count = 0
         last_s = -math.inf
-        for loss in sorted(self.struck.values()):
-            if loss.began_s < last_s - TRANSIT_S:
+        for loss in sorted(self.strikes.values()):
+            if loss.began_s < last_s - REPORT_DELAY_S:
                 continue
             count += 1
             last_s = loss.lost_s
         return count
 
 
-def _keep_younger(losses: dict[int, _Loss], since_s: float) -> None:
+def _drop_older(losses: dict[int, _Loss], since_s: float) -> None:
     for upstream, loss in list(losses.items()):
         if loss.lost_s < since_s:
             del losses[upstream]
 
 
 def fingerprint(*, method: str, target: str, body: bytes) -> int:
-    """Returns the fingerprint of a request; its headers change each time."""
+    """Returns a request's fingerprint, without headers, which vary."""
     digest = xxhash.xxh3_64()
     digest.update(method.encode())
     digest.update(target.encode("latin-1"))
@@ -146,113 +148,113 @@
 
 
 class CrashSuspects:
-    """Keeps doubts and strikes, this entry's and what others tell."""
+    """Holds losses and strikes of requests, own and reported by others."""
 
     def __init__(self) -> None:
-        """Starts with no suspicion."""
+        """Starts without losses or strikes."""
         self._cases: OrderedDict[int, _Case] = OrderedDict()
         self._answered: OrderedDict[int, None] = OrderedDict()
 
     def note_lost(self, strike: Strike, *, ran_s: float, now_s: float) -> bool:
-        """Notes a connection that ended without an answer.
+        """Records a connection that ended without a response.
 
         Args:
-          strike: the request, and the upstream that may be gone.
+          strike: the request, and the upstream that may have ended.
           ran_s: how long it had run there, in seconds.
-          now_s: the entry's clock.
+          now_s: the entry's clock, in seconds.
 
         Returns:
-          Whether other entries need to know: a request that was answered
+          Whether other entries need a report; a request that was answered
           before does not crash upstreams.
         """
         case = self._case(strike.fingerprint)
-        case.doubt(strike.upstream, _Loss(now_s, now_s - ran_s))
+        case.add_unconfirmed(strike.upstream, _Loss(now_s, now_s - ran_s))
         return strike.fingerprint not in self._answered
 
     def note_lives(self, upstream: int) -> None:
-        """An upstream seems to live: the answers that it lost say nothing."""
+        """Dismisses the losses at an upstream that seems to be alive."""
         for case in self._cases.values():
-            loss = case.doubts.pop(upstream, None)
+            loss = case.unconfirmed.pop(upstream, None)
             if loss is not None:
-                case.settled[upstream] = loss
+                case.dismissed[upstream] = loss
 
     def note_gone(self, upstream: int, *, now_s: float) -> list[int]:
-        """An upstream turned out to be gone: what it lost is struck.
+        """Turns the losses at an upstream that has ended into strikes.
 
         Returns:
-          The fingerprints of the requests that are struck.
+          The fingerprints of the requests that got a strike.
         """
-        struck = []
+        strikes = []
         for request, case in list(self._cases.items()):
             loss = case.take_loss(upstream)
             if loss is None or now_s - loss.lost_s > CONFIRM_S:
                 continue
             self._strike(request, upstream, loss)
-            struck.append(request)
-        return struck
+            strikes.append(request)
+        return strikes
 
     def strike(self, strike: Strike, *, now_s: float) -> None:
-        """Strikes a request on another entry's word."""
+        """Adds a strike that another entry reports."""
         case = self._case(strike.fingerprint)
         loss = case.take_loss(strike.upstream)
         if loss is None:
-            # Nobody has told when it began; it may have been before another.
+            # Its begin is unknown and may precede other strikes.
             loss = _Loss(lost_s=now_s, began_s=-math.inf)
         self._strike(strike.fingerprint, strike.upstream, loss)
 
     def note_answered(self, request: int) -> None:
-        """A whole answer ends the suspicion against a request."""
+        """Clears a request that got a complete response."""
         self._cases.pop(request, None)
         self._answered[request] = None
         self._answered.move_to_end(request)
-        if len(self._answered) > ANSWERED_CAPACITY:
+        if len(self._answered) > MAX_ANSWERED:
             self._answered.popitem(last=False)
 
     def standing(self, request: int, *, now_s: float) -> Standing:
-        """Returns what may be done with a request now."""
+        """Returns how a request may be sent now."""
         case = self._cases.get(request)
         if case is None:
             return Standing.CLEAR
-        case.forget_old(now_s)
-        doubts = self._open_doubts(request, now_s)
-        strikes = len(case.struck)
-        if strikes >= STRIKES_TO_REFUSE:
-            if case.strikes_in_turn() >= TURNS_TO_REFUSE:
+        case.drop_expired(now_s)
+        unconfirmed = self._recent_unconfirmed(request, now_s)
+        strikes = len(case.strikes)
+        if strikes >= MIN_STRIKES_TO_REFUSE:
+            if case.count_consecutive() >= MIN_CONSECUTIVE_TO_REFUSE:
                 return Standing.REFUSED
-        places = len(doubts | case.struck.keys())
-        if doubts and places >= PLACES_TO_SETTLE:
+        places = len(unconfirmed | case.strikes.keys())
+        if unconfirmed and places >= MIN_UPSTREAMS_TO_HOLD:
             return Standing.UNSETTLED
         return Standing.SUSPECT if places else Standing.CLEAR
 
     def exposed(self, request: int, *, now_s: float) -> frozenset[int]:
-        """Returns the upstreams that a request may have ended."""
+        """Returns hashes of the upstreams that a request may have crashed."""
         case = self._cases.get(request)
         if case is None:
             return frozenset()
-        doubts = self._open_doubts(request, now_s)
-        return frozenset(doubts | case.struck.keys())
+        unconfirmed = self._recent_unconfirmed(request, now_s)
+        return frozenset(unconfirmed | case.strikes.keys())
 
     def fresh(self, *, now_s: float, for_s: float) -> list[Strike]:
-        """Returns strikes of the last seconds, to tell other entries."""
+        """Returns the strikes of the last `for_s` seconds, for reports."""
         found = []
         for request, case in self._cases.items():
-            for upstream, loss in case.struck.items():
+            for upstream, loss in case.strikes.items():
                 if now_s - loss.lost_s <= for_s:
                     found.append(Strike(request, upstream))
         return found
 
-    def _open_doubts(self, request: int, now_s: float) -> set[int]:
-        """Returns upstreams of which it is not known whether they live."""
+    def _recent_unconfirmed(self, request: int, now_s: float) -> set[int]:
+        """Returns upstreams whose losses are unconfirmed and recent."""
         if request in self._answered:
             return set()
         found = set()
-        for upstream, loss in self._cases[request].doubts.items():
+        for upstream, loss in self._cases[request].unconfirmed.items():
             if now_s - loss.lost_s <= DOUBT_LIFE_S:
                 found.add(upstream)
         return found
 
     def _strike(self, request: int, upstream: int, loss: _Loss) -> None:
-        self._cases[request].struck.setdefault(upstream, loss)
+        self._cases[request].strikes.setdefault(upstream, loss)
         self._cases.move_to_end(request)
         self._answered.pop(request, None)
 
@@ -261,6 +263,6 @@
         if case is None:
             case = _Case()
             self._cases[request] = case
-            if len(self._cases) > CAPACITY:
+            if len(self._cases) > MAX_CASES:
                 self._cases.popitem(last=False)
         return case
--- a/almondstair/core/fleet.py
+++ b/almondstair/core/fleet.py
@@ -1,4 +1,4 @@
-"""What one entry believes of the deployment: routes, upstreams, entries."""
+"""An entry's view of the deployment: routes, upstreams and entries."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -19,50 +19,50 @@
 from almondstair.core.upstream_state import UpstreamState
 from almondstair.core.upstream_state import incarnation_hash
 
-# A registration that vanishes this soon after the store was in trouble may
-# have lapsed with it; a live upstream registers again within about 2 s of the
-# store's return.
-LAPSE_GRACE_S = 2.3
-# The same where upstreams went on writing to the store: only this entry was
-# cut off, and what vanished meanwhile has most likely ended.
-CUT_GRACE_S = 0.7
-# Beats carry the cold time as of their writing and arrive a little later.
+# A registration that disappears this soon after a store failure may have
+# expired because of the failure; a live upstream registers again within about 2
+# s after the store has recovered.
+EXPIRY_GRACE_S = 2.3
+# The same if upstreams could still write to the store: only this entry was
+# disconnected, and upstreams that disappeared meanwhile have most likely ended.
+DISCONNECT_GRACE_S = 0.7
+# Registrations state the cold time as of their writing and arrive a little
+# later.
 COLD_MARGIN_S = 0.3
-# How long after its registration an entry is counted by every other one, or the
-# other one has stopped taking shares: a lease of 3 s, since one that is cut off
-# goes on with what it knew until its own has lapsed, and two polls.
+# Time from an entry's registration until every other entry either counts it or
+# has stopped using shares: a lease of 3 s, since a disconnected entry continues
+# with its last view until its own lease has expired, and two polls.
 JOIN_S = 4.0
-# How old the picture of the other entries may be for shares to be taken; the
-# life of a lease.
-SHARING_AGE_S = 3.0
-# How old the use of a service may be; requests run for longer.
+# Maximum age of the view of the other entries for shares to be used: the TTL of
+# a lease.
+MAX_SHARING_AGE_S = 3.0
+# Maximum age of a cached utilisation; requests run for longer.
 USE_AGE_S = 0.1
 
 
 class Fleet:
-    """The deployment as this entry last learned of it.
+    """Holds the deployment as this entry last learned of it.
 
     Attributes:
-      table: routes in force; None before the first configuration.
-      evacuated: availability zones whose upstreams get nothing, with the time
-        of the order's arrival on the entry's clock.
+      table: current routes; None before the first configuration.
+      evacuated: evacuated availability zones, whose upstreams get no requests,
+        with the start of the evacuation on the entry's clock, in seconds.
       entries: live entries by name.
-      entry_names: their names, this entry's with them.
+      entry_names: names of the live entries, including this one.
       by_hash: registered upstreams by the hash of their incarnation, which
-        is what entries call them.
+        identifies them in messages between entries.
       others_loads: requests of other entries at each upstream.
-      peers_heard: whether every other entry tells its loads.
-      plan: how keys are dealt out to upstreams.
-      as_of_s: as of when the picture is, on the entry's clock.
+      peers_heard: whether every other entry reports its loads.
+      plan: weights that distribute keys over upstreams.
+      as_of_s: time of the view on the entry's clock, in seconds.
       entries_version: a number that changes with the live entries.
-      takers_version: a number that changes with the upstreams that may get
-        new work.
+      takers_version: a number that changes with the eligible upstreams.
     """
 
     def __init__(
         self, *, own_name: str, own_region: str, zones: dict[str, str]
     ) -> None:
-        """Starts with nothing known.
+        """Starts with an empty view.
 
         Args:
           own_name: name of this entry.
@@ -75,13 +75,13 @@
         self._upstreams: dict[str, UpstreamState] = {}
         self._by_service: dict[str, list[UpstreamState]] = {}
         self._regions_by_service: dict[str, set[str]] = {}
-        self._takers_stale = False
+        self._eligible_stale = False
         self.takers_version = 0
         self.entries_version = 0
         self._ended = EndedIncarnations()
-        self._lapses_at_s: dict[str, float] = {}
-        self._entry_lapse_s: dict[str, float] = {}
-        # Callers are taken to be spread evenly over the availability zones.
+        self._upstream_expiry_s: dict[str, float] = {}
+        self._entry_expiry_s: dict[str, float] = {}
+        # Assumes that callers are spread evenly over the availability zones.
         self._orders = PlacementOrders(
             own_region=own_region, demand=Counter(zones.values())
         )
@@ -97,11 +97,11 @@
         self.peers_heard = False
         self.as_of_s = -math.inf
         self._registered_until_s = -math.inf
-        self._joined_at_s = math.inf
-        self._use: dict[str, tuple[float, float]] = {}
+        self._registered_at_s = math.inf
+        self._utilisation: dict[str, tuple[float, float]] = {}
 
     def take_zones(self, zones: dict[str, str]) -> None:
-        """Takes the regions of zones that changed or are new."""
+        """Replaces the regions of the availability zones."""
         self._zones = zones
         self._orders = PlacementOrders(
             own_region=self._own_region, demand=Counter(zones.values())
@@ -109,27 +109,27 @@
         self._orders.take_plan(self.plan)
         for state in self._upstreams.values():
             state.region = zones.get(state.record.availability_zone, "")
-        self._takers_stale = True
+        self._eligible_stale = True
 
     @property
     def ready(self) -> bool:
-        """Whether enough is known to serve."""
+        """Returns whether the view is complete enough to serve requests."""
         return self.table is not None and self._loaded
 
     def mark_loaded(self) -> None:
-        """The first whole listing has been taken."""
+        """Records that the first complete listing has been applied."""
         self._loaded = True
 
     # Configuration.
 
     def take_configuration(self, configuration: RoutingConfiguration) -> bool:
-        """Puts a configuration in force unless it is not newer.
+        """Applies a configuration if it is newer than the current one.
 
-        What goes wrong without the check: a peer or a stale read serves an
-        older version, and requests are run by a service that was dropped.
+        A peer or a stale read may return an older version, by which requests
+        would go to a service that has been removed.
 
         Returns:
-          Whether it is in force now and was not before.
+          Whether the configuration was applied.
         """
         if self.table is not None:
             if configuration.version <= self.table.version:
@@ -140,23 +140,23 @@
     # Upstreams.
 
     def take_upstream(self, record: UpstreamRecord, *, now_s: float) -> Taken:
-        """Takes a registration.
+        """Applies the registration of an upstream.
 
-        What goes wrong without telling incarnations apart: an upstream that
-        started again keeps the load, the pauses and the known objects of the
-        one before it, and is left alone if that one was draining.
+        Incarnations are kept apart. Otherwise a restarted upstream would
+        inherit the load, the pauses and the cached objects of its previous
+        incarnation, and would get no requests if that one was draining.
         """
         if self._ended.outdated(record):
             return Taken(used=False, changed=False)
         state = self._upstreams.get(record.upstream_id)
         if state is None:
-            self._lapses_at_s.pop(record.upstream_id, None)
+            self._upstream_expiry_s.pop(record.upstream_id, None)
             self._add_upstream(record, now_s)
             return Taken(used=True, changed=True)
         before = state.record
         if record.born_ms < before.born_ms:
             return Taken(used=False, changed=False)
-        self._lapses_at_s.pop(record.upstream_id, None)
+        self._upstream_expiry_s.pop(record.upstream_id, None)
         if record.born_ms > before.born_ms:
             self._remove(record.upstream_id)
             self._add_upstream(record, now_s)
@@ -169,7 +169,7 @@
     ) -> bool:
         before = state.record
         if before.draining and not record.draining:
-            # An older word that arrives late does not undo a leaving.
+            # An older registration that arrives late does not end draining.
             record = record._replace(draining=True)
         colder = False
         if record.cold_left_s > 0:
@@ -181,13 +181,14 @@
             cold_left_s=0
         )
         if changed:
-            self._takers_stale = True
+            self._eligible_stale = True
         return changed or colder
 
     def _add_upstream(self, record: UpstreamRecord, now_s: float) -> None:
         if self._ended.left(record):
-            # A write from before its leaving that the store made late: without
-            # this it would get requests again, and has nobody who ends it.
+            # The store applied a write from before the draining late. Without
+            # this the upstream would get requests again, and nothing would
+            # remove the registration.
             record = record._replace(draining=True)
         region = self._zones.get(record.availability_zone, "")
         state = UpstreamState(
@@ -196,15 +197,15 @@
         state.cold_until_s = self._cold_until_s(record, now_s)
         self._upstreams[record.upstream_id] = state
         self.by_hash[state.name_hash] = state
-        self._takers_stale = True
+        self._eligible_stale = True
 
     def _cold_until_s(self, record: UpstreamRecord, now_s: float) -> float:
-        """Returns until when an upstream that registers is cold.
+        """Returns until when a newly registered upstream is cold.
 
-        A start that was not known is taken for cold. One that was known and
-        registers again only lost its registration. What goes wrong where it is
-        taken for cold: for the whole cold time of its service it gets next to
-        nothing, though its caches are as warm as before.
+        An unknown incarnation counts as cold. A known one that registers again
+        has only lost its registration. If it counted as cold, it would get
+        almost no requests for the whole cold time of its service, although its
+        caches are still warm.
         """
         known_s = self._ended.cold_until_s(record)
         cold_s = record.cold_left_s
@@ -216,18 +217,19 @@
         return until_s
 
     def note_reached(self, state: UpstreamState, *, now_s: float) -> None:
-        """A new connection to an upstream was accepted.
+        """Records that an upstream accepted a new connection.
 
-        Where upstreams keep their id one that was away may have come back as
-        another incarnation. What goes wrong without taking it for cold: it
-        answers at the address and under the id of the one before, and for the
-        0.6 s until its registration is read it gets the requests of a warm one.
+        If upstreams keep their ids, one that was unreachable may have restarted
+        as another incarnation, so it counts as cold. Otherwise it would answer
+        at the address and under the id of its previous incarnation, and would
+        get the requests of a warm upstream for the 0.6 s until its registration
+        is read.
         """
         if state.record.born_ms and state.was_unreachable:
-            self._note_may_be_new(state, now_s)
+            self._mark_cold_from(state, now_s)
         state.note_reached()
 
-    def _note_may_be_new(self, state: UpstreamState, from_s: float) -> None:
+    def _mark_cold_from(self, state: UpstreamState, from_s: float) -> None:
         cold_s = self._cold_s(state.record.service)
         if cold_s > 0:
             until_s = from_s + cold_s + COLD_MARGIN_S
@@ -240,39 +242,39 @@
         return rule.cold_s if rule is not None else 0.0
 
     def note_trouble(self, *, now_s: float) -> None:
-        """The store does not answer, or refuses."""
-        self._grace_until_s = now_s + LAPSE_GRACE_S
+        """Records that the store does not answer or refuses a call."""
+        self._grace_until_s = now_s + EXPIRY_GRACE_S
 
     def note_return(self, *, written_to: bool, now_s: float) -> None:
-        """The store answers again.
+        """Records that the store answers again.
 
         Args:
           written_to: whether most upstreams wrote to it meanwhile.
-          now_s: the entry's clock.
+          now_s: the entry's clock, in seconds.
         """
-        grace_s = CUT_GRACE_S if written_to else LAPSE_GRACE_S
+        grace_s = DISCONNECT_GRACE_S if written_to else EXPIRY_GRACE_S
         self._grace_until_s = now_s + grace_s
 
     def drop_upstream(
         self, upstream_id: str, *, now_s: float
     ) -> UpstreamRecord | None:
-        """Takes the end of a registration.
+        """Removes an upstream whose registration has ended.
 
         Returns:
-          What is gone at once; a registration that may have lapsed with the
-          store is kept for a moment.
+          The registration if it is removed at once; None if it is unknown, or
+          is kept for a grace period as a store failure may have ended it.
         """
         if upstream_id not in self._upstreams:
             return None
         if now_s < self._grace_until_s:
-            self._lapses_at_s.setdefault(upstream_id, self._grace_until_s)
+            self._upstream_expiry_s.setdefault(upstream_id, self._grace_until_s)
             return None
         return self._remove(upstream_id)
 
     def forget_unlisted(
         self, listed: set[str], *, now_s: float
     ) -> list[UpstreamRecord]:
-        """Drops what a whole listing lacks; returns what is gone at once."""
+        """Drops upstreams that a full listing lacks; returns those removed."""
         gone = []
         for upstream_id in list(self._upstreams):
             if upstream_id in listed:
@@ -283,51 +285,54 @@
         return gone
 
     def expire(self, *, now_s: float) -> Lapsed:
-        """Drops registrations whose grace is over."""
+        """Drops registrations whose grace period is over."""
         upstreams = []
-        for upstream_id, at_s in list(self._lapses_at_s.items()):
+        for upstream_id, at_s in list(self._upstream_expiry_s.items()):
             if now_s < at_s:
                 continue
             record = self._remove(upstream_id)
             if record is not None:
                 upstreams.append(record)
         entries = []
-        for name, at_s in list(self._entry_lapse_s.items()):
+        for name, at_s in list(self._entry_expiry_s.items()):
             if now_s >= at_s:
                 self._remove_entry(name)
                 entries.append(name)
         return Lapsed(upstreams=upstreams, entries=entries)
 
     def _remove(self, upstream_id: str) -> UpstreamRecord | None:
-        self._lapses_at_s.pop(upstream_id, None)
+        self._upstream_expiry_s.pop(upstream_id, None)
         state = self._upstreams.pop(upstream_id, None)
         if state is None:
             return None
         self.by_hash.pop(state.name_hash, None)
-        self._takers_stale = True
+        self._eligible_stale = True
         self._ended.note_ended(state.record, cold_until_s=state.cold_until_s)
         return state.record
 
     def misdirected(self, record: UpstreamRecord, *, now_s: float) -> None:
-        """Another upstream answers at the address of an incarnation."""
+        """Records that another upstream answers at an incarnation's address."""
         name = incarnation_hash(record.incarnation)
         self._ended.found_replaced(name, now_s=now_s)
         self.note_replaced(name)
 
     def replaced(self, *, now_s: float) -> list[int]:
-        """Returns upstreams that were found replaced lately, by their hash."""
+        """Returns hashes of the incarnations recently found replaced."""
         return self._ended.found_lately(now_s=now_s)
 
     def note_replaced(self, name: int) -> str:
-        """Drops an incarnation that was found replaced, by its hash.
+        """Drops a replaced incarnation.
 
-        It stays out until a registration tells of a newer one. What goes wrong
-        without: its registration stays while the store's leases stand still,
-        so that each listing brings it back and each request for it is lost on
-        the way; lines of events 430 and 431 tell of it in turn.
+        It stays excluded until a newer incarnation registers. While the store's
+        leases do not expire, its registration persists, so that each listing
+        would add it again and each request for it would be lost; the log would
+        show events 430 and 431 in alternation.
+
+        Args:
+          name: hash of the incarnation.
 
         Returns:
-          Its incarnation, empty if it was not registered here.
+          The incarnation, or an empty string if it was not registered.
         """
         self._ended.note_replaced(name)
         state = self.by_hash.get(name)
@@ -336,14 +341,15 @@
         self._remove(state.record.upstream_id)
         return state.incarnation
 
-    def _refresh_takers(self) -> None:
-        """Sorts the upstreams by service, once for any number of changes.
+    def _refresh_eligible(self) -> None:
+        """Groups the eligible upstreams by service if they have changed.
 
-        A listing of thousands would else be sorted anew for each of them.
+        Grouping them on each change would repeat the work for each upstream of
+        a listing of thousands.
         """
-        if not self._takers_stale:
+        if not self._eligible_stale:
             return
-        self._takers_stale = False
+        self._eligible_stale = False
         self.takers_version += 1
         self._by_service = {}
         self._regions_by_service = {}
@@ -361,7 +367,7 @@
         self._orders.forget()
 
     def upstreams(self) -> Iterable[UpstreamState]:
-        """Returns every upstream that is registered."""
+        """Returns all registered upstreams."""
         return self._upstreams.values()
 
     def services(self) -> list[str]:
@@ -371,28 +377,28 @@
         return list(self.table.configuration.services)
 
     def regions(self) -> frozenset[str]:
-        """Returns every region."""
+        """Returns all regions."""
         return frozenset(self._zones.values())
 
     def upstream_count(self) -> int:
-        """Returns how many upstreams are registered."""
+        """Returns the number of registered upstreams."""
         return len(self._upstreams)
 
     def takers(self, service: str) -> list[UpstreamState]:
-        """Returns the upstreams of a service that may get new work."""
-        self._refresh_takers()
+        """Returns the upstreams of a service that may get new requests."""
+        self._refresh_eligible()
         return self._by_service.get(service, [])
 
     def may_take(self, name: int) -> bool:
-        """Whether an upstream, by its hash, may get new work now."""
+        """Returns whether the upstream of a hash may get new requests now."""
         state = self.by_hash.get(name)
         if state is None or state.record.draining or state.paused():
             return False
         return state.record.availability_zone not in self.evacuated
 
     def may_stay(self, service: str, *, route: Route) -> bool:
-        """Whether a route's requests may run in this entry's own region."""
-        self._refresh_takers()
+        """Returns whether a route's requests may run in this entry's region."""
+        self._refresh_eligible()
         allowed = route.allowed_regions
         if allowed and self._own_region not in allowed:
             return False
@@ -400,53 +406,53 @@
         return self._own_region in regions
 
     def order(self, *, service: str, key: str) -> list[UpstreamState]:
-        """Returns the takers of a service in the order for a key."""
-        self._refresh_takers()
+        """Returns a service's eligible upstreams in the order for a key."""
+        self._refresh_eligible()
         return self._orders.order(
             service=service, key=key, upstreams=self.takers(service)
         )
 
     def take_plan(self, plan: Plan) -> None:
-        """Orders keys by a plan from now on."""
+        """Applies a plan to the order of upstreams for keys."""
         self.plan = plan
         self._orders.take_plan(plan)
 
     def use(self, service: str, *, now_s: float) -> float:
-        """Returns the part of a service's slots that is in use.
+        """Returns the utilisation of a service's slots, 0 to 1.
 
-        It is worked out at most every `USE_AGE_S`; 1 is the most.
+        It is computed at most every `USE_AGE_S`.
         """
-        at_s, use = self._use.get(service, (-math.inf, 0.0))
+        at_s, use = self._utilisation.get(service, (-math.inf, 0.0))
         if now_s - at_s < USE_AGE_S:
             return use
         slots = 0
         busy = 0.0
         for upstream in self.takers(service):
             if upstream.cold(now_s=now_s) or upstream.paused():
-                # It has slots, but not for this.
+                # Its slots are not available for normal traffic.
                 continue
             slots += upstream.record.slots
-            # What waits in one upstream's queue takes no slot of another.
-            # Counted in, a region's queues make a service look full whose other
-            # regions are idle, and requests are refused there.
+            # Requests in one upstream's queue take no slot of another. If they
+            # counted, queues in one region would make the service look full,
+            # and requests would be refused while other regions are idle.
             held = upstream.busy(now_s=now_s, peers_heard=self.peers_heard)
             busy += min(upstream.record.slots, held)
         use = busy / slots if slots else 1.0
-        self._use[service] = (now_s, use)
+        self._utilisation[service] = (now_s, use)
         return use
 
     # Evacuations.
 
     def evacuate(self, zone: str, *, now_s: float) -> bool:
-        """Takes the order that a zone's upstreams get nothing."""
+        """Stops new requests to a zone; returns whether this is a change."""
         if zone in self.evacuated:
             return False
         self.evacuated[zone] = now_s
-        self._takers_stale = True
+        self._eligible_stale = True
         return True
 
     def take_back(self, zone: str, *, now_s: float) -> bool:
-        """Takes the end of an evacuation; the zone counts as cold."""
+        """Ends an evacuation; the zone's upstreams count as cold."""
         if zone not in self.evacuated:
             return False
         del self.evacuated[zone]
@@ -455,7 +461,7 @@
                 continue
             cold_s = self._cold_s(state.record.service)
             state.cold_until_s = max(state.cold_until_s, now_s + cold_s)
-        self._takers_stale = True
+        self._eligible_stale = True
         return True
 
     # Entries.
@@ -463,55 +469,61 @@
     def note_registered(
         self, *, until_s: float, anew: bool, now_s: float
     ) -> None:
-        """This entry's own registration was made or renewed.
+        """Records that this entry's registration was created or renewed.
 
         Args:
-          until_s: until when it lasts for sure.
-          anew: whether it was made, so that others may not count it yet.
-          now_s: the entry's clock.
+          until_s: time until which it is guaranteed to last, on the entry's
+            clock, in seconds.
+          anew: whether it was created, so that others may not count it yet.
+          now_s: the entry's clock, in seconds.
         """
         self._registered_until_s = until_s
         if anew:
-            self._joined_at_s = now_s
+            self._registered_at_s = now_s
 
     def joined(self, *, now_s: float) -> bool:
-        """Whether every other entry counts this one among those that share.
+        """Returns whether all other entries count this one for shared limits.
 
-        What goes wrong without: a new entry, or one whose registration has
-        lapsed, takes a part of a bound that the others have dealt out among
-        themselves, and the sum exceeds it.
+        A new entry, or one whose registration has expired, would otherwise use
+        a share of a limit that the others have divided among themselves, and
+        the sum would exceed the limit.
         """
         if now_s >= self._registered_until_s:
             return False
-        if now_s - self.as_of_s >= SHARING_AGE_S:
+        if now_s - self.as_of_s >= MAX_SHARING_AGE_S:
             return False
-        return now_s - self._joined_at_s >= JOIN_S
+        return now_s - self._registered_at_s >= JOIN_S
 
     def take_entry(self, entry: Entry) -> bool:
-        """Takes the registration of an entry."""
-        self._entry_lapse_s.pop(entry.name, None)
+        """Applies an entry's registration; returns whether it is a change."""
+        self._entry_expiry_s.pop(entry.name, None)
         if self.entries.get(entry.name) == entry:
             return False
         self.entries[entry.name] = entry
-        self._name_entries()
+        self._update_entry_names()
         return True
 
     def drop_entry(self, name: str, *, now_s: float) -> bool:
-        """Takes the end of an entry's registration."""
+        """Removes an entry whose registration has ended.
+
+        Returns:
+          Whether it is removed at once; it is kept for a grace period if a
+          store failure may have ended its registration.
+        """
         if name not in self.entries:
             return False
         if now_s < self._grace_until_s:
-            self._entry_lapse_s.setdefault(name, self._grace_until_s)
+            self._entry_expiry_s.setdefault(name, self._grace_until_s)
             return False
         self._remove_entry(name)
         return True
 
     def _remove_entry(self, name: str) -> None:
-        self._entry_lapse_s.pop(name, None)
+        self._entry_expiry_s.pop(name, None)
         self.entries.pop(name, None)
-        self._name_entries()
+        self._update_entry_names()
 
-    def _name_entries(self) -> None:
+    def _update_entry_names(self) -> None:
         names = set(self.entries)
         names.add(self._own_name)
         self.entry_names = frozenset(names)
--- a/almondstair/core/incarnations.py
+++ b/almondstair/core/incarnations.py
@@ -1,11 +1,11 @@
-"""Incarnations of upstreams that ended, kept so that late words change nothing.
-
-What goes wrong without: an upstream starts again under the id that it had, or
-its address is given to another one. Words about the earlier incarnation come
-late: a write that the store makes seconds later, a peer's page, a listing while
-the store's leases stand still. Taken as news, each brings back an upstream
-that is gone, and requests meet whatever listens at its address now. One notices
-it by lines that say in turn that an upstream came and went.
+"""Remembers ended incarnations of upstreams, to ignore outdated registrations.
+
+An upstream may restart under its old id, or its address may be assigned to
+another one. Registrations of the earlier incarnation still arrive late: by a
+write that the store applies seconds later, a page of a peer, or a listing while
+the store's leases do not expire. Without this memory each of them would add the
+ended upstream again, and requests would reach whatever listens at its address
+now. The log would show an upstream added and removed in alternation.
 """
 
 from collections import OrderedDict
@@ -14,45 +14,46 @@
 from almondstair.core.upstream_state import UpstreamRecord
 from almondstair.core.upstream_state import incarnation_hash
 
-# Upstreams that are remembered, 100 bytes each. The store makes late writes
-# within seconds, and a fleet of 5,000 upstreams loses fewer in that time.
-MEMORY = 4096
-# How long other entries are told of an upstream whose address has another
-# incarnation; its registration ends about as soon.
-REPLACED_TOLD_S = 5.0
+# Remembered upstreams, 100 bytes each. The store applies late writes within
+# seconds, and a fleet of 5,000 upstreams loses fewer than this in that time.
+MAX_REMEMBERED = 4096
+# Time for which a replaced incarnation is reported to other entries; its
+# registration ends within about the same time.
+REPLACED_REPORT_S = 5.0
 _Key = TypeVar("_Key")
 _Value = TypeVar("_Value")
 
 
 class EndedIncarnations:
-    """What is remembered of upstreams that left, ended or were replaced."""
+    """Remembers upstreams that were draining, ended or were replaced."""
 
     def __init__(self) -> None:
-        """Starts with nothing remembered."""
+        """Starts with an empty memory."""
         self._born_ms: OrderedDict[str, int] = OrderedDict()
-        self._left: OrderedDict[str, None] = OrderedDict()
+        self._drained: OrderedDict[str, None] = OrderedDict()
         self._cold_until_s: OrderedDict[str, float] = OrderedDict()
         self._replaced: OrderedDict[int, None] = OrderedDict()
-        self._found_at_s: dict[int, float] = {}
+        self._detected_at_s: dict[int, float] = {}
 
     def note_ended(
         self, record: UpstreamRecord, *, cold_until_s: float
     ) -> None:
-        """An incarnation is not registered any more, or a newer one is.
+        """Records an incarnation that ended or has a successor.
 
         Args:
           record: its last registration.
-          cold_until_s: until when it was taken for cold, on the entry's clock.
+          cold_until_s: until when it counts as cold, on the entry's clock, in
+            seconds.
         """
         born_ms = max(record.born_ms, self._born_ms.get(record.upstream_id, 0))
         _remember(self._born_ms, record.upstream_id, born_ms)
         if record.draining:
-            _remember(self._left, record.incarnation, None)
+            _remember(self._drained, record.incarnation, None)
         if record.born_ms:
             _remember(self._cold_until_s, record.incarnation, cold_until_s)
 
     def note_replaced(self, name: int) -> None:
-        """Another upstream answers at the address of an incarnation.
+        """Records that another upstream answers at an incarnation's address.
 
         Args:
           name: the incarnation's hash.
@@ -60,38 +61,40 @@
         _remember(self._replaced, name, None)
 
     def found_replaced(self, name: int, *, now_s: float) -> None:
-        """The same, found by this entry, which tells the others."""
+        """Records a replacement found by this entry, to report it to others."""
         self.note_replaced(name)
-        self._found_at_s[name] = now_s
+        self._detected_at_s[name] = now_s
 
     def found_lately(self, *, now_s: float) -> list[int]:
-        """Returns the hashes of those that other entries should be told of."""
-        for name, at_s in list(self._found_at_s.items()):
-            if now_s - at_s > REPLACED_TOLD_S:
-                del self._found_at_s[name]
-        return list(self._found_at_s)
+        """Returns hashes of the replaced incarnations to report to others."""
+        for name, at_s in list(self._detected_at_s.items()):
+            if now_s - at_s > REPLACED_REPORT_S:
+                del self._detected_at_s[name]
+        return list(self._detected_at_s)
 
     def outdated(self, record: UpstreamRecord) -> bool:
-        """Whether a registration is of an incarnation that cannot be used.
+        """Returns whether a registration is of an outdated incarnation.
 
-        That is one that was found replaced, or one from before the newest
-        that was known under its id.
+        That is one that was found replaced, or one that is older than the
+        newest known incarnation of its id.
         """
         if record.born_ms < self._born_ms.get(record.upstream_id, 0):
             return True
         return incarnation_hash(record.incarnation) in self._replaced
 
     def cold_until_s(self, record: UpstreamRecord) -> float | None:
-        """Returns until when an incarnation that was known was cold.
+        """Returns until when a remembered incarnation is cold.
 
-        None for one that was not known, or that cannot be told from another
-        start under its id.
+        Returns:
+          A time on the entry's clock, in seconds; None if the incarnation is
+          unknown or states no time of its start, so that it cannot be
+          distinguished from others of its id.
         """
         return self._cold_until_s.get(record.incarnation)
 
     def left(self, record: UpstreamRecord) -> bool:
-        """Whether an incarnation had said that it leaves before it ended."""
-        return record.incarnation in self._left
+        """Returns whether an incarnation was draining before it ended."""
+        return record.incarnation in self._drained
 
 
 def _remember(
@@ -99,5 +102,5 @@
 ) -> None:
     memory[key] = value
     memory.move_to_end(key)
-    if len(memory) > MEMORY:
+    if len(memory) > MAX_REMEMBERED:
         memory.popitem(last=False)
--- a/almondstair/core/load_pace.py
+++ b/almondstair/core/load_pace.py
@@ -1,12 +1,13 @@
-"""How often entries tell each other their loads.
+"""Schedules the load reports between entries.
 
-Load pattern: hundreds of entries place requests at the same upstreams. Each
-knows the others' requests as of their last word. Where that is half a second
-old, entries fill the same queues beside free slots, and a plan of weights goes
-on moving keys away from queues that have ended.
+Hundreds of entries place requests on the same upstreams, and each knows the
+requests of the others from their last reports. With reports that are half a
+second old, entries fill the same queues while other slots are free, and a plan
+of weights keeps moving keys away from queues that have ended.
 
-The pauses go by what a word costs where it is sent: by the entries of the zone
-and the link of the VM, not by the entries of the fleet.
+The intervals follow from the cost of a report where it is sent: from the number
+of entries in the availability zone and the link of the VM, not from the number
+of entries in the fleet.
 """
 
 import math
@@ -14,48 +15,49 @@
 
 from almondstair.core.known_places import Place
 
-# Pause between two messages inside an availability zone: the least, how much
-# longer for each entry of the zone, and the longest.
-LEAST_PAUSE_S = 0.05
-PAUSE_PER_ENTRY_S = 0.0075
-MOST_PAUSE_S = 0.15
-# Shortest pause between two sums to the other zones, whose bytes are dear.
+# Interval between two messages inside an availability zone: the shortest, the
+# part per entry of the zone, and the longest.
+MIN_INTERVAL_S = 0.05
+INTERVAL_PER_ENTRY_S = 0.0075
+MAX_INTERVAL_S = 0.15
+# Shortest interval between two totals to other zones, where traffic is
+# expensive.
 ZONES_PAUSE_S = 0.1
-# Longest pause while nothing changes.
+# Longest interval while nothing changes.
 HEARTBEAT_S = 0.4
-# Part of the reporter's link that totals for its zone may take.
+# Part of the reporter's link that totals for its zone may use.
 LINK_SHARE = 0.2
 _BITS_PER_MBIT = 1e6
 
 
 def pause_s(zone_entries: int) -> float:
-    """Returns the pause between two messages inside a zone, in seconds.
+    """Returns the interval between two messages inside a zone, in seconds.
 
     Args:
-      zone_entries: entries of the availability zone.
+      zone_entries: number of entries in the availability zone.
     """
-    wanted_s = PAUSE_PER_ENTRY_S * zone_entries
-    return min(MOST_PAUSE_S, max(LEAST_PAUSE_S, wanted_s))
+    zone_interval_s = INTERVAL_PER_ENTRY_S * zone_entries
+    return min(MAX_INTERVAL_S, max(MIN_INTERVAL_S, zone_interval_s))
 
 
 class LinkShare:
-    """The part of a VM's link that words to its zone may take."""
+    """Limits the bandwidth of the reports from a VM to its zone."""
 
     def __init__(self, *, link_mbps: float) -> None:
-        """Starts with a free link.
+        """Starts with an idle link.
 
         Args:
-          link_mbps: what the link carries, 0 where it is not told.
+          link_mbps: bandwidth of the link in Mbit/s, 0 if unknown.
         """
         self._bits_per_s = LINK_SHARE * link_mbps * _BITS_PER_MBIT
         self._free_at_s = -math.inf
 
     def free(self, *, now_s: float) -> bool:
-        """Whether the part is free within the pause of a zone."""
-        return now_s >= self._free_at_s - MOST_PAUSE_S
+        """Returns whether a report can be sent within a zone's interval."""
+        return now_s >= self._free_at_s - MAX_INTERVAL_S
 
     def note_sent(self, sent_bytes: int, *, now_s: float) -> None:
-        """Takes that bytes were sent at once."""
+        """Records bytes that were sent at once."""
         if not self._bits_per_s:
             return
         from_s = max(now_s, self._free_at_s)
@@ -66,13 +68,13 @@
 
 
 class Word(NamedTuple):
-    """What is told of one kind.
+    """Holds the contents of a report.
 
     Attributes:
       loads: requests by the hash of an upstream's incarnation.
-      replaced: upstreams that were found replaced.
+      replaced: hashes of incarnations that were found replaced.
       strikes: requests that may crash upstreams.
-      places: objects and upstreams that know them.
+      places: objects and the upstreams that have them cached.
     """
 
     loads: Loads
@@ -82,46 +84,47 @@
 
 
 class Telling:
-    """When the next word of one kind is due."""
+    """Decides when the next report of one kind is due."""
 
     def __init__(self, *, least_pause_s: float = 0.0) -> None:
-        """Starts with nothing told.
+        """Starts without a previous report.
 
         Args:
-          least_pause_s: shortest pause between two words on loads alone.
+          least_pause_s: shortest interval between two reports that are not
+            urgent, in seconds.
         """
         self._least_pause_s = least_pause_s
-        self._told = Word({}, [], [], [])
-        self._told_at_s = -math.inf
+        self._last_sent = Word({}, [], [], [])
+        self._last_sent_at_s = -math.inf
 
     def urgent(self, word: Word) -> bool:
-        """Whether a word has ends of upstreams that were not told yet.
+        """Returns whether a report has new replacements or strikes.
 
         An upstream that was replaced, or that a request may have crashed, gets
-        requests of every entry that has not heard of it.
+        requests from every entry that has no report of it.
         """
-        told = self._told
-        if set(word.replaced) - set(told.replaced):
+        last = self._last_sent
+        if set(word.replaced) - set(last.replaced):
             return True
-        return bool(set(word.strikes) - set(told.strikes))
+        return bool(set(word.strikes) - set(last.strikes))
 
     def due(self, word: Word, *, now_s: float) -> bool:
-        """Whether a word is to be told now.
+        """Returns whether a report is due.
 
         Args:
-          word: what there is to tell.
-          now_s: the entry's clock.
+          word: the current report.
+          now_s: the entry's clock, in seconds.
         """
         if self.urgent(word):
             return True
-        age_s = now_s - self._told_at_s
+        age_s = now_s - self._last_sent_at_s
         if age_s < self._least_pause_s:
             return False
-        if age_s >= HEARTBEAT_S or word.loads != self._told.loads:
+        if age_s >= HEARTBEAT_S or word.loads != self._last_sent.loads:
             return True
-        return word.places != self._told.places
+        return word.places != self._last_sent.places
 
     def note_told(self, word: Word, *, now_s: float) -> None:
-        """Takes that a word was told; it must not change afterwards."""
-        self._told = word
-        self._told_at_s = now_s
+        """Records that a report was sent; it must not change afterwards."""
+        self._last_sent = word
+        self._last_sent_at_s = now_s
--- a/almondstair/core/look_ups.py
+++ b/almondstair/core/look_ups.py
@@ -1,14 +1,14 @@
-"""Which entries a look-up names for a caller.
+"""Selects the entries that a lookup returns to a caller.
 
-Callers pick one of the named entries at random. What goes wrong when VMs differ
-and all are named: each gets the same part of the traffic, and the small ones'
-links are full while the large ones' are idle; one notices it by uploads that
-are slow on some VMs only. So each caller is told a few entries of each zone,
-the large ones to more callers than the small ones.
+Callers pick one of the returned entries at random. If VMs differ in size and
+all are returned, each gets the same share of the traffic: the links of small
+VMs are saturated while those of large ones are idle, which shows as slow
+uploads on some VMs only. So each caller gets a few entries of each availability
+zone, and large ones are returned to more callers than small ones.
 
-Which ones follows from a hash of caller and entry: a caller that asks again is
-told the same, for it gives up connections to entries that are not named any
-more, and one entry's end changes the lists of its own callers only.
+The selection follows from a hash of caller and entry. So a repeated lookup
+returns the same entries, since callers close connections to entries that are no
+longer returned, and the end of an entry changes only the lists that contain it.
 """
 
 from collections.abc import Iterable
@@ -19,15 +19,15 @@
 
 from almondstair.core.registered import Entry
 
-# Addresses that callers take at most.
-MOST_NAMED = 64
-# Entries of each zone in a list of few: one may be leaving and another slow.
-# The shorter the list, the closer callers keep to the weights.
-NAMED_A_ZONE = 3
+# Most addresses that callers accept.
+MAX_ADDRESSES = 64
+# Entries per zone in a weighted list: one may be draining and another slow. The
+# shorter the list, the closer the traffic follows the weights.
+ENTRIES_PER_ZONE = 3
 # Entries whose weights differ by less than this factor count as equal.
-EQUAL_FACTOR = 1.25
-# Lists that are kept for callers that ask again, 0.5 kB each.
-KEPT_LISTS = 4096
+EQUAL_WEIGHT_RATIO = 1.25
+# Cached lists, 0.5 kB each.
+MAX_CACHED_LISTS = 4096
 _HASH_RANGE = 2.0**64
 
 
@@ -38,73 +38,75 @@
 
 
 class LookUps:
-    """Names entries for callers."""
+    """Selects entries for callers."""
 
     def __init__(self) -> None:
-        """Starts with no entry."""
+        """Starts without entries."""
         self._entries: list[_Weighted] = []
-        self._kept: dict[tuple[str, str], list[str]] = {}
+        self._lists: dict[tuple[str, str], list[str]] = {}
 
     def take_entries(self, entries: Iterable[Entry]) -> None:
-        """Takes the live entries; called when one came, went or changed."""
+        """Replaces the live entries; called when any of them changes."""
         found = list(entries)
-        told = all(entry.carries_mbps > 0 for entry in found)
+        has_weights = all(entry.carries_mbps > 0 for entry in found)
         self._entries = []
-        self._kept = {}
+        self._lists = {}
         for entry in found:
             seed = xxhash.xxh3_64_intdigest(entry.name.encode())
-            # One of an older version does not tell; then all count the same.
-            weight = entry.carries_mbps if told else 1.0
+            # Entries of an older version do not state it; then all are equal.
+            weight = entry.carries_mbps if has_weights else 1.0
             self._entries.append(_Weighted(entry, weight, seed))
 
     def named(self, *, region: str, caller: str) -> list[str]:
-        """Returns caller addresses of entries for a caller.
+        """Returns the addresses of entries for a caller.
 
-        Those of its region are named; where there are none, others are.
+        They are in the caller's region, or elsewhere if it has no entries.
 
         Args:
           region: the caller's region.
-          caller: what tells callers apart, such as their address.
+          caller: identifies the caller, such as by its address.
         """
-        kept = self._kept.get((region, caller))
-        if kept is None:
-            kept = self._pick(region, caller)
-            if len(self._kept) >= KEPT_LISTS:
-                self._kept.clear()
-            self._kept[region, caller] = kept
-        return kept
-
-    def _pick(self, region: str, caller: str) -> list[str]:
-        near = []
+        addresses = self._lists.get((region, caller))
+        if addresses is None:
+            addresses = self._select(region, caller)
+            if len(self._lists) >= MAX_CACHED_LISTS:
+                self._lists.clear()
+            self._lists[region, caller] = addresses
+        return addresses
+
+    def _select(self, region: str, caller: str) -> list[str]:
+        candidates = []
         for weighted in self._entries:
             if weighted.entry.region == region:
-                near.append(weighted)
-        near = near or self._entries
-        if len(near) <= MOST_NAMED and _equal(near):
-            return [weighted.entry.callers for weighted in near]
+                candidates.append(weighted)
+        candidates = candidates or self._entries
+        if len(candidates) <= MAX_ADDRESSES and _weights_equal(candidates):
+            return [weighted.entry.callers for weighted in candidates]
         zones: dict[str, list[_Weighted]] = {}
-        for weighted in near:
+        for weighted in candidates:
             zone = weighted.entry.availability_zone
             zones.setdefault(zone, []).append(weighted)
         found = []
         for members in zones.values():
-            members.sort(key=lambda weighted: _turn(caller, weighted))
-            for weighted in members[:NAMED_A_ZONE]:
+            members.sort(key=lambda weighted: _sort_key(caller, weighted))
+            for weighted in members[:ENTRIES_PER_ZONE]:
                 found.append(weighted.entry.callers)
-        return found[:MOST_NAMED]
+        return found[:MAX_ADDRESSES]
 
 
-def _equal(entries: list[_Weighted]) -> bool:
+def _weights_equal(entries: list[_Weighted]) -> bool:
     weights = [weighted.weight for weighted in entries]
-    return max(weights, default=1.0) <= EQUAL_FACTOR * min(weights, default=1.0)
+    return max(weights, default=1.0) <= EQUAL_WEIGHT_RATIO * min(
+        weights, default=1.0
+    )
 
 
-def _turn(caller: str, weighted: _Weighted) -> float:
-    """Returns where an entry stands for a caller; low ones come first.
+def _sort_key(caller: str, weighted: _Weighted) -> float:
+    """Returns an entry's sort key for a caller; the lowest comes first.
 
-    The logarithm of an even draw, divided by the weight, puts each entry first
-    as often as its weight says (weighted rendezvous).
+    The negative logarithm of a uniform hash, divided by the weight, puts each
+    entry first in proportion to its weight (weighted rendezvous hashing).
     """
     digest = xxhash.xxh3_64_intdigest(caller.encode(), seed=weighted.seed)
-    draw = (digest + 0.5) / _HASH_RANGE
-    return -math.log(draw) / weighted.weight
+    uniform = (digest + 0.5) / _HASH_RANGE
+    return -math.log(uniform) / weighted.weight
--- a/almondstair/core/others_loads.py
+++ b/almondstair/core/others_loads.py
@@ -1,33 +1,33 @@
-"""Requests of other entries at each upstream, as all entries tell.
+"""Requests of other entries at each upstream, as reported by all entries.
 
-A message on hundreds of upstreams comes several times a second, and is only
-kept. What one of them holds is worked out when it is asked for, since a request
-looks at a few.
+Totals for hundreds of upstreams arrive several times per second and are only
+stored. The load of an upstream is computed on demand, since a request needs it
+for a few of them.
 """
 
 from collections.abc import Mapping
 
 
 class OthersLoads:
-    """Keeps the last sum over all entries, and what of it was its own."""
+    """Holds the last total over all entries and this entry's part of it."""
 
     def __init__(self) -> None:
-        """Starts with nothing told."""
+        """Starts without loads."""
         self._total: Mapping[int, int] = {}
         self._own: Mapping[int, int] = {}
 
     def take(self, total: Mapping[int, int], *, own: Mapping[int, int]) -> None:
-        """Takes a sum over all entries.
+        """Replaces the total over all entries.
 
         Args:
           total: requests by the hash of the upstream's incarnation.
-          own: those of them that this entry told.
+          own: the part of them that this entry reported.
         """
         self._total = total
         self._own = own
 
     def at(self, name: int) -> int:
-        """Returns the others' requests at an upstream, by its hash."""
+        """Returns the requests of other entries at the upstream of a hash."""
         held = self._total.get(name, 0)
         if not held:
             return 0
--- a/almondstair/core/placement.py
+++ b/almondstair/core/placement.py
@@ -1,14 +1,15 @@
-"""The order in which the upstreams of a service are asked for a request.
-
-An upstream that has handled an object lately works several times faster on it,
-so requests of one key should meet few upstreams, and the same ones from every
-entry. Rendezvous hashing gives each key its own order of upstreams, which
-entries agree on without talking; losing one moves only its keys.
-
-Weights of the hash decide how many keys of a region's callers belong to which
-region. A region with little capacity for its callers keeps as many keys as it
-can carry; the others belong to regions with capacity to spare from the start.
-Spilling them only when the region is full would give each key many upstreams.
+"""Orders the upstreams of a service by preference for each key.
+
+An upstream that has handled an object recently serves it several times faster,
+so requests for one key should go to few upstreams, and to the same ones from
+every entry. Weighted rendezvous hashing gives each key its own order of
+upstreams on which entries agree without communication; losing an upstream moves
+only its keys.
+
+The weights decide how many keys of a region's callers belong to which region.
+A region with little capacity for its callers keeps as many keys as it can
+serve; the others belong to regions with spare capacity from the start. Spilling
+them only when the region is full would spread each key over many upstreams.
 """
 
 from collections.abc import Mapping, Sequence
@@ -20,15 +21,15 @@
 from almondstair.core.placement_plan import Plan
 from almondstair.core.upstream_state import UpstreamState
 
-# Orders that are remembered; beyond, the whole memory is dropped. One order of
+# Cached orders; when there are more, the whole cache is dropped. One order of
 # 170 upstreams takes about 1.4 KB.
 REMEMBERED_ORDERS = 4096
-# Part of all capacity that is taken to be in use when keys are dealt out to
-# regions. At lower use a region could keep more keys, but would have to move
-# them just when load comes.
+# Assumed utilisation of all capacity when keys are distributed over regions.
+# With a lower one a region would keep more keys, but would have to move them
+# just when the load rises.
 PLANNED_USE = 0.75
-_HASHES = 2.0**64
-# Keeps a region that should get no key of a caller's region as a last resort.
+_HASH_RANGE = 2.0**64
+# Keeps a region that should get no keys of a caller's region as a last resort.
 LEAST_SHARE = 1e-6
 
 
@@ -38,10 +39,10 @@
     capacity: Mapping[str, float],
     demand: Mapping[str, float],
 ) -> dict[str, float]:
-    """Returns which part of a region's keys belongs to each region.
+    """Returns the share of a region's keys that belongs to each region.
 
     Args:
-      own_region: the region whose callers' keys are dealt out.
+      own_region: the region whose callers' keys are distributed.
       capacity: slots of the service in each region.
       demand: expected requests from each region, in any unit.
     """
@@ -58,8 +59,8 @@
     for region, slots in capacity.items():
         if region == own_region:
             continue
-        wanted = demand.get(region, 0.0) / total_demand
-        spare[region] = max(0.0, slots / total_capacity - wanted)
+        demand_share = demand.get(region, 0.0) / total_demand
+        spare[region] = max(0.0, slots / total_capacity - demand_share)
     if not sum(spare.values()):
         for region in spare:
             spare[region] = capacity[region] / total_capacity
@@ -77,39 +78,42 @@
     capacity: Mapping[str, float],
     kept: Mapping[str, float],
 ) -> dict[str, float]:
-    """Returns shares of which regions with queues keep only a part.
+    """Returns shares from which regions with queues have handed over keys.
 
-    What goes wrong without: callers move to one region, its upstreams have
-    queues, and all keys stay as it had enough capacity for its callers.
+    `region_shares` only considers capacity and expected demand. When callers
+    move to one region and its upstreams build up queues, all keys would stay
+    there as long as its capacity is nominally sufficient.
 
     Args:
-      shares: which part of its keys belongs to each region.
+      shares: share of the keys that belongs to each region.
       capacity: slots of the service in each region.
-      kept: which part of its keys each region keeps by the plan.
+      kept: part of its keys that each region keeps by the plan, 0 to 1.
     """
-    given = {}
+    adjusted = {}
     for region, share in shares.items():
-        given[region] = share * kept.get(region, 1.0)
+        adjusted[region] = share * kept.get(region, 1.0)
     for region, share in shares.items():
         freed = share - share * kept.get(region, 1.0)
-        room = {}
+        accepting = {}
         for other, slots in capacity.items():
             if other != region:
-                room[other] = slots * kept.get(other, 1.0)
-        total_room = sum(room.values())
-        if not total_room:
-            given[region] += freed
+                accepting[other] = slots * kept.get(other, 1.0)
+        total_accepting = sum(accepting.values())
+        if not total_accepting:
+            adjusted[region] += freed
             continue
-        for other, slots in room.items():
-            given[other] = given.get(other, 0.0) + freed * slots / total_room
-    return given
+        for other, slots in accepting.items():
+            adjusted[other] = (
+                adjusted.get(other, 0.0) + freed * slots / total_accepting
+            )
+    return adjusted
 
 
 class PlacementOrders:
-    """Computes and remembers the order of upstreams for each key."""
+    """Computes and caches the order of upstreams for each key."""
 
     def __init__(self, *, own_region: str, demand: Mapping[str, float]) -> None:
-        """Makes orders for callers of one region.
+        """Creates the orders for the callers of one region.
 
         Args:
           own_region: the callers' region.
@@ -118,55 +122,57 @@
         self._own_region = own_region
         self._demand = demand
         self._plan = EMPTY
-        # By service, in the order in which its upstreams are given.
+        # By service, in the order of the upstreams passed to `order`.
         self._weights: dict[str, list[float]] = {}
-        # By service and key, what weighted rendezvous hashing drew for each
-        # upstream; the least, divided by the weight, is first.
-        self._draws: dict[tuple[str, str], list[float]] = {}
+        # By service and key, the rendezvous hash of each upstream. The upstream
+        # with the lowest quotient of hash and weight comes first.
+        self._hashes: dict[tuple[str, str], list[float]] = {}
         self._orders: dict[tuple[str, str], list[UpstreamState]] = {}
 
     def forget(self) -> None:
-        """Drops what is remembered, after the set of upstreams changed."""
-        self._draws.clear()
-        self._forget_weights()
+        """Drops all cached orders; called when the set of upstreams changes."""
+        self._hashes.clear()
+        self._clear_weights()
 
-    def _forget_weights(self) -> None:
+    def _clear_weights(self) -> None:
         self._orders.clear()
         self._weights.clear()
 
     def take_plan(self, plan: Plan) -> None:
-        """Uses a plan's weights from now on."""
+        """Applies the weights of a plan."""
         if plan == self._plan:
             return
         self._plan = plan
-        self._forget_weights()
+        self._clear_weights()
 
     def order(
         self, *, service: str, key: str, upstreams: Sequence[UpstreamState]
     ) -> list[UpstreamState]:
         """Returns the upstreams in the order of preference for a key."""
-        remembered = self._orders.get((service, key))
-        if remembered is not None:
-            return remembered
-        if len(self._draws) >= REMEMBERED_ORDERS:
+        cached = self._orders.get((service, key))
+        if cached is not None:
+            return cached
+        if len(self._hashes) >= REMEMBERED_ORDERS:
             self.forget()
         weights = self._weights.get(service)
         if weights is None:
-            weights = self._weigh(upstreams)
+            weights = self._compute_weights(upstreams)
             self._weights[service] = weights
-        draws = self._draws.get((service, key))
-        if draws is None:
-            draws = [_draw(key, upstream) for upstream in upstreams]
-            self._draws[(service, key)] = draws
+        hashes = self._hashes.get((service, key))
+        if hashes is None:
+            hashes = [_hash_score(key, upstream) for upstream in upstreams]
+            self._hashes[(service, key)] = hashes
         values = []
-        for draw, weight in zip(draws, weights, strict=True):
-            values.append(draw / weight)
+        for score, weight in zip(hashes, weights, strict=True):
+            values.append(score / weight)
         ranked = sorted(range(len(values)), key=values.__getitem__)
-        order = [upstreams[number] for number in ranked]
+        order = [upstreams[index] for index in ranked]
         self._orders[(service, key)] = order
         return order
 
-    def _weigh(self, upstreams: Sequence[UpstreamState]) -> list[float]:
+    def _compute_weights(
+        self, upstreams: Sequence[UpstreamState]
+    ) -> list[float]:
         """Returns the weight of each upstream."""
         capacity: dict[str, float] = {}
         for upstream in upstreams:
@@ -175,7 +181,7 @@
         shares = region_shares(
             own_region=self._own_region, capacity=capacity, demand=self._demand
         )
-        weighted, kept = self._planned(upstreams, capacity)
+        weighted, kept = self._apply_plan(upstreams, capacity)
         if self._plan.weights:
             shares = give_away(shares, capacity=capacity, kept=kept)
         weights = []
@@ -186,12 +192,12 @@
             weights.append(share * slots / weighted[region])
         return weights
 
-    def _planned(
+    def _apply_plan(
         self,
         upstreams: Sequence[UpstreamState],
         capacity: Mapping[str, float],
     ) -> tuple[dict[str, float], dict[str, float]]:
-        """Returns weighted slots by region, and the part of keys each keeps."""
+        """Returns weighted slots and the kept part of the keys, by region."""
         weighted = dict.fromkeys(capacity, 0.0)
         kept = dict.fromkeys(capacity, 0.0)
         for upstream in upstreams:
@@ -202,8 +208,8 @@
         return weighted, kept
 
 
-def _draw(key: str, upstream: UpstreamState) -> float:
-    """Returns what weighted rendezvous hashing draws for a key."""
+def _hash_score(key: str, upstream: UpstreamState) -> float:
+    """Returns the negative logarithm of a key's hash for an upstream."""
     name = f"{key}\0{upstream.incarnation}".encode()
-    drawn = (xxhash.xxh3_64_intdigest(name) + 1) / (_HASHES + 1)
-    return -math.log(drawn)
+    uniform = (xxhash.xxh3_64_intdigest(name) + 1) / (_HASH_RANGE + 1)
+    return -math.log(uniform)
--- a/almondstair/core/placement_plan.py
+++ b/almondstair/core/placement_plan.py
@@ -1,15 +1,14 @@
-"""Moves keys from upstreams where a queue stands to those with free slots.
+"""Moves keys from upstreams with a queue to those with free slots.
 
-Load pattern: callers move, or ask more in one region than in another, and
-upstreams there hold two to three times their slots while others of the same
-service have slots free. A single request never moves for that: its run where
-the object is new costs more than one wait, though the key's next requests
-would all be spared the wait. Requests that moved one by one would scatter each
-object over many upstreams.
+When the traffic of one region grows, its upstreams hold two to three times
+their slots while others of the same service have free slots. A single request
+does not move: an uncached run costs more than one wait, although all later
+requests for the key would be spared the wait. Requests that move one by one
+would spread each object over many upstreams.
 
 So whole keys move: a plan gives each upstream a weight in the order of keys.
-One entry makes it from the loads that
-all entries tell, and all use the same one, so that a key moves for all at once.
+One entry computes it from the loads that all entries report, and all entries
+use the same plan, so that a key moves for all of them at once.
 """
 
 from collections.abc import Iterable, Mapping
@@ -18,48 +17,48 @@
 
 from almondstair.core.upstream_state import UpstreamState
 
-# Pause between two steps of a plan, and time in which smoothed loads follow. A
-# request runs for a few tenths of a second, so the effect of a step shows in
-# the loads before the next one.
-# What goes wrong with older loads: a queue that ended still counts, keys go on
-# leaving its upstream, and the next queue stands where they went. One sees
-# upstreams with two to three times their slots beside others with room, by
-# turns. Larger steps from loads as old only make the swing wider.
-STEP_S = 0.3
-LOAD_SPAN_S = 0.3
-# Requests held, as a part of the slots, from which an upstream gives keys away,
-# below which it takes back its own, and below which it takes others'.
+# Interval between two steps of a plan, and time constant of the smoothed loads.
+# Requests run for a few tenths of a second, so the effect of a step shows in
+# the loads before the next one. With older loads a queue that has ended still
+# counts, keys keep leaving its upstream, and the next queue builds up where
+# they went: upstreams alternate between two to three times their slots and
+# spare capacity. Larger steps from loads of that age widen the oscillation.
+STEP_INTERVAL_S = 0.3
+LOAD_SMOOTHING_S = 0.3
+# Load as a multiple of the slots above which an upstream hands over keys, below
+# which it regains its own, and below which it accepts keys of others.
 QUEUED = 1.3
-HAS_ROOM = 0.8
-IDLE = 0.6
-# Part of its load before a step up to which a queue is getting shorter.
-DRAINING = 0.97
-# Factors of one step, small since steps are many: a queue goes away within some
-# seconds, and keys come back slower than they went, so that loads do not swing.
-SHRINK = 0.92
-GROW = 1.02
-# Bounds of a weight: an upstream keeps a fifth of its keys, so that its load
-# goes on showing how it does, and takes twice its part at most.
-LEAST_WEIGHT = 0.2
-MOST_WEIGHT = 2.0
-# Weights that a plan names: those that move most keys. It is told in datagrams
-# beside the loads, which take 9 bytes for each upstream; a weight takes 7.
-MOST_NAMED = 1000
+MAX_REGAIN_LOAD = 0.8
+MAX_ACCEPT_LOAD = 0.6
+# A queue shrinks if the load is at most this part of the load before the step.
+SHRINKING_QUEUE_RATIO = 0.97
+# Factors of one step. They are small since steps are frequent: a queue ends
+# within some seconds, and keys return slower than they left, so that loads do
+# not oscillate.
+SHRINK_FACTOR = 0.92
+GROW_FACTOR = 1.02
+# Limits of a weight: an upstream keeps at least a fifth of its keys, so that
+# its load still indicates its state, and gets at most twice its share.
+MIN_WEIGHT = 0.2
+MAX_WEIGHT = 2.0
+# Most weights in a plan: those that move the most keys. Datagrams carry the
+# plan beside the loads, which take 9 bytes per upstream; a weight takes 7.
+MAX_WEIGHTS = 1000
 _PERCENT = 100
 
 
 class Plan(NamedTuple):
-    """How keys are dealt out to upstreams and regions.
+    """Holds the weights that distribute keys over upstreams and regions.
 
     Attributes:
       weights: weight in percent by the hash of an incarnation; 100 for those
-        that are not named.
+        that are not listed.
     """
 
     weights: dict[int, int]
 
     def weight(self, upstream: UpstreamState) -> float:
-        """Returns the weight of an upstream; 1 where nothing is to be moved."""
+        """Returns the weight of an upstream; 1 if no keys are moved."""
         if not self.weights:
             return 1.0
         name = upstream.name_hash
@@ -70,19 +69,19 @@
 
 
 class Planner:
-    """Makes the next plan from the one in force and what is observed."""
+    """Computes the next plan from the current one and the observed loads."""
 
     def __init__(self) -> None:
-        """Starts with all upstreams alike."""
+        """Starts with equal weights."""
         self.plan = EMPTY
         self._weights: dict[int, float] = {}
         self._loads: dict[int, float] = {}
         self._step_loads: dict[int, float] = {}
-        self._observed_s = -math.inf
-        self._stepped_s = -math.inf
+        self._last_observed_s = -math.inf
+        self._last_step_s = -math.inf
 
     def take(self, plan: Plan) -> None:
-        """Goes on from a plan that another entry made."""
+        """Continues from a plan that another entry computed."""
         self.plan = plan
         self._weights = {}
         for name, percent in plan.weights.items():
@@ -94,22 +93,22 @@
         services: Mapping[str, Iterable[UpstreamState]],
         now_s: float,
     ) -> None:
-        """Takes the loads as they are; makes a step when one is due.
+        """Updates the smoothed loads and makes a step when one is due.
 
         Args:
-          services: upstreams that may get new work, by service.
-          now_s: the entry's clock.
+          services: eligible upstreams by service.
+          now_s: the entry's clock, in seconds.
         """
-        age_s = max(0.0, now_s - self._observed_s)
-        self._observed_s = now_s
-        self._smooth_loads(services, 1 - math.exp(-age_s / LOAD_SPAN_S))
-        if now_s - self._stepped_s < STEP_S:
+        age_s = max(0.0, now_s - self._last_observed_s)
+        self._last_observed_s = now_s
+        self._smooth_loads(services, 1 - math.exp(-age_s / LOAD_SMOOTHING_S))
+        if now_s - self._last_step_s < STEP_INTERVAL_S:
             return
-        self._stepped_s = now_s
+        self._last_step_s = now_s
         for upstreams in services.values():
             self._step(upstreams)
         self._step_loads = self._loads
-        self.plan = Plan(weights=self._rounded())
+        self.plan = Plan(weights=self._percent_weights())
 
     def _smooth_loads(
         self, services: Mapping[str, Iterable[UpstreamState]], share: float
@@ -132,28 +131,28 @@
         if not loads:
             return
         queue = max(loads.values()) > QUEUED
-        if queue and min(loads.values()) > HAS_ROOM:
-            # There is no room to move to.
+        if queue and min(loads.values()) > MAX_REGAIN_LOAD:
+            # No upstream has capacity for more keys.
             return
         for name, load in loads.items():
             weight = self._weights.get(name, 1.0)
             if load > QUEUED:
-                self._weights[name] = self._shrunk(name, weight, load)
+                self._weights[name] = self._shrink(name, weight, load)
             else:
-                self._weights[name] = _grown(weight, load, queue=queue)
+                self._weights[name] = _grow(weight, load, queue=queue)
 
-    def _shrunk(self, name: int, weight: float, load: float) -> float:
+    def _shrink(self, name: int, weight: float, load: float) -> float:
         """Returns the next weight of an upstream that has a queue.
 
-        A queue that gets shorter has given away enough: it stands for seconds
-        after its cause. What goes wrong without: its keys go on leaving, and
-        the next queue stands where they went.
+        The weight stays while the queue shrinks, since a queue outlasts its
+        cause by seconds. Otherwise keys would keep leaving, and the next queue
+        would build up where they went.
         """
-        if load <= DRAINING * self._step_loads.get(name, 0.0):
+        if load <= SHRINKING_QUEUE_RATIO * self._step_loads.get(name, 0.0):
             return weight
-        return max(LEAST_WEIGHT, weight * SHRINK)
+        return max(MIN_WEIGHT, weight * SHRINK_FACTOR)
 
-    def _rounded(self) -> dict[int, int]:
+    def _percent_weights(self) -> dict[int, int]:
         rounded = {}
         for name in list(self._weights):
             if name not in self._loads:
@@ -162,24 +161,30 @@
             percent = round(self._weights[name] * _PERCENT)
             if percent != _PERCENT:
                 rounded[name] = percent
-        if len(rounded) <= MOST_NAMED:
+        if len(rounded) <= MAX_WEIGHTS:
             return rounded
-        farthest = sorted(
+        largest_changes = sorted(
             rounded.items(), key=lambda item: -abs(item[1] - _PERCENT)
         )
-        return dict(farthest[:MOST_NAMED])
+        return dict(largest_changes[:MAX_WEIGHTS])
 
 
-def _grown(weight: float, load: float, *, queue: bool) -> float:
+def _grow(weight: float, load: float, *, queue: bool) -> float:
     """Returns the next weight of an upstream that has no queue.
 
     Args:
       weight: its weight before.
-      load: what it holds, as a part of its slots.
-      queue: whether another one of its service has a queue.
+      load: requests that it holds, as a multiple of its slots.
+      queue: whether another upstream of its service has a queue.
     """
     if weight < 1:
-        return min(1.0, weight * GROW) if load < HAS_ROOM else weight
+        return (
+            min(1.0, weight * GROW_FACTOR) if load < MAX_REGAIN_LOAD else weight
+        )
     if not queue:
-        return max(1.0, weight / GROW)
-    return min(MOST_WEIGHT, weight * GROW) if load < IDLE else weight
+        return max(1.0, weight / GROW_FACTOR)
+    return (
+        min(MAX_WEIGHT, weight * GROW_FACTOR)
+        if load < MAX_ACCEPT_LOAD
+        else weight
+    )
--- a/almondstair/core/placing.py
+++ b/almondstair/core/placing.py
@@ -1,8 +1,8 @@
-"""Where a request goes, from what an entry knows; None where it has no room.
+"""Places requests on upstreams by the entry's view of the deployment.
 
-The path of a decision: the order of upstreams for the request's key
-(`placement`), the choice among them (`choosing`), and how long the request may
-wait for a slot at the entry where there is none (`entry_waits`).
+A decision takes the order of upstreams for the request's key (`placement`), the
+selection among them (`choosing`), and the time for which the request may wait
+for a slot at the entry if there is none (`entry_waits`).
 """
 
 from collections.abc import Collection, Mapping
@@ -24,23 +24,25 @@
 from almondstair.core.run_times import RunTimes
 from almondstair.core.upstream_state import UpstreamState
 
-# When a caller that found no room comes back. A request runs for a few tenths
-# of a second, so a slot is free by then; later, less of its aim is left.
+# Delay after which a caller that found no capacity retries. Requests run for a
+# few tenths of a second, so a slot is free by then; a longer delay would leave
+# less of the latency target.
 NO_ROOM_RETRY_MS = 150
 
 
 class Asked(NamedTuple):
-    """A request to be placed.
+    """Holds a request that needs an upstream.
 
     Attributes:
       route: its route.
-      service: the service that takes it.
+      service: the service that handles it.
       key: the key by which it is placed.
-      arrived_s: when it arrived, on the entry's clock.
-      ends_s: when its caller or the operator gives up on it.
-      tried: ids of upstreams that had it already.
-      exposed: upstreams that it may have ended, by their hash; where there are
-        any, every entry sends it to the same next one.
+      arrived_s: its arrival on the entry's clock, in seconds.
+      ends_s: when its caller gives up or its route's timeout ends, on the
+        entry's clock, in seconds.
+      tried: ids of upstreams to which it was already sent.
+      exposed: hashes of upstreams that it may have crashed; if there are any,
+        every entry sends it to the same next one.
     """
 
     route: Route
@@ -53,14 +55,14 @@
 
 
 class Placed(NamedTuple):
-    """What was decided.
+    """Holds the result of a placement.
 
     Attributes:
-      choice: the upstream and why; None when none has room.
-      held_back: regions that get none of it, because requests change their
-        region step by step.
-      unsettled: whether it may just have ended the upstream that it would go
-        to, so that no other one may get it yet.
+      choice: the selected upstream; None if none has capacity.
+      held_back: regions that were excluded because traffic moves between
+        regions in bounded steps.
+      unsettled: whether the request may just have crashed the upstream that is
+        next for it, so that no other one may get it yet.
     """
 
     choice: Choice | None
@@ -69,7 +71,7 @@
 
 
 class Placing:
-    """Places requests of one entry."""
+    """Places the requests of one entry."""
 
     def __init__(
         self,
@@ -81,16 +83,16 @@
         cold_starts: ColdStarts,
         round_trips_s: Mapping[str, float],
     ) -> None:
-        """Makes the placing of one entry.
+        """Creates the placement of one entry.
 
         Args:
-          fleet: what is known of the deployment; its table must be there.
-          run_times: how long requests run.
-          places: which upstreams know which objects.
-          region_shares: bound on how fast requests change their region.
-          cold_starts: bound on requests to cold upstreams.
-          round_trips_s: round trip to each other region, in seconds, as they
-            are learned.
+          fleet: the entry's view of the deployment, with a routing table.
+          run_times: learned run times of requests.
+          places: which upstreams have which objects cached.
+          region_shares: limit on how fast requests move between regions.
+          cold_starts: limit on requests to cold upstreams.
+          round_trips_s: measured round trip to each other region, in seconds;
+            updated by its owner.
         """
         self._fleet = fleet
         self._run_times = run_times
@@ -98,13 +100,13 @@
         self._region_shares = region_shares
         self._cold_starts = cold_starts
         self._round_trips_s = round_trips_s
-        self._takers_version = 0
+        self._eligible_version = 0
 
     def place(self, asked: Asked, *, now_s: float) -> Placed:
-        """Returns the upstream for a request, of the regions that may get it.
+        """Returns the upstream for a request in the regions that may get it.
 
-        Requests that cannot run in their own region do not move to another
-        one: they are not counted as moves, and never held back.
+        Requests that cannot run in their own region do not count as moved to
+        another one, and no region is excluded for them.
         """
         if asked.exposed:
             return self._place_suspect(asked, now_s)
@@ -121,7 +123,7 @@
         return Placed(choice, limits.barred)
 
     def note_sent(self, asked: Asked, choice: Choice, *, now_s: float) -> None:
-        """Counts a request that goes to the upstream chosen for it."""
+        """Counts a request that is sent to its selected upstream."""
         if asked.route.by_key:
             self._places.note_sent(
                 object_hash(service=asked.service, key=asked.key),
@@ -133,19 +135,19 @@
             self._region_shares.note_sent(region, now_s=now_s)
 
     def note_disturbed(self, *, now_s: float) -> None:
-        """A try failed: its upstream's requests have to move."""
+        """Lifts the limit on moves between regions after a failed attempt."""
         self._region_shares.note_disturbed(now_s=now_s)
 
     def note_run(
         self, asked: Asked, choice: Choice, *, took_s: float, now_s: float
     ) -> None:
-        """Learns from an answer how long requests run.
+        """Updates the run times from a response.
 
         Args:
           asked: the request.
-          choice: the upstream that answered, and what was expected of it.
-          took_s: time from sending it to the whole answer, in seconds.
-          now_s: the entry's clock.
+          choice: the upstream that answered, with the estimates for it.
+          took_s: time from sending it to the complete response, in seconds.
+          now_s: the entry's clock, in seconds.
         """
         upstream = choice.upstream
         way_s = self._round_trips_s.get(upstream.region, 0.0)
@@ -154,7 +156,7 @@
             run_s=run_s, expected_s=choice.expected_s - way_s, now_s=now_s
         )
         if choice.waits:
-            # How much of it was the wait is a guess, and would spoil the mean.
+            # The share of the wait is only estimated and would bias the mean.
             return
         self._run_times.note_run(
             service=asked.service,
@@ -164,7 +166,7 @@
         )
 
     def waits_on(self, asked: Asked, *, now_s: float) -> bool:
-        """Whether a request that found no slot may wait for one."""
+        """Returns whether a request that found no slot may wait for one."""
         if not self._fleet.takers(asked.service):
             return False
         aim_s = asked.route.aim_s
@@ -182,20 +184,20 @@
             return asked.route.aim_s
         return table.shortest_aim_s(asked.service)
 
-    def _warm_places(self, asked: Asked, now_s: float) -> frozenset[int]:
+    def _cached_upstreams(self, asked: Asked, now_s: float) -> frozenset[int]:
         name = object_hash(service=asked.service, key=asked.key)
         places = self._places.at(name, now_s=now_s)
         return frozenset(filter(self._fleet.may_take, places))
 
     def _limits(self, now_s: float) -> Limits:
         version = self._fleet.takers_version
-        if version != self._takers_version:
-            self._takers_version = version
+        if version != self._eligible_version:
+            self._eligible_version = version
             self._region_shares.note_disturbed(now_s=now_s)
         return self._region_shares.limits(now_s=now_s)
 
     def _place_suspect(self, asked: Asked, now_s: float) -> Placed:
-        """Places a request that may end upstreams where all entries do."""
+        """Places a request that may crash upstreams where all entries do."""
         regions = asked.route.allowed_regions
         order = agreed_order(
             key=asked.key,
@@ -209,7 +211,8 @@
                 choice = self._choose(asked, frozenset(), now_s, [upstream])
                 return Placed(choice, frozenset())
             if now_s - upstream.unreachable_at_s <= DOUBT_LIFE_S:
-                # Another entry may have lost it there, and not told so yet.
+                # Another entry may have lost it there without having reported
+                # the loss yet.
                 return Placed(None, frozenset(), unsettled=True)
         return Placed(None, frozenset())
 
@@ -229,7 +232,7 @@
             route=route,
             service=services.get(asked.service),
             tried=asked.tried,
-            warm_places=self._warm_places(asked, now_s),
+            warm_places=self._cached_upstreams(asked, now_s),
             expected=times.expected(route=route.name, aim_s=route.aim_s),
             service_s=times.service_s(
                 service=asked.service, default_s=route.aim_s
--- a/almondstair/core/registered.py
+++ b/almondstair/core/registered.py
@@ -1,16 +1,16 @@
-"""What is registered of entries, and what changes of registrations tell."""
+"""Registrations of entries, and results of registration changes."""
 
 from typing import NamedTuple
 
 from almondstair.core.upstream_state import UpstreamRecord
 
-# What a core forwards: 1 ms of it a request (benchmarks/hops), at an assumed
-# 20 kB each way, which was not measured.
-MBPS_A_CORE = 300.0
+# Throughput of one core: a request takes 1 ms of it (benchmarks/hops), with an
+# assumed 20 kB in each direction.
+MBPS_PER_CORE = 300.0
 
 
 class Entry(NamedTuple):
-    """An entry of the fleet as it is registered.
+    """Holds an entry as it is registered.
 
     Attributes:
       name: name of its VM.
@@ -18,8 +18,8 @@
       peers: `ip:port` for other entries.
       region: its region.
       availability_zone: its availability zone.
-      cores: processors that it may use, 0 where it does not tell.
-      link_mbps: what its link carries, 0 where it does not tell.
+      cores: processors that it may use, 0 if unknown.
+      link_mbps: bandwidth of its link in Mbit/s, 0 if unknown.
     """
 
     name: str
@@ -32,21 +32,21 @@
 
     @property
     def carries_mbps(self) -> float:
-        """Returns what its VM carries, by the scarcer of its means.
+        """Returns the VM's throughput in Mbit/s, limited by cores or link.
 
-        Not in proportion to the others' means: those change with each entry
-        that comes or goes.
+        It does not depend on the other entries, which change whenever one
+        joins or leaves.
         """
-        return min(self.link_mbps, self.cores * MBPS_A_CORE)
+        return min(self.link_mbps, self.cores * MBPS_PER_CORE)
 
 
 class Taken(NamedTuple):
-    """What a registration of an upstream has changed.
+    """Holds the effect of an upstream's registration.
 
     Attributes:
       used: whether it is of the newest incarnation.
-      changed: whether it changes what is sent.
-      ended: the incarnation that a newer one took the place of, or empty.
+      changed: whether it changes how requests are sent.
+      ended: the incarnation that it replaced, or empty.
     """
 
     used: bool
@@ -55,7 +55,7 @@
 
 
 class Lapsed(NamedTuple):
-    """Registrations whose grace is over."""
+    """Holds the registrations whose grace period is over."""
 
     upstreams: list[UpstreamRecord]
     entries: list[str]
--- a/almondstair/core/routing.py
+++ b/almondstair/core/routing.py
@@ -1,17 +1,17 @@
-"""Routes of the operator's configuration and how a request finds its own."""
+"""Routes of the operator's configuration and their selection."""
 
 import enum
 from typing import NamedTuple
 
 
 class RouteKind(enum.StrEnum):
-    """What may be repeated on a route.
+    """States whether requests of a route may run more than once.
 
     Attributes:
       SAFE: idempotent; may run more than once.
-      UNSAFE: runs at most once for each try of a caller.
-      UPLOAD: as unsafe, with large bodies.
-      DOWNLOAD: as safe, with large answers.
+      UNSAFE: runs at most once for each attempt of a caller.
+      UPLOAD: like `UNSAFE`, with large bodies.
+      DOWNLOAD: like `SAFE`, with large responses.
     """
 
     SAFE = "safe"
@@ -21,32 +21,32 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether a request may run more than once."""
+        """Returns whether a request may run more than once."""
         return self in (RouteKind.SAFE, RouteKind.DOWNLOAD)
 
 
 class Destination(NamedTuple):
-    """A service that takes a share of a route's requests."""
+    """Holds a service that gets a share of a route's requests."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """One route.
+    """Holds one route of the configuration.
 
     Attributes:
-      name: the operator's name for it.
+      name: its name in the configuration.
       hostname: value of `Host` that selects it.
       prefix: start of the path; begins and ends with a slash.
-      kind: what may be repeated.
-      aim_s: time within which an answer is worth its full credit, in seconds.
-      timeout_s: longest time that a request may be kept waiting, in seconds.
-      attempts: greatest number of upstreams that one request is sent to.
-      priority: rank; 0 is the most urgent.
-      by_key: whether requests of one key profit from the same upstream.
-      destinations: where its requests go; one or a weighted split.
-      allowed_regions: regions in which it may run; empty for all.
+      kind: whether its requests may run more than once.
+      aim_s: latency target, in seconds; a later response loses credit.
+      timeout_s: longest time until a request is given up, in seconds.
+      attempts: most upstreams to which one request is sent.
+      priority: its priority; 0 is the highest.
+      by_key: whether requests for one key benefit from the same upstream.
+      destinations: services for its requests; one or a weighted split.
+      allowed_regions: regions in which its requests may run; empty for all.
     """
 
     name: str
@@ -63,14 +63,14 @@
 
 
 class ServiceRule(NamedTuple):
-    """What the operator says of a service.
+    """Holds the operator's settings of a service.
 
     Attributes:
       name: the service's name.
       health_path: path of its upstreams' health page.
-      connection_limit: connections that one upstream accepts of all callers.
-      cold_s: how long an upstream is cold after its start, in seconds.
-      cold_rate_per_s: requests a second that a cold upstream tolerates.
+      connection_limit: connections that one upstream accepts in total.
+      cold_s: time for which an upstream is cold after its start, in seconds.
+      cold_rate_per_s: requests per second that a cold upstream tolerates.
     """
 
     name: str
@@ -81,7 +81,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send and how long it may take."""
+    """Holds the limits for callers, in bytes and seconds."""
 
     header_bytes: int
     body_bytes: int
@@ -90,7 +90,7 @@
 
 
 class RoutingConfiguration(NamedTuple):
-    """The operator's configuration at one version."""
+    """Holds one version of the operator's configuration."""
 
     version: int
     limits: CallerLimits
@@ -99,7 +99,7 @@
 
 
 class RoutingTable:
-    """Finds the route of a request in time that does not grow with routes."""
+    """Finds the route of a request in time independent of their number."""
 
     def __init__(self, *, configuration: RoutingConfiguration) -> None:
         """Indexes the routes by hostname and prefix."""
@@ -111,12 +111,16 @@
             prefixes[route.prefix] = route
         self._shortest_aim_s: dict[str, float] = {}
         for route in configuration.routes:
-            for part in route.destinations:
-                before_s = self._shortest_aim_s.get(part.service, route.aim_s)
-                self._shortest_aim_s[part.service] = min(before_s, route.aim_s)
+            for destination in route.destinations:
+                before_s = self._shortest_aim_s.get(
+                    destination.service, route.aim_s
+                )
+                self._shortest_aim_s[destination.service] = min(
+                    before_s, route.aim_s
+                )
 
     def shortest_aim_s(self, service: str) -> float:
-        """Returns the shortest aim of the routes to a service, in seconds."""
+        """Returns the shortest latency target in a service, in seconds."""
         return self._shortest_aim_s.get(service, 0.0)
 
     def match(self, *, host: str, path: str) -> Route | None:
@@ -124,14 +128,14 @@
 
         Args:
           host: value of the request's `Host`, with or without a port.
-          path: path of the request, without its query.
+          path: path of the request, without the query.
         """
         name = host.rpartition(":")[0] if ":" in host else host
         prefixes = self._hosts.get(name.lower())
         if prefixes is None:
             return None
-        # Every prefix ends with a slash, so only the path's own slashes can
-        # end one: a handful of look-ups however many routes there are.
+        # Every prefix ends with a slash, so only the slashes of the path can
+        # end one: a handful of lookups, however many routes there are.
         end = path.rfind("/")
         while end >= 0:
             route = prefixes.get(path[: end + 1])
@@ -142,15 +146,16 @@
 
 
 class WeightedTurns:
-    """Deals the requests of a split route out in exact proportion.
+    """Splits the requests of a route in exact proportion to the weights.
 
-    Drawing by chance would leave a part several percent off its weight over
-    some hundred requests. Each part gains credit by its weight with every
-    request, and the part with the most credit takes it and pays for it.
+    A random selection would deviate by several percent over some hundred
+    requests. Instead, each request adds every destination's weight to its
+    credit, goes to the destination with the most credit, and costs that one the
+    sum of the weights.
     """
 
     def __init__(self) -> None:
-        """Starts with no credit."""
+        """Starts without credit."""
         self._credit: dict[str, dict[str, float]] = {}
 
     def next_service(self, *, route: Route) -> str:
@@ -158,16 +163,16 @@
         if len(route.destinations) == 1:
             return route.destinations[0].service
         credit = self._credit.get(route.name)
-        names = {part.service for part in route.destinations}
+        names = {destination.service for destination in route.destinations}
         if credit is None or credit.keys() != names:
             credit = dict.fromkeys(names, 0.0)
             self._credit[route.name] = credit
         total = 0.0
         best = route.destinations[0].service
-        for part in route.destinations:
-            total += part.weight
-            credit[part.service] += part.weight
-            if credit[part.service] > credit[best]:
-                best = part.service
+        for destination in route.destinations:
+            total += destination.weight
+            credit[destination.service] += destination.weight
+            if credit[destination.service] > credit[best]:
+                best = destination.service
         credit[best] -= total
         return best
--- a/almondstair/core/run_times.py
+++ b/almondstair/core/run_times.py
@@ -1,30 +1,31 @@
-"""How long requests run at upstreams, learned from their answers."""
+"""Estimates how long requests run at upstreams, from their responses."""
 
 from typing import NamedTuple
 
-# Least weight of the newest sample in a running mean: a change of the work
-# shows after a dozen answers, a single slow one hardly does.
-SAMPLE_WEIGHT = 0.1
-# Samples that a first guess counts for. An entry of a large fleet sees few
-# requests of a route; without, the first answer alone would decide for seconds.
-GUESS_SAMPLES = 3
-# A known object takes at most this part of the time that a new one takes.
-MOST_KNOWN_SHARE = 0.7
-# Part of a route's aim that a request is taken to run for before the first
-# answer; aims leave room for a queue and the way.
-FIRST_GUESS_SHARE = 0.6
-# Part of the run time for a new object that a known one is taken to need before
-# the first answer for one. Guessing too high lets the first seconds scatter
-# each key over many upstreams, all of which then run it as new.
-FIRST_KNOWN_SHARE = 0.4
+# Minimum weight of the newest sample in a running mean: a change of the
+# workload shows after a dozen responses, a single slow response hardly does.
+MIN_SAMPLE_WEIGHT = 0.1
+# Number of samples that the initial estimate counts as. An entry of a large
+# fleet sees few requests of a route, so the first response alone would
+# otherwise determine the mean for seconds.
+ESTIMATE_SAMPLES = 3
+# Upper limit of the run time with a cached object as a part of that without.
+MAX_CACHED_RATIO = 0.7
+# Initial run time as a part of a route's latency target, which leaves time for
+# a queue and the round trip.
+INITIAL_RUN_RATIO = 0.6
+# Initial run time with a cached object as a part of that without. With too high
+# an estimate the first seconds would spread each key over many upstreams, all
+# of which would run it uncached.
+INITIAL_CACHED_RATIO = 0.4
 
 
 class Expected(NamedTuple):
-    """How long a request is expected to run, in seconds.
+    """Holds the expected run times of a request.
 
     Attributes:
-      known_s: where its object is known.
-      new_s: where it is not.
+      known_s: run time where its object is cached, in seconds.
+      new_s: run time where it is not, in seconds.
     """
 
     known_s: float
@@ -32,70 +33,71 @@
 
 
 class RunTimes:
-    """Learns run times per route, apart for known and for new objects.
+    """Learns run times per route, separately for cached and uncached objects.
 
-    An upstream that has handled an object lately runs requests for it several
-    times faster. How much faster follows from the answers themselves.
+    An upstream that has handled an object recently runs requests for it several
+    times faster. The factor follows from the responses.
     """
 
     def __init__(self) -> None:
-        """Starts with nothing learned."""
-        self._routes: dict[tuple[str, bool], _Mean] = {}
-        self._services: dict[str, _Mean] = {}
+        """Starts without samples."""
+        self._routes: dict[tuple[str, bool], _RunningMean] = {}
+        self._services: dict[str, _RunningMean] = {}
 
     def expected(self, *, route: str, aim_s: float) -> Expected:
-        """Returns how long a request is expected to run.
+        """Returns the expected run times of a request.
 
         Args:
           route: the request's route.
-          aim_s: the route's aim, from which the first guess comes.
+          aim_s: the route's latency target in seconds, from which the initial
+            estimate is derived.
         """
-        new_s = FIRST_GUESS_SHARE * aim_s
-        new = self._routes.get((route, False))
-        if new is not None:
-            new_s = new.with_guess(new_s)
-        known_s = FIRST_KNOWN_SHARE * new_s
-        known = self._routes.get((route, True))
-        if known is not None:
-            known_s = known.with_guess(known_s)
+        new_s = INITIAL_RUN_RATIO * aim_s
+        uncached = self._routes.get((route, False))
+        if uncached is not None:
+            new_s = uncached.with_estimate(new_s)
+        known_s = INITIAL_CACHED_RATIO * new_s
+        cached = self._routes.get((route, True))
+        if cached is not None:
+            known_s = cached.with_estimate(known_s)
         return Expected(
-            known_s=min(known_s, MOST_KNOWN_SHARE * new_s), new_s=new_s
+            known_s=min(known_s, MAX_CACHED_RATIO * new_s), new_s=new_s
         )
 
     def service_s(self, *, service: str, default_s: float) -> float:
-        """Returns the mean run time over all requests of a service."""
+        """Returns the mean run time of a service's requests, in seconds."""
         mean = self._services.get(service)
-        return default_s if mean is None else mean.with_guess(default_s)
+        return default_s if mean is None else mean.with_estimate(default_s)
 
     def note_run(
         self, *, service: str, route: str, warm: bool | None, run_s: float
     ) -> None:
-        """Takes the run time that an answer shows.
+        """Adds the run time of a response.
 
-        Which kind of run it was follows from its time as soon as both kinds
-        are known. What goes wrong without: an upstream forgets objects when it
-        gets many, or another entry has brought it one; such runs count for the
-        wrong kind, the two means drift together, and requests are refused for
-        waits that they had time for.
+        Once both means are reliable, the run time itself tells whether the
+        object was cached. An upstream may have evicted it, or may have it
+        cached from another entry's request. Such runs would count for the wrong
+        mean, the two means would converge, and requests would be refused for
+        waits that their time allows.
 
         Args:
-          service: the service that ran it.
+          service: the service that ran the request.
           route: the request's route.
-          warm: whether the upstream knew the object; None if that is unsure.
-          run_s: the time in seconds.
+          warm: whether the upstream had the object cached; None if unknown.
+          run_s: the run time, in seconds.
         """
-        known = self._routes.get((route, True))
-        new = self._routes.get((route, False))
-        if known is not None and new is not None:
-            if known.settled and new.settled:
-                warm = run_s * run_s < known.mean * new.mean
+        cached = self._routes.get((route, True))
+        uncached = self._routes.get((route, False))
+        if cached is not None and uncached is not None:
+            if cached.reliable and uncached.reliable:
+                warm = run_s * run_s < cached.mean * uncached.mean
         if warm is not None:
-            self._routes.setdefault((route, warm), _Mean()).add(run_s)
-        self._services.setdefault(service, _Mean()).add(run_s)
+            self._routes.setdefault((route, warm), _RunningMean()).add(run_s)
+        self._services.setdefault(service, _RunningMean()).add(run_s)
 
 
-class _Mean:
-    """A mean over all samples at first, over the newest ones later."""
+class _RunningMean:
+    """Running mean: over all samples at first, then over the newest ones."""
 
     __slots__ = ("_count", "mean")
 
@@ -104,18 +106,18 @@
         self.mean = 0.0
 
     @property
-    def settled(self) -> bool:
-        """Whether it rests on more than a guess."""
-        return self._count >= GUESS_SAMPLES
+    def reliable(self) -> bool:
+        """Returns whether it has as many samples as the estimate counts for."""
+        return self._count >= ESTIMATE_SAMPLES
 
     def add(self, sample: float) -> None:
         self._count += 1
-        weight = max(SAMPLE_WEIGHT, 1.0 / self._count)
+        weight = max(MIN_SAMPLE_WEIGHT, 1.0 / self._count)
         self.mean += weight * (sample - self.mean)
 
-    def with_guess(self, guess: float) -> float:
-        """Returns the mean, with a guess standing in for the first samples."""
-        if self._count >= 1.0 / SAMPLE_WEIGHT:
+    def with_estimate(self, estimate: float) -> float:
+        """Returns the mean, combined with an estimate while samples are few."""
+        if self._count >= 1.0 / MIN_SAMPLE_WEIGHT:
             return self.mean
-        total = self._count + GUESS_SAMPLES
-        return (self.mean * self._count + guess * GUESS_SAMPLES) / total
+        total = self._count + ESTIMATE_SAMPLES
+        return (self.mean * self._count + estimate * ESTIMATE_SAMPLES) / total
--- a/almondstair/core/upstream_state.py
+++ b/almondstair/core/upstream_state.py
@@ -1,4 +1,4 @@
-"""What one entry believes of one upstream: load, health, coldness."""
+"""An entry's view of one upstream: load, health and cold state."""
 
 import math
 from typing import NamedTuple
@@ -7,34 +7,34 @@
 
 from almondstair.core.others_loads import OthersLoads
 
-# Half-life of what an answer told about other entries' requests. Requests last
-# a few tenths of a second, so after a second half of what ran then has ended.
+# Half-life of the number of other entries' requests that a response reported.
+# Requests last a few tenths of a second, so after a second half of them ended.
 LOAD_HALF_LIFE_S = 1.0
-# Weight of the newest sample in running means over answers.
+# Weight of the newest sample in running means over responses.
 SAMPLE_WEIGHT = 0.2
-# Half-life of what failures and slow answers tell. An upstream that is left
-# alone for them is tried again after some seconds, with few requests.
-MEMORY_HALF_LIFE_S = 4.0
-# Bounds of how much slower or faster than its service an upstream is taken to
-# be; one outlying sample should not decide for good.
-SLOWEST = 12.0
-FASTEST = 0.6
+# Half-life of the effect of failures and slow responses. An upstream that is
+# avoided because of them gets a few requests again after some seconds.
+HEALTH_HALF_LIFE_S = 4.0
+# Limits of a sample of an upstream's run time relative to its service, so that
+# a single outlier does not dominate the mean.
+MAX_SLOWNESS = 12.0
+MIN_SLOWNESS = 0.6
 
 
 class UpstreamRecord(NamedTuple):
-    """One incarnation of an upstream as service discovery lists it.
+    """Holds one incarnation of an upstream as service discovery lists it.
 
     Attributes:
-      upstream_id: its id; an upstream may start again under the one it had.
+      upstream_id: its id, which an upstream may keep when it restarts.
       service: the service that it runs.
       address: `ip:port`.
-      availability_zone: where it stands.
+      availability_zone: its availability zone.
       software_version: version of its software.
       slots: requests that it runs at once.
-      draining: whether it is about to stop and takes no new work.
-      cold_left_s: how much longer it is slow after its start, in seconds.
-      born_ms: time of its start, in milliseconds since 1970; 0 where it does
-        not tell.
+      draining: whether it is about to stop and accepts no new requests.
+      cold_left_s: remaining time for which it is cold after its start, in
+        seconds.
+      born_ms: time of its start, in milliseconds since 1970; 0 if unknown.
     """
 
     upstream_id: str
@@ -49,20 +49,20 @@
 
     @property
     def incarnation(self) -> str:
-        """Returns a name that no other start of an upstream has."""
+        """Returns a name that is unique to this start of the upstream."""
         if not self.born_ms:
             return self.upstream_id
-        # No id has a space.
+        # Ids contain no spaces.
         return f"{self.upstream_id} {self.born_ms}"
 
 
 def incarnation_hash(incarnation: str) -> int:
-    """Returns the short name of an incarnation in messages between entries."""
+    """Returns the hash that identifies an incarnation between entries."""
     return xxhash.xxh32_intdigest(incarnation.encode())
 
 
 class ToldLoad(NamedTuple):
-    """The load that an upstream states in an answer."""
+    """Holds the load that an upstream reports in a response."""
 
     running: int
     waiting: int
@@ -70,18 +70,19 @@
 
 
 class UpstreamState:
-    """Load and health of one upstream.
+    """Tracks the load and health of one upstream.
 
     Attributes:
-      record: what service discovery says.
-      incarnation: its name as long as it runs.
-      name_hash: hash of its incarnation, by which entries call it.
+      record: its registration.
+      incarnation: name of its incarnation.
+      name_hash: hash of its incarnation, as used between entries.
       region: its region.
-      in_flight: requests of this entry that it holds now.
-      cold_until_s: until when it is cold, on the entry's clock.
-      was_unreachable: whether no connection was accepted since the last one
-        failed.
-      unreachable_at_s: when the first of those failed, on the entry's clock.
+      in_flight: requests of this entry that are in flight to it.
+      cold_until_s: until when it is cold, on the entry's clock, in seconds.
+      was_unreachable: whether it has accepted no connection since the last
+        failed one.
+      unreachable_at_s: time of the first of those failures, on the entry's
+        clock, in seconds.
     """
 
     def __init__(
@@ -91,12 +92,12 @@
         region: str,
         loads: OthersLoads | None = None,
     ) -> None:
-        """Starts calm: nothing against it.
+        """Starts without load or failures.
 
         Args:
-          record: what service discovery says.
+          record: its registration.
           region: its region.
-          loads: what other entries have at all upstreams.
+          loads: requests of other entries at all upstreams.
         """
         self.record = record
         self.incarnation = record.incarnation
@@ -107,128 +108,131 @@
         self.cold_until_s = 0.0
         self.was_unreachable = False
         self.unreachable_at_s = -math.inf
-        self._told_others = 0.0
-        self._told_at_s = -math.inf
-        self._on_trial = False
-        self._trial_running = False
+        self._reported_others = 0.0
+        self._reported_at_s = -math.inf
+        self._on_probation = False
+        self._probe_running = False
         self._failures = 0.0
         self._slowness_log = 0.0
-        self._judged_at_s = 0.0
+        self._decayed_at_s = 0.0
 
     # Load.
 
     @property
     def others(self) -> int:
-        """Returns the requests of other entries that it holds, as they tell."""
+        """Returns the number of requests that other entries report for it."""
         return self._loads.at(self.name_hash)
 
     def take_load(self, told: ToldLoad, *, now_s: float) -> None:
-        """Takes the load that an answer states.
+        """Applies the load that a response reports.
 
-        The answered request may still be counted there; it counts here too
-        until its answer is handled, so that the difference is others' work.
+        The upstream may still count the answered request. This entry counts it
+        too until its response is handled, so that the difference is the load of
+        other entries.
         """
         busy = told.running + told.waiting
-        self._told_others = max(0.0, float(busy - self.in_flight))
-        self._told_at_s = now_s
+        self._reported_others = max(0.0, float(busy - self.in_flight))
+        self._reported_at_s = now_s
 
     def busy(self, *, now_s: float, peers_heard: bool) -> float:
-        """Returns how many requests it is believed to hold.
+        """Returns the estimated number of requests that it holds.
 
         Args:
-          now_s: the entry's clock.
-          peers_heard: whether every other entry tells what it has there; the
-            sum is then nearly exact, and fresher than the last answer.
+          now_s: the entry's clock, in seconds.
+          peers_heard: whether every other entry reports its load there; the
+            sum is then nearly exact, and newer than the last response.
         """
         known = float(self.in_flight + self.others)
         if peers_heard:
             return known
-        age_s = now_s - self._told_at_s
+        age_s = now_s - self._reported_at_s
         if age_s > 8 * LOAD_HALF_LIFE_S:
             return known
-        others = self._told_others * 0.5 ** (age_s / LOAD_HALF_LIFE_S)
+        others = self._reported_others * 0.5 ** (age_s / LOAD_HALF_LIFE_S)
         return max(known, self.in_flight + others)
 
     def load_age_s(self, *, now_s: float) -> float:
-        """Returns the age of its last own word on its load, in seconds."""
-        return now_s - self._told_at_s
+        """Returns the age of the load that it last reported, in seconds."""
+        return now_s - self._reported_at_s
 
     # Reachability.
 
     def paused(self) -> bool:
-        """Whether it is left alone after it could not be reached."""
+        """Returns whether it gets no requests after it was unreachable."""
         if self.was_unreachable:
             return True
-        # Once it is back, one request at a time finds out whether it works.
-        return self._on_trial and self._trial_running
+        # After it is reachable again, one request at a time probes it.
+        return self._on_probation and self._probe_running
 
     def note_unreachable(self, *, now_s: float = -math.inf) -> None:
-        """Counts a failure to reach it: it gets nothing until it is reached."""
+        """Records a failed connection; it is paused until one is accepted."""
         if not self.was_unreachable:
             self.unreachable_at_s = now_s
-        self._trial_running = False
-        self._on_trial = True
+        self._probe_running = False
+        self._on_probation = True
         self.was_unreachable = True
 
     def note_reached(self) -> None:
-        """It has taken a new connection."""
+        """Records that it accepted a new connection."""
         self.was_unreachable = False
 
     def note_sent(self) -> None:
-        """Counts a request that goes to it."""
+        """Counts a request that is sent to it."""
         self.in_flight += 1
-        if self._on_trial:
-            self._trial_running = True
+        if self._on_probation:
+            self._probe_running = True
 
     def note_ended(self) -> None:
-        """Counts a request that has left it."""
+        """Counts a request that has ended."""
         self.in_flight -= 1
-        self._trial_running = False
+        self._probe_running = False
 
-    # What answers show.
+    # Failures and run times.
 
     def note_answer(self, *, good: bool, now_s: float) -> None:
-        """Counts an answer, good or a failure of its own."""
-        self._fade(now_s)
+        """Counts a response as a success or as a failure of the upstream."""
+        self._decay(now_s)
         if good:
-            self._on_trial = False
+            self._on_probation = False
         sample = 0.0 if good else 1.0
         self._failures += SAMPLE_WEIGHT * (sample - self._failures)
 
     def note_run(
         self, *, run_s: float, expected_s: float, now_s: float
     ) -> None:
-        """Compares a run with what its service needs for it.
+        """Compares a run time with the one expected for its service.
 
-        A run that was cut off counts with the time that it had.
+        A run that was aborted counts with its time until then.
         """
-        self._fade(now_s)
+        self._decay(now_s)
         ratio = run_s / max(expected_s, 0.001)
-        sample = math.log(min(SLOWEST, max(FASTEST, ratio)))
+        sample = math.log(min(MAX_SLOWNESS, max(MIN_SLOWNESS, ratio)))
         self._slowness_log += SAMPLE_WEIGHT * (sample - self._slowness_log)
 
-    def _fade(self, now_s: float) -> None:
-        kept = 0.5 ** (max(0.0, now_s - self._judged_at_s) / MEMORY_HALF_LIFE_S)
-        self._failures *= kept
-        self._slowness_log *= kept
-        self._judged_at_s = now_s
+    def _decay(self, now_s: float) -> None:
+        factor = 0.5 ** (
+            max(0.0, now_s - self._decayed_at_s) / HEALTH_HALF_LIFE_S
+        )
+        self._failures *= factor
+        self._slowness_log *= factor
+        self._decayed_at_s = now_s
 
     def failure_share(self, *, now_s: float) -> float:
-        """Returns the part of its answers that are failures, 0 to 1."""
-        age_s = max(0.0, now_s - self._judged_at_s)
-        return self._failures * 0.5 ** (age_s / MEMORY_HALF_LIFE_S)
+        """Returns the share of failures among its responses, 0 to 1."""
+        age_s = max(0.0, now_s - self._decayed_at_s)
+        return self._failures * 0.5 ** (age_s / HEALTH_HALF_LIFE_S)
 
     def slowness(self, *, now_s: float) -> float:
-        """Returns how many times longer than its service it runs requests.
+        """Returns its run time as a multiple of its service's.
 
-        Operators see it. Requests are not placed by it: a slow upstream has
-        more of its slots taken, which says the same sooner, and one that runs
-        new objects for a while is not slow.
+        It is shown to operators. It does not affect placement: a slow upstream
+        has more of its slots in use, which shows sooner, and one that runs
+        uncached objects for a while is not slow.
         """
-        age_s = max(0.0, now_s - self._judged_at_s)
-        kept = 0.5 ** (age_s / MEMORY_HALF_LIFE_S)
-        return math.exp(self._slowness_log * kept)
+        age_s = max(0.0, now_s - self._decayed_at_s)
+        factor = 0.5 ** (age_s / HEALTH_HALF_LIFE_S)
+        return math.exp(self._slowness_log * factor)
 
     def cold(self, *, now_s: float) -> bool:
-        """Whether it is believed cold."""
+        """Returns whether it is considered cold."""
         return now_s < self.cold_until_s
--- a/almondstair/core/zone_roles.py
+++ b/almondstair/core/zone_roles.py
@@ -1,10 +1,10 @@
-"""Which entries of an availability zone work for the whole zone.
+"""Selects the entries that do work for their whole availability zone.
 
-Some work would grow with the square of the entries, or cost a call to the
-store for each of them, if every entry did it. A few entries of each zone do it
-for the others: those whose VMs carry most, and among equals by a hash of their
-names, so that entries agree without a vote; two that both think it is their
-turn do no harm.
+Some work would grow with the square of the number of entries, or would cost a
+call to the store per entry, if every entry did it. A few entries of each zone
+do it for the others: those whose VMs have the highest throughput, and among
+equals by a hash of their names, so that entries agree without an election. Two
+entries that both consider themselves selected do no harm.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -15,26 +15,26 @@
 
 
 def in_turn(entries: Iterable[Entry], *, zone: str) -> list[Entry]:
-    """Returns the entries of a zone in the order of their turn."""
+    """Returns the entries of a zone, ranked for its work."""
     return turns(entries).get(zone, [])
 
 
 def turns(entries: Iterable[Entry]) -> dict[str, list[Entry]]:
-    """Returns the entries of each zone in the order of their turn."""
+    """Returns the entries of each zone, ranked for its work."""
     found: dict[str, list[Entry]] = {}
     for entry in entries:
         found.setdefault(entry.availability_zone, []).append(entry)
     for members in found.values():
-        members.sort(key=_turn)
+        members.sort(key=_sort_key)
     return found
 
 
-def _turn(entry: Entry) -> tuple[float, int]:
-    """Returns an entry's place; the least comes first.
+def _sort_key(entry: Entry) -> tuple[float, int]:
+    """Returns an entry's sort key; the lowest comes first.
 
-    What goes wrong by hash alone: a VM with a link of 10 Mbit/s reads half a
-    megabyte of configuration for its zone beside its callers' bodies, and the
-    zone has it seconds after the others.
+    With a hash alone, a VM with a link of 10 Mbit/s could read half a megabyte
+    of configuration for its zone besides its callers' bodies, and the zone
+    would apply it seconds after the others.
     """
     digest = xxhash.xxh32_intdigest(entry.name.encode())
     return (-entry.carries_mbps, digest)
@@ -46,12 +46,12 @@
     own_name: str,
     alive: Callable[[Entry], bool],
 ) -> Entry | None:
-    """Returns the first entry in turn that is taken to be alive.
+    """Returns the highest-ranked entry that is considered alive.
 
     Args:
-      candidates: entries of a zone in the order of their turn.
+      candidates: entries of a zone by rank.
       own_name: name of this entry, which is alive.
-      alive: whether another entry is taken to be alive.
+      alive: returns whether another entry is considered alive.
     """
     for entry in candidates:
         if entry.name == own_name or alive(entry):
--- a/almondstair/platform/__init__.py
+++ b/almondstair/platform/__init__.py
@@ -1,1 +1,1 @@
-"""How the gateway's platform speaks: names, formats and calls, no decisions."""
+"""Names, formats and calls of the users' platform."""
--- a/almondstair/platform/boot.py
+++ b/almondstair/platform/boot.py
@@ -11,7 +11,7 @@
 
 
 class Listen(NamedTuple):
-    """Addresses to listen on, `ip:port`; empty where a role lacks one."""
+    """Holds the listen addresses, `ip:port`; empty if a role has none."""
 
     callers: str
     ready: str
@@ -20,11 +20,11 @@
 
 
 class VmMeans(NamedTuple):
-    """What the VM has.
+    """Holds the resources of the VM.
 
     Attributes:
-      cores: processors that the process may use, 0 where it is not told.
-      link_mbps: what its link carries, 0 where it is not told.
+      cores: processors that the process may use, 0 if unknown.
+      link_mbps: bandwidth of its link in Mbit/s, 0 if unknown.
     """
 
     cores: float
@@ -32,12 +32,12 @@
 
 
 class StoreSettings(NamedTuple):
-    """The platform's store.
+    """Holds the settings of the platform's store.
 
     Attributes:
       address: `ip:port`.
-      shortest_lease_s: shortest life of a lease in seconds.
-      heartbeat_s: about how often upstreams write to it, in seconds.
+      shortest_lease_s: shortest TTL of a lease, in seconds.
+      heartbeat_s: approximate interval of the upstreams' writes, in seconds.
     """
 
     address: str
@@ -46,20 +46,21 @@
 
 
 class Bounds(NamedTuple):
-    """What the operators bind the system to; spans in seconds.
+    """Holds the operators' limits; durations are in seconds.
 
     Attributes:
-      drain_s: from an upstream's leaving to the last request to it.
-      stop_s: from SIGTERM to SIGKILL.
-      configuration_s: from an edit's acknowledgement to it being in force.
-      retry_ratio: second tries for each request of a service.
-      retry_slack: second tries besides, over all entries.
-      retry_window_s: window in which second tries are counted.
+      drain_s: time from an upstream's draining to the last request to it.
+      stop_s: time from SIGTERM to SIGKILL.
+      configuration_s: time from the acknowledgement of an edit until it is
+        applied.
+      retry_ratio: retries per request of a service.
+      retry_slack: retries allowed in addition, over all entries.
+      retry_window_s: window in which retries are counted.
       cold_over: factor on the rate that a cold upstream tolerates.
-      cold_slack: requests a second besides, over all entries.
-      lookup_ttl_s: longest time that callers keep a look-up.
-      region_change: part of a region's requests that may run in another
-        region than before from one window to the next; 1 where unbounded.
+      cold_slack: requests per second allowed in addition, over all entries.
+      lookup_ttl_s: longest time for which callers keep a lookup.
+      region_change: part of a region's requests that may change their region
+        from one window to the next; 1 if unlimited.
     """
 
     drain_s: float
@@ -75,20 +76,20 @@
 
 
 class BootSettings(NamedTuple):
-    """What a process is told at its start.
+    """Holds the settings of a process at its start.
 
     Attributes:
       entry_name: name of this VM.
       region: its region.
       availability_zone: its availability zone.
       ip: its address.
-      means: what the VM has.
-      listen: what it listens on.
+      means: resources of the VM.
+      listen: listen addresses.
       peer_ports: first and last port for traffic between entries.
-      seeds: addresses at which some entries serve others; perhaps stale.
+      seeds: addresses of some entries for their peers; may be outdated.
       zones: region of each availability zone.
-      store: the platform's store.
-      bounds: what the operators bind the system to.
+      store: settings of the platform's store.
+      bounds: the operators' limits.
     """
 
     entry_name: str
@@ -105,7 +106,7 @@
 
 
 def load(path: str) -> BootSettings:
-    """Reads the settings file; fields that are not known are ignored.
+    """Reads the settings file; unknown fields are ignored.
 
     Raises:
       AlmondstairError: `settings_invalid`, with file, key and remedy.
@@ -118,11 +119,11 @@
             kind=ErrorKind.SETTINGS_INVALID,
             detail=f"{path}: {error}; check {PATH_VARIABLE} and the file",
         ) from error
-    return _decode(_Reader(path=path, tables=tables))
+    return _decode(_SettingsReader(path=path, tables=tables))
 
 
-class _Reader:
-    """Reads typed values by dotted key and names the key when one is bad."""
+class _SettingsReader:
+    """Reads typed values by dotted key and names the key of invalid ones."""
 
     def __init__(self, *, path: str, tables: dict[str, Any]) -> None:
         self._path = path
@@ -136,10 +137,10 @@
             value = value[part]
         return value
 
-    def _bad(self, key: str, wanted: str) -> AlmondstairError:
+    def _invalid(self, key: str, expected: str) -> AlmondstairError:
         return AlmondstairError(
             kind=ErrorKind.SETTINGS_INVALID,
-            detail=f"{self._path}: {key} must be {wanted}; mend the file",
+            detail=f"{self._path}: {key} must be {expected}; correct the file",
         )
 
     def text(self, key: str, default: str | None = None) -> str:
@@ -147,7 +148,7 @@
         if value is None and default is not None:
             return default
         if not isinstance(value, str):
-            raise self._bad(key, "a string")
+            raise self._invalid(key, "a string")
         return value
 
     def number(self, key: str, default: float | None = None) -> float:
@@ -155,18 +156,18 @@
         if value is None and default is not None:
             return default
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise self._bad(key, "a number")
+            raise self._invalid(key, "a number")
         if value < 0:
-            raise self._bad(key, "0 or more")
+            raise self._invalid(key, "0 or more")
         return float(value)
 
     def ports(self, key: str) -> tuple[int, int]:
         value = self._find(key)
         if not isinstance(value, list) or len(value) != 2:
-            raise self._bad(key, "a list of two ports")
+            raise self._invalid(key, "a list of two ports")
         first, last = value
         if not isinstance(first, int) or not isinstance(last, int):
-            raise self._bad(key, "a list of two ports")
+            raise self._invalid(key, "a list of two ports")
         return first, last
 
     def texts(self, key: str) -> tuple[str, ...]:
@@ -174,23 +175,23 @@
         if value is None:
             return ()
         if not isinstance(value, list):
-            raise self._bad(key, "a list of strings")
+            raise self._invalid(key, "a list of strings")
         for item in value:
             if not isinstance(item, str):
-                raise self._bad(key, "a list of strings")
+                raise self._invalid(key, "a list of strings")
         return tuple(value)
 
     def strings(self, key: str) -> dict[str, str]:
         value = self._find(key)
         if not isinstance(value, dict):
-            raise self._bad(key, "a table")
+            raise self._invalid(key, "a table")
         for item in value.values():
             if not isinstance(item, str):
-                raise self._bad(key, "a table of strings")
+                raise self._invalid(key, "a table of strings")
         return value
 
 
-def _decode(reader: _Reader) -> BootSettings:
+def _decode(reader: _SettingsReader) -> BootSettings:
     listen = Listen(
         callers=reader.text("network.listen.front"),
         ready=reader.text("network.listen.ready"),
--- a/almondstair/platform/documents.py
+++ b/almondstair/platform/documents.py
@@ -1,6 +1,7 @@
-"""What operators and upstreams write to the platform's store, decoded.
+"""Decodes and encodes the documents in the platform's store.
 
-The wire's field names end here: everything else works on the types of `core`.
+The field names of the documents are used only here; all other code works on the
+types of `core`.
 """
 
 from collections.abc import Sequence
@@ -24,17 +25,17 @@
 EVACUATION_PREFIX = "op/evacuate/"
 UPSTREAM_PREFIX = "servers/"
 OPERATOR_PREFIX = "op/"
-# Of the entries themselves; operators and upstreams do not write there.
+# Registrations of entries; operators and upstreams do not write there.
 ENTRY_PREFIX = "almondstair/entries/"
-# What a registration may state. Beyond lie words of another writer, which
-# would draw all work to one address or keep it cold for good: 1,000 times the
-# slots of the largest upstream known, an hour, and the whole numbers that each
-# JSON library reads alike.
-MOST_SLOTS = 64_000
-MOST_COLD_S = 3600.0
-MOST_WHOLE = 2**53 - 1
-# An id goes into a header of each request for the upstream.
-_ID = re.compile(r"[!-~]{1,200}")
+# Limits of the values in a registration: 1,000 times the slots of the largest
+# known upstream, an hour, and the integers that all JSON libraries read alike.
+# Larger values come from another writer, and would draw all traffic to one
+# address or keep an upstream cold forever.
+MAX_SLOTS = 64_000
+MAX_COLD_S = 3600.0
+MAX_SAFE_INTEGER = 2**53 - 1
+# The id is sent in a header of each request to the upstream.
+_UPSTREAM_ID = re.compile(r"[!-~]{1,200}")
 _VERSION_BASE = 16
 _KINDS = {str(kind): kind for kind in RouteKind}
 
@@ -49,7 +50,7 @@
 
 
 class _Action(msgspec.Struct, rename="camel"):
-    # `timeoutS` and its like end in a unit that `camel` spells right.
+    # `camel` also converts suffixes of units, as in `timeoutS`.
     timeout_s: float = 0.0
     attempts: int = 1
     service: str = ""
@@ -99,15 +100,15 @@
     address: str
     zone: str
     version: str
-    slots: Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     state: Literal["ready", "draining"]
-    cold_left_s: Annotated[float, msgspec.Meta(ge=0, le=MOST_COLD_S)]
-    seq: Annotated[int, msgspec.Meta(ge=0, le=MOST_WHOLE)]
-    born: Annotated[int, msgspec.Meta(ge=0, le=MOST_WHOLE)] = 0
+    cold_left_s: Annotated[float, msgspec.Meta(ge=0, le=MAX_COLD_S)]
+    seq: Annotated[int, msgspec.Meta(ge=0, le=MAX_SAFE_INTEGER)]
+    born: Annotated[int, msgspec.Meta(ge=0, le=MAX_SAFE_INTEGER)] = 0
 
 
 class EntryRecord(msgspec.Struct):
-    """An entry as it registers itself for look-ups and for its peers.
+    """Holds an entry's registration for lookups and for its peers.
 
     Attributes:
       callers: `ip:port` for callers.
@@ -115,8 +116,8 @@
       region: its region.
       availability_zone: its availability zone.
       incarnation: differs with each start of the process.
-      cores: processors that it may use, 0 where it does not tell.
-      link_mbps: what its link carries, 0 where it does not tell.
+      cores: processors that it may use, 0 if unknown.
+      link_mbps: bandwidth of its link in Mbit/s, 0 if unknown.
     """
 
     callers: str
@@ -179,7 +180,7 @@
         parts.append(Destination(service=part.service, weight=part.weight))
     if not parts:
         parts.append(Destination(service=action.service, weight=1.0))
-    # What is not known to be repeatable is treated as not repeatable.
+    # Requests of unknown route types are treated as not repeatable.
     kind = _KINDS.get(rule.route_type, RouteKind.UNSAFE)
     return Route(
         name=rule.name,
@@ -199,15 +200,15 @@
 def read_upstream(key: str, value: bytes) -> UpstreamRecord | None:
     """Decodes a registration of an upstream.
 
-    Anybody may write there. What goes wrong without being strict: a word of
-    another writer takes the place of an upstream's own, and its requests go to
-    an address that is none, or nowhere.
+    The keys are writable by others. Validation is strict, as an invalid value
+    of another writer would otherwise replace an upstream's registration, and
+    its requests would go to an invalid address or nowhere.
 
     Returns:
-      The registration; None where it names no upstream to use.
+      The registration; None if it is invalid.
     """
     upstream_id = key.removeprefix(UPSTREAM_PREFIX)
-    if _ID.fullmatch(upstream_id) is None:
+    if _UPSTREAM_ID.fullmatch(upstream_id) is None:
         return None
     try:
         wire = _UPSTREAM.decode(value)
@@ -229,7 +230,7 @@
 
 
 def read_entry(value: bytes) -> EntryRecord | None:
-    """Decodes an entry's registration; None when it names none to use."""
+    """Decodes an entry's registration; returns None if it is invalid."""
     try:
         record = _ENTRY.decode(value)
     except msgspec.MsgspecError:
--- a/almondstair/platform/kv.py
+++ b/almondstair/platform/kv.py
@@ -1,4 +1,4 @@
-"""The calls of the users' key-value store."""
+"""Client of the users' key-value store."""
 
 import base64
 from typing import NamedTuple
@@ -10,8 +10,8 @@
 from almondstair.errors import ErrorKind
 from almondstair.gateway.http_calls import HttpCaller
 
-# An answer takes milliseconds; one that takes longer than this is on a
-# connection that has gone silent, or the store is in trouble.
+# Responses take milliseconds. A longer time means a dead connection or a
+# failure of the store.
 CALL_TIMEOUT_S = 1.0
 _OK = 200
 _NOT_FOUND = 404
@@ -19,11 +19,11 @@
 
 
 class Item(NamedTuple):
-    """One key of the store at one revision.
+    """Holds one key of the store at one revision.
 
     Attributes:
-      key: its name.
-      value: its bytes, None when it was removed.
+      key: name of the key.
+      value: its value, None if the key was removed.
       revision: the store's revision of this change.
     """
 
@@ -33,7 +33,7 @@
 
 
 class Page(NamedTuple):
-    """Part of a listing."""
+    """Holds one page of a listing or of changes."""
 
     items: list[Item]
     more: bool
@@ -62,18 +62,20 @@
 _LEASE = msgspec.json.Decoder(_WireLease)
 
 
-def _item(wire: _WireItem) -> Item:
+def _decode_item(wire: _WireItem) -> Item:
     if wire.removed:
         return Item(key=wire.key, value=None, revision=wire.revision)
-    return Item(key=wire.key, value=_value(wire.value), revision=wire.revision)
+    return Item(
+        key=wire.key, value=_decode_value(wire.value), revision=wire.revision
+    )
 
 
-def _value(text: str) -> bytes:
-    """Returns a value's bytes, those of the text itself if it is not encoded.
+def _decode_value(text: str) -> bytes:
+    """Decodes a value; returns the text's own bytes if it is not base64.
 
-    What goes wrong without: one value that another writer left makes the whole
-    answer unreadable, and every entry loses touch with the store for as long
-    as the key is there. Such bytes name nothing to use for any reader.
+    A single value of another writer would otherwise make the whole response
+    unreadable, and every entry would lose the store for as long as the key
+    exists. Readers reject such bytes as invalid.
     """
     try:
         return base64.b64decode(text, validate=True)
@@ -82,45 +84,45 @@
 
 
 class KvClient:
-    """Speaks to the store; every failure is `platform_unavailable`.
+    """Calls the store; every failure is `platform_unavailable`.
 
     Attributes:
-      calls: calls made, by kind.
+      calls: number of calls by kind.
     """
 
     def __init__(self, *, address: str) -> None:
-        """Makes a client of the store at `ip:port`."""
-        self._caller = HttpCaller(address=address)
+        """Creates a client of the store at `ip:port`."""
+        self._http_caller = HttpCaller(address=address)
         self.calls: dict[str, int] = {}
 
     def move(self, address: str) -> None:
-        """Calls another address from now on; running calls fail."""
-        self._caller.close()
-        self._caller = HttpCaller(address=address)
+        """Replaces the store's address; calls in flight fail."""
+        self._http_caller.close()
+        self._http_caller = HttpCaller(address=address)
 
     def close(self) -> None:
-        """Closes the connections."""
-        self._caller.close()
+        """Closes all connections."""
+        self._http_caller.close()
 
     async def _call(
         self, kind: str, method: str, path: str, body: bytes = b""
     ) -> tuple[int, bytes]:
         self.calls[kind] = self.calls.get(kind, 0) + 1
         try:
-            return await self._caller.call(
+            return await self._http_caller.call(
                 method=method, path=path, body=body, timeout_s=CALL_TIMEOUT_S
             )
         except (OSError, TimeoutError) as error:
             raise AlmondstairError(
                 kind=ErrorKind.PLATFORM_UNAVAILABLE,
-                detail=f"{kind}: {str(error) or 'no answer in time'}",
+                detail=f"{kind}: {str(error) or 'no response in time'}",
             ) from error
 
     @staticmethod
-    def _refused(kind: str, status: int) -> AlmondstairError:
+    def _status_error(kind: str, status: int) -> AlmondstairError:
         return AlmondstairError(
             kind=ErrorKind.PLATFORM_UNAVAILABLE,
-            detail=f"{kind}: the store answered {status}",
+            detail=f"{kind}: the store returned status {status}",
         )
 
     async def list_page(
@@ -130,8 +132,8 @@
 
         Args:
           prefix: start of the keys.
-          after: last key of the page before.
-          stale: whether an answer may be seconds old; it costs a tenth.
+          after: last key of the previous page.
+          stale: whether the response may be seconds old; it costs a tenth.
         """
         query = {"prefix": prefix}
         if after:
@@ -141,18 +143,18 @@
         path = "/kv-range?" + parse.urlencode(query)
         status, body = await self._call("list", "GET", path)
         if status != _OK:
-            raise self._refused("list", status)
+            raise self._status_error("list", status)
         return _read_page(body)
 
     async def changes(
         self, *, prefix: str, after: int, wait_ms: int
     ) -> Page | None:
-        """Returns what has changed, None when that history is dropped.
+        """Returns the changes since a revision, None if it was compacted.
 
         Args:
           prefix: start of the keys.
-          after: revision from which on changes are wanted.
-          wait_ms: how long the store waits for a change.
+          after: revision after which changes are returned.
+          wait_ms: how long the store waits for a change, in milliseconds.
         """
         query = {"prefix": prefix, "after": after, "waitMs": wait_ms}
         path = "/kv-watch?" + parse.urlencode(query)
@@ -160,28 +162,28 @@
         if status == _COMPACTED:
             return None
         if status != _OK:
-            raise self._refused("watch", status)
+            raise self._status_error("watch", status)
         return _read_page(body)
 
     async def grant_lease(self, *, ttl_s: float) -> int:
-        """Returns a new lease."""
+        """Creates a lease and returns its id."""
         body = msgspec.json.encode({"ttlS_time": ttl_s})
-        status, answer = await self._call("lease", "POST", "/kv-lease", body)
+        status, response = await self._call("lease", "POST", "/kv-lease", body)
         if status != _OK:
-            raise self._refused("lease", status)
+            raise self._status_error("lease", status)
         try:
-            return _LEASE.decode(answer).lease
+            return _LEASE.decode(response).lease
         except msgspec.MsgspecError as error:
-            raise self._refused("lease", status) from error
+            raise self._status_error("lease", status) from error
 
     async def keep_lease(self, lease: int) -> bool:
-        """Renews a lease; returns whether it was still alive."""
+        """Renews a lease; returns whether it still existed."""
         path = f"/kv-keep/{lease}"
         status, _ = await self._call("keep", "POST", path)
         if status == _NOT_FOUND:
             return False
         if status != _OK:
-            raise self._refused("keep", status)
+            raise self._status_error("keep", status)
         return True
 
     async def end_lease(self, lease: int) -> None:
@@ -189,10 +191,10 @@
         path = f"/kv-lease-end/{lease}"
         status, _ = await self._call("end", "DELETE", path)
         if status not in (_OK, _NOT_FOUND):
-            raise self._refused("end", status)
+            raise self._status_error("end", status)
 
     async def put(self, *, key: str, value: bytes, lease: int) -> bool:
-        """Writes a key under a lease; returns whether the lease lived."""
+        """Writes a key under a lease; returns whether the lease existed."""
         put = {
             "key": key,
             "value": base64.b64encode(value).decode(),
@@ -205,17 +207,17 @@
         if status == _NOT_FOUND:
             return False
         if status != _OK:
-            raise self._refused("write", status)
+            raise self._status_error("write", status)
         return True
 
 
 def _read_page(body: bytes) -> Page:
     try:
         wire = _PAGE.decode(body)
-        items = [_item(item) for item in wire.items + wire.events]
+        items = [_decode_item(item) for item in wire.items + wire.events]
     except (msgspec.MsgspecError, ValueError) as error:
         raise AlmondstairError(
             kind=ErrorKind.PLATFORM_UNAVAILABLE,
-            detail=f"the store's answer is unreadable: {error}",
+            detail=f"the store's response is invalid: {error}",
         ) from error
     return Page(items=items, more=wire.has_more, revision=wire.as_of)
