--- a/almondstair/core/choosing.py
+++ b/almondstair/core/choosing.py
@@ -12,7 +12,7 @@
 
 # Cost in seconds of each position further down in a key's order. It only
 # breaks ties, so that entries without any load reports choose alike.
-PLACE_COST_S = 0.002
+POSITION_COST_S = 0.002
 # Cost of running an object where it is not cached, as a factor on the
 # additional run time: a minimum, and a part that grows with the utilisation of
 # the service, because the longer run takes capacity from other requests.
@@ -25,11 +25,11 @@
 CROWDED_USE = 0.8
 # Part of an upstream's slots that stays free for the next higher priority.
 RESERVE_SHARE = 0.25
-# A request that has to wait is sent only if its expected time to the response is
-# at most these parts of its latency target and of the time until it is given
+# A request that has to wait is sent only if its expected time to the response
+# is at most these parts of its latency target and of the time until it is given
 # up. A longer queue would make every response late, so the request is refused.
 WAIT_AIM_SHARE = 1.6
-TIME_USED_SHARE = 0.9
+WAIT_TIME_SHARE = 0.9
 
 
 class Choice(NamedTuple):
@@ -123,7 +123,7 @@
             # Most of a few hundred upstreams cannot cost less than the best
             # one so far, whatever their load; skipping them makes a decision
             # among hundreds several times cheaper.
-            min_cost_s = PLACE_COST_S * place + wanted.expected.known_s
+            min_cost_s = POSITION_COST_S * place + wanted.expected.known_s
             if min_cost_s >= best_cost_s:
                 break
             if not known and min_cost_s + uncached_cost_s >= best_cost_s:
@@ -174,7 +174,7 @@
         wait_s=wait_s,
         way_s=way_s,
     )
-    return choice, choice.expected_s + risk_s + PLACE_COST_S * place
+    return choice, choice.expected_s + risk_s + POSITION_COST_S * place
 
 
 def _uncached_cost_s(wanted: Wanted) -> float:
@@ -189,7 +189,7 @@
         return True
     if choice.wait_s > wanted.most_queue_s:
         return False
-    if choice.expected_s > TIME_USED_SHARE * wanted.left_s:
+    if choice.expected_s > WAIT_TIME_SHARE * wanted.left_s:
         return False
     return choice.expected_s <= WAIT_AIM_SHARE * wanted.aim_left_s
 
--- a/almondstair/core/cold_starts.py
+++ b/almondstair/core/cold_starts.py
@@ -34,7 +34,7 @@
 
     def set_bounds(self, *, over: float, slack: float) -> None:
         """Replaces the limits; requests already sent stay counted."""
-        self._over = over
+        self._rate_factor = over
         self._slack = slack
 
     def may_send(
@@ -46,8 +46,8 @@
         now_s: float,
     ) -> bool:
         """Returns whether a cold upstream may get another request now."""
-        bound = USED_SHARE * (rate_per_s * self._over + self._slack)
-        share = self._share(incarnation, int(bound), entry_names)
+        limit = USED_SHARE * (rate_per_s * self._rate_factor + self._slack)
+        share = self._share(incarnation, int(limit), entry_names)
         sent = self._sent.setdefault(incarnation, deque())
         while sent and sent[0] <= now_s - WINDOW_S:
             sent.popleft()
@@ -62,17 +62,17 @@
         self._sent.pop(incarnation, None)
 
     def _share(
-        self, incarnation: str, bound: int, entry_names: frozenset[str]
+        self, incarnation: str, limit: int, entry_names: frozenset[str]
     ) -> int:
         count = max(1, len(entry_names))
-        if bound >= count:
-            return bound // count
+        if limit >= count:
+            return limit // count
         own = _score(self._own_name, incarnation)
         ahead = 0
         for name in entry_names:
             if _score(name, incarnation) > own:
                 ahead += 1
-        return 1 if ahead < bound else 0
+        return 1 if ahead < limit else 0
 
 
 def _score(entry_name: str, incarnation: str) -> int:
--- a/almondstair/core/crash_suspects.py
+++ b/almondstair/core/crash_suspects.py
@@ -2,15 +2,16 @@
 
 Such a request shows as upstreams that end one after the other, each while it
 runs the same request, which the caller retries. A connection that ends without
-a response is only a hint: upstreams also lose responses, and a crash takes along
-every other request on the upstream. So a lost response is unconfirmed until it is
-known whether its upstream has ended; then it becomes a strike or is dismissed.
+a response is only a hint: upstreams also lose responses, and a crash takes
+along every other request on the upstream. So a lost response is unconfirmed
+until it is known whether its upstream has ended; then it becomes a strike or is
+dismissed.
 
 While a request has an unconfirmed loss or a strike, all entries send it to the
 same upstream, so that callers that retry at once, through any entry, crash at
 most one more. With unconfirmed losses at two upstreams no third one gets the
-request until it is known whether they are alive. A complete response to a request
-clears it.
+request until it is known whether they are alive. A complete response clears the
+request.
 """
 
 from collections import OrderedDict
@@ -31,11 +32,11 @@
 # Time after a lost response within which the end of the upstream counts as a
 # crash, and time for which a strike is kept. A crashed upstream is back after
 # some seconds, and the caller of a request gives up after about ten.
-CONFIRM_S = 3.0
-STRIKE_LIFE_S = 60.0
+CONFIRMATION_WINDOW_S = 3.0
+STRIKE_TTL_S = 60.0
 # Time for which an unconfirmed loss counts if it stays unknown whether the
 # upstream is alive.
-DOUBT_LIFE_S = 0.5
+UNCONFIRMED_TTL_S = 0.5
 # Allowance for the delay of reported strikes: a request that began this long
 # before a strike still counts as begun after it.
 REPORT_DELAY_S = 0.02
@@ -98,9 +99,9 @@
         self.strikes: dict[int, _Loss] = {}
 
     def drop_expired(self, now_s: float) -> None:
-        _drop_older(self.unconfirmed, now_s - CONFIRM_S)
-        _drop_older(self.dismissed, now_s - CONFIRM_S)
-        _drop_older(self.strikes, now_s - STRIKE_LIFE_S)
+        _drop_older(self.unconfirmed, now_s - CONFIRMATION_WINDOW_S)
+        _drop_older(self.dismissed, now_s - CONFIRMATION_WINDOW_S)
+        _drop_older(self.strikes, now_s - STRIKE_TTL_S)
 
     def add_unconfirmed(self, upstream: int, loss: _Loss) -> None:
         """Adds an unconfirmed loss; of several the longest run counts.
@@ -114,7 +115,7 @@
             loss = _Loss(loss.lost_s, began_s)
         self.unconfirmed[upstream] = loss
 
-    def take_loss(self, upstream: int) -> _Loss | None:
+    def pop_loss(self, upstream: int) -> _Loss | None:
         """Removes and returns the loss at an upstream that has ended."""
         dismissed = self.dismissed.pop(upstream, None)
         return self.unconfirmed.pop(upstream, dismissed)
@@ -186,8 +187,8 @@
         """
         strikes = []
         for request, case in list(self._cases.items()):
-            loss = case.take_loss(upstream)
-            if loss is None or now_s - loss.lost_s > CONFIRM_S:
+            loss = case.pop_loss(upstream)
+            if loss is None or now_s - loss.lost_s > CONFIRMATION_WINDOW_S:
                 continue
             self._strike(request, upstream, loss)
             strikes.append(request)
@@ -196,7 +197,7 @@
     def strike(self, strike: Strike, *, now_s: float) -> None:
         """Adds a strike that another entry reports."""
         case = self._case(strike.fingerprint)
-        loss = case.take_loss(strike.upstream)
+        loss = case.pop_loss(strike.upstream)
         if loss is None:
             # Its begin is unknown and may precede other strikes.
             loss = _Loss(lost_s=now_s, began_s=-math.inf)
@@ -221,10 +222,10 @@
         if strikes >= MIN_STRIKES_TO_REFUSE:
             if case.count_consecutive() >= MIN_CONSECUTIVE_TO_REFUSE:
                 return Standing.REFUSED
-        places = len(unconfirmed | case.strikes.keys())
-        if unconfirmed and places >= MIN_UPSTREAMS_TO_HOLD:
+        upstream_count = len(unconfirmed | case.strikes.keys())
+        if unconfirmed and upstream_count >= MIN_UPSTREAMS_TO_HOLD:
             return Standing.UNSETTLED
-        return Standing.SUSPECT if places else Standing.CLEAR
+        return Standing.SUSPECT if upstream_count else Standing.CLEAR
 
     def exposed(self, request: int, *, now_s: float) -> frozenset[int]:
         """Returns hashes of the upstreams that a request may have crashed."""
@@ -249,7 +250,7 @@
             return set()
         found = set()
         for upstream, loss in self._cases[request].unconfirmed.items():
-            if now_s - loss.lost_s <= DOUBT_LIFE_S:
+            if now_s - loss.lost_s <= UNCONFIRMED_TTL_S:
                 found.add(upstream)
         return found
 
--- a/almondstair/core/entry_waits.py
+++ b/almondstair/core/entry_waits.py
@@ -21,7 +21,7 @@
 PATIENT_TIMES = 2.0
 # Longest wait at the entry, whatever the latency target: callers of slow
 # requests can retry, and a draining entry ends in time.
-MOST_WAIT_S = 2.0
+MAX_WAIT_S = 2.0
 # Interval between two attempts to find a free slot while few requests wait.
 LOOK_S = 0.03
 # Waiting requests above which the interval grows, so that there are at most 134
@@ -104,7 +104,7 @@
     """
     if not patient(aim_s=aim_s, shortest_aim_s=shortest_aim_s):
         return False
-    if age_s >= MOST_WAIT_S:
+    if age_s >= MAX_WAIT_S:
         return False
     # It starts at the next attempt at the earliest. Without that interval the
     # last ones would be late by a few milliseconds, in slots that others need.
--- a/almondstair/core/fleet.py
+++ b/almondstair/core/fleet.py
@@ -32,12 +32,12 @@
 # Time from an entry's registration until every other entry either counts it or
 # has stopped using shares: a lease of 3 s, since a disconnected entry continues
 # with its last view until its own lease has expired, and two polls.
-JOIN_S = 4.0
+JOIN_DELAY_S = 4.0
 # Maximum age of the view of the other entries for shares to be used: the TTL of
 # a lease.
 MAX_SHARING_AGE_S = 3.0
 # Maximum age of a cached utilisation; requests run for longer.
-USE_AGE_S = 0.1
+MAX_UTILISATION_AGE_S = 0.1
 
 
 class Fleet:
@@ -171,10 +171,10 @@
         if before.draining and not record.draining:
             # An older registration that arrives late does not end draining.
             record = record._replace(draining=True)
-        colder = False
+        cold_extended = False
         if record.cold_left_s > 0:
             until_s = now_s + record.cold_left_s + COLD_MARGIN_S
-            colder = until_s > state.cold_until_s + COLD_MARGIN_S
+            cold_extended = until_s > state.cold_until_s + COLD_MARGIN_S
             state.cold_until_s = max(state.cold_until_s, until_s)
         state.record = record
         changed = record._replace(cold_left_s=0) != before._replace(
@@ -182,7 +182,7 @@
         )
         if changed:
             self._eligible_stale = True
-        return changed or colder
+        return changed or cold_extended
 
     def _add_upstream(self, record: UpstreamRecord, now_s: float) -> None:
         if self._ended.left(record):
@@ -207,11 +207,11 @@
         almost no requests for the whole cold time of its service, although its
         caches are still warm.
         """
-        known_s = self._ended.cold_until_s(record)
+        remembered_s = self._ended.cold_until_s(record)
         cold_s = record.cold_left_s
-        if known_s is None and self._loaded:
+        if remembered_s is None and self._loaded:
             cold_s = max(cold_s, self._cold_s(record.service))
-        until_s = known_s or 0.0
+        until_s = remembered_s or 0.0
         if cold_s > 0:
             until_s = max(until_s, now_s + cold_s + COLD_MARGIN_S)
         return until_s
@@ -275,14 +275,14 @@
         self, listed: set[str], *, now_s: float
     ) -> list[UpstreamRecord]:
         """Drops upstreams that a full listing lacks; returns those removed."""
-        gone = []
+        removed = []
         for upstream_id in list(self._upstreams):
             if upstream_id in listed:
                 continue
             record = self.drop_upstream(upstream_id, now_s=now_s)
             if record is not None:
-                gone.append(record)
-        return gone
+                removed.append(record)
+        return removed
 
     def expire(self, *, now_s: float) -> Lapsed:
         """Drops registrations whose grace period is over."""
@@ -420,10 +420,10 @@
     def use(self, service: str, *, now_s: float) -> float:
         """Returns the utilisation of a service's slots, 0 to 1.
 
-        It is computed at most every `USE_AGE_S`.
+        It is computed at most every `MAX_UTILISATION_AGE_S`.
         """
         at_s, use = self._utilisation.get(service, (-math.inf, 0.0))
-        if now_s - at_s < USE_AGE_S:
+        if now_s - at_s < MAX_UTILISATION_AGE_S:
             return use
         slots = 0
         busy = 0.0
@@ -492,7 +492,7 @@
             return False
         if now_s - self.as_of_s >= MAX_SHARING_AGE_S:
             return False
-        return now_s - self._registered_at_s >= JOIN_S
+        return now_s - self._registered_at_s >= JOIN_DELAY_S
 
     def take_entry(self, entry: Entry) -> bool:
         """Applies an entry's registration; returns whether it is a change."""
--- a/almondstair/core/known_places.py
+++ b/almondstair/core/known_places.py
@@ -27,7 +27,7 @@
 # Age of the last report of a location after which a request renews the report.
 RENEWAL_AGE_S = 10.0
 # Remembered objects, 100 bytes each and 100 bytes per location.
-REMEMBERED_OBJECTS = 4096
+MAX_OBJECTS = 4096
 
 Place = tuple[int, int]
 
@@ -49,7 +49,7 @@
         if places is None:
             places = {}
             self._times_s[name] = places
-            if len(self._times_s) > REMEMBERED_OBJECTS:
+            if len(self._times_s) > MAX_OBJECTS:
                 self._times_s.popitem(last=False)
         places[upstream] = at_s
 
--- a/almondstair/core/others_loads.py
+++ b/almondstair/core/others_loads.py
@@ -28,7 +28,7 @@
 
     def at(self, name: int) -> int:
         """Returns the requests of other entries at the upstream of a hash."""
-        held = self._total.get(name, 0)
-        if not held:
+        requests = self._total.get(name, 0)
+        if not requests:
             return 0
-        return max(0, held - self._own.get(name, 0))
+        return max(0, requests - self._own.get(name, 0))
--- a/almondstair/core/placement.py
+++ b/almondstair/core/placement.py
@@ -23,14 +23,14 @@
 
 # Cached orders; when there are more, the whole cache is dropped. One order of
 # 170 upstreams takes about 1.4 KB.
-REMEMBERED_ORDERS = 4096
+MAX_CACHED_ORDERS = 4096
 # Assumed utilisation of all capacity when keys are distributed over regions.
 # With a lower one a region would keep more keys, but would have to move them
 # just when the load rises.
 PLANNED_USE = 0.75
 _HASH_RANGE = 2.0**64
 # Keeps a region that should get no keys of a caller's region as a last resort.
-LEAST_SHARE = 1e-6
+MIN_SHARE = 1e-6
 
 
 def region_shares(
@@ -68,7 +68,7 @@
     shares = {own_region: local}
     for region, part in spare.items():
         share = (1.0 - local) * part / total_spare if total_spare else 0.0
-        shares[region] = max(LEAST_SHARE, share)
+        shares[region] = max(MIN_SHARE, share)
     return shares
 
 
@@ -152,7 +152,7 @@
         cached = self._orders.get((service, key))
         if cached is not None:
             return cached
-        if len(self._hashes) >= REMEMBERED_ORDERS:
+        if len(self._hashes) >= MAX_CACHED_ORDERS:
             self.forget()
         weights = self._weights.get(service)
         if weights is None:
@@ -188,7 +188,7 @@
         for upstream in upstreams:
             region = upstream.region
             slots = upstream.record.slots * self._plan.weight(upstream)
-            share = shares.get(region, LEAST_SHARE)
+            share = shares.get(region, MIN_SHARE)
             weights.append(share * slots / weighted[region])
         return weights
 
--- a/almondstair/core/placement_plan.py
+++ b/almondstair/core/placement_plan.py
@@ -117,8 +117,8 @@
         for upstreams in services.values():
             for upstream in upstreams:
                 name = upstream.name_hash
-                held = upstream.in_flight + upstream.others
-                load = held / upstream.record.slots
+                requests = upstream.in_flight + upstream.others
+                load = requests / upstream.record.slots
                 before = self._loads.get(name, load)
                 loads[name] = before + share * (load - before)
         self._loads = loads
--- a/almondstair/core/placing.py
+++ b/almondstair/core/placing.py
@@ -14,7 +14,7 @@
 from almondstair.core.choosing import Wanted
 from almondstair.core.choosing import choose
 from almondstair.core.cold_starts import ColdStarts
-from almondstair.core.crash_suspects import DOUBT_LIFE_S
+from almondstair.core.crash_suspects import UNCONFIRMED_TTL_S
 from almondstair.core.fleet import Fleet
 from almondstair.core.known_places import KnownPlaces
 from almondstair.core.known_places import object_hash
@@ -210,7 +210,7 @@
             if not upstream.was_unreachable:
                 choice = self._choose(asked, frozenset(), now_s, [upstream])
                 return Placed(choice, frozenset())
-            if now_s - upstream.unreachable_at_s <= DOUBT_LIFE_S:
+            if now_s - upstream.unreachable_at_s <= UNCONFIRMED_TTL_S:
                 # Another entry may have lost it there without having reported
                 # the loss yet.
                 return Placed(None, frozenset(), unsettled=True)
