--- a/almondstair/core/fleet.py
+++ b/almondstair/core/fleet.py
@@ -20,8 +20,8 @@
 from almondstair.core.upstream_state import incarnation_hash
 
 # A registration that disappears this soon after a store failure may have
-# expired because of the failure; a live upstream registers again within about 2
-# s after the store has recovered.
+# expired because of the failure; a live upstream registers again within about
+# 2 s after the store has recovered.
 EXPIRY_GRACE_S = 2.3
 # The same if upstreams could still write to the store: only this entry was
 # disconnected, and upstreams that disappeared meanwhile have most likely ended.
