--- a/almondstair/core/choosing.py
+++ b/almondstair/core/choosing.py
@@ -4,10 +4,10 @@
 import math
 from typing import NamedTuple
 
-from almondstair.core.cold_starts import ColdStarts
+from almondstair.core.cold_start_limiter import ColdStartLimiter
 from almondstair.core.routing import Route
 from almondstair.core.routing import ServiceRule
-from almondstair.core.run_times import Expected
+from almondstair.core.run_times import ExpectedRunTimes
 from almondstair.core.upstream_state import UpstreamState
 
 # Cost in seconds of each position further down in a key's order. It only
@@ -37,74 +37,74 @@
 
     Attributes:
       upstream: the upstream.
-      place: its position in the order of the request's key, from 0.
+      position: its position in the order of the request's key, from 0.
       warm: whether it is known to have the request's object cached; None if it
         is only the object's home, to which every entry sends it first.
-      busy: estimated number of requests that it holds.
+      load: estimated number of requests that it holds.
       expected_s: expected time until the response, in seconds.
       run_s: expected run time of the request, in seconds.
       waits: whether the request is expected to wait for a slot.
       wait_s: expected wait for a slot, in seconds.
-      way_s: round trip to the upstream, in seconds.
+      round_trip_s: round trip to the upstream, in seconds.
     """
 
     upstream: UpstreamState
-    place: int
+    position: int
     warm: bool | None
-    busy: float
+    load: float
     expected_s: float
     run_s: float
     waits: bool
     wait_s: float
-    way_s: float
+    round_trip_s: float
 
 
-class Wanted(NamedTuple):
+class SelectionCriteria(NamedTuple):
     """Holds the conditions under which an upstream is selected.
 
     Attributes:
       route: the request's route.
       service: rule of the service that handles it.
       tried: ids of upstreams to which it was already sent.
-      warm_places: hashes of the eligible upstreams that are assumed to have
-        its object cached.
-      expected: its expected run time.
-      service_s: mean run time of its service, in seconds.
-      use: utilisation of the service's slots, 0 to 1.
-      aim_left_s: time left within its latency target, in seconds.
-      left_s: time left before it is given up, in seconds.
+      cached_upstreams: hashes of the eligible upstreams that are assumed to
+        have its object cached.
+      run_times: its expected run time.
+      service_run_s: mean run time of its service, in seconds.
+      utilisation: utilisation of the service's slots, 0 to 1.
+      target_left_s: time left within its latency target, in seconds.
+      remaining_s: time left before it is given up, in seconds.
       round_trips_s: round trip to each region, in seconds.
       entry_names: live entries, among which limits are shared.
       joined: whether the other entries count this one among them.
-      peers_heard: whether every entry reports its load.
-      barred_regions: regions that are excluded for now.
-      most_queue_s: longest wait in an upstream's queue, in seconds.
+      peer_loads_complete: whether every entry reports its load.
+      excluded_regions: regions that are excluded for now.
+      max_queue_s: longest wait in an upstream's queue, in seconds.
       now_s: the entry's clock, in seconds.
     """
 
     route: Route
     service: ServiceRule | None
     tried: Collection[str]
-    warm_places: frozenset[int]
-    expected: Expected
-    service_s: float
-    use: float
-    aim_left_s: float
-    left_s: float
+    cached_upstreams: frozenset[int]
+    run_times: ExpectedRunTimes
+    service_run_s: float
+    utilisation: float
+    target_left_s: float
+    remaining_s: float
     round_trips_s: Mapping[str, float]
     entry_names: frozenset[str]
     joined: bool
-    peers_heard: bool
-    barred_regions: frozenset[str]
+    peer_loads_complete: bool
+    excluded_regions: frozenset[str]
     now_s: float
-    most_queue_s: float = math.inf
+    max_queue_s: float = math.inf
 
 
-def choose(
+def select_upstream(
     *,
     order: Iterable[UpstreamState],
-    wanted: Wanted,
-    cold_starts: ColdStarts,
+    criteria: SelectionCriteria,
+    cold_start_limiter: ColdStartLimiter,
 ) -> Choice | None:
     """Returns the upstream for a request, or None if none has capacity.
 
@@ -115,102 +115,114 @@
     best: Choice | None = None
     best_cost_s = 0.0
     home = ""
-    uncached_cost_s = _uncached_cost_s(wanted)
-    for place, upstream in enumerate(order):
+    uncached_cost_s = _uncached_cost_s(criteria)
+    for position, upstream in enumerate(order):
         incarnation = upstream.incarnation
-        known = upstream.name_hash in wanted.warm_places
+        cached = upstream.name_hash in criteria.cached_upstreams
         if best is not None:
             # Most of a few hundred upstreams cannot cost less than the best
             # one so far, whatever their load; skipping them makes a decision
             # among hundreds several times cheaper.
-            min_cost_s = POSITION_COST_S * place + wanted.expected.known_s
+            min_cost_s = (
+                POSITION_COST_S * position + criteria.run_times.cached_s
+            )
             if min_cost_s >= best_cost_s:
                 break
-            if not known and min_cost_s + uncached_cost_s >= best_cost_s:
+            if not cached and min_cost_s + uncached_cost_s >= best_cost_s:
                 continue
-        if not _is_eligible(upstream, wanted, cold_starts):
+        if not _is_eligible(upstream, criteria, cold_start_limiter):
             continue
         home = home or incarnation
         at_home = incarnation == home
-        if wanted.use > CROWDED_USE and not at_home and not known:
+        if criteria.utilisation > CROWDED_USE and not at_home and not cached:
             continue
-        candidate, cost_s = _estimate(upstream, place, known, at_home, wanted)
-        if not known and not at_home:
+        candidate, cost_s = _estimate(
+            upstream, position, cached, at_home, criteria
+        )
+        if not cached and not at_home:
             cost_s += uncached_cost_s
         if best is None or cost_s < best_cost_s:
             best = candidate
             best_cost_s = cost_s
-    if best is None or not _is_timely(best, wanted):
+    if best is None or not _is_timely(best, criteria):
         return None
     return best
 
 
 def _estimate(
     upstream: UpstreamState,
-    place: int,
-    known: bool,
+    position: int,
+    cached: bool,
     at_home: bool,
-    wanted: Wanted,
+    criteria: SelectionCriteria,
 ) -> tuple[Choice, float]:
-    now_s = wanted.now_s
-    warm = known or at_home
-    expected = wanted.expected
-    run_s = expected.known_s if warm else expected.new_s
-    busy = upstream.busy(now_s=now_s, peers_heard=wanted.peers_heard)
+    now_s = criteria.now_s
+    warm = cached or at_home
+    expected = criteria.run_times
+    run_s = expected.cached_s if warm else expected.uncached_s
+    load = upstream.estimated_load(
+        now_s=now_s, peer_loads_complete=criteria.peer_loads_complete
+    )
     slots = upstream.record.slots
-    reserve = RESERVE_SHARE * slots * min(1, max(0, wanted.route.priority - 1))
-    queued = max(0.0, busy + 1 + reserve - slots)
-    wait_s = queued / slots * wanted.service_s
-    way_s = wanted.round_trips_s.get(upstream.region, 0.0)
-    risk_s = upstream.failure_share(now_s=now_s) * wanted.route.aim_s
+    reserve = (
+        RESERVE_SHARE * slots * min(1, max(0, criteria.route.priority - 1))
+    )
+    queued = max(0.0, load + 1 + reserve - slots)
+    wait_s = queued / slots * criteria.service_run_s
+    round_trip_s = criteria.round_trips_s.get(upstream.region, 0.0)
+    risk_s = (
+        upstream.failure_share(now_s=now_s) * criteria.route.target_latency_s
+    )
     choice = Choice(
         upstream=upstream,
-        place=place,
-        warm=None if warm and not known else known,
-        busy=busy,
-        expected_s=way_s + wait_s + run_s,
+        position=position,
+        warm=None if warm and not cached else cached,
+        load=load,
+        expected_s=round_trip_s + wait_s + run_s,
         run_s=run_s,
-        waits=busy + 1 > slots,
+        waits=load + 1 > slots,
         wait_s=wait_s,
-        way_s=way_s,
+        round_trip_s=round_trip_s,
     )
-    return choice, choice.expected_s + risk_s + POSITION_COST_S * place
+    return choice, choice.expected_s + risk_s + POSITION_COST_S * position
 
 
-def _uncached_cost_s(wanted: Wanted) -> float:
+def _uncached_cost_s(criteria: SelectionCriteria) -> float:
     """Returns the cost to other requests of a run without the cached object."""
-    factor = UNKNOWN_COST + UNKNOWN_COST_BY_USE * wanted.use
-    expected = wanted.expected
-    return factor * (expected.new_s - expected.known_s)
+    factor = UNKNOWN_COST + UNKNOWN_COST_BY_USE * criteria.utilisation
+    expected = criteria.run_times
+    return factor * (expected.uncached_s - expected.cached_s)
 
 
-def _is_timely(choice: Choice, wanted: Wanted) -> bool:
+def _is_timely(choice: Choice, criteria: SelectionCriteria) -> bool:
     if not choice.waits:
         return True
-    if choice.wait_s > wanted.most_queue_s:
+    if choice.wait_s > criteria.max_queue_s:
         return False
-    if choice.expected_s > WAIT_TIME_SHARE * wanted.left_s:
+    if choice.expected_s > WAIT_TIME_SHARE * criteria.remaining_s:
         return False
-    return choice.expected_s <= WAIT_AIM_SHARE * wanted.aim_left_s
+    return choice.expected_s <= WAIT_AIM_SHARE * criteria.target_left_s
 
 
 def _is_eligible(
-    upstream: UpstreamState, wanted: Wanted, cold_starts: ColdStarts
+    upstream: UpstreamState,
+    criteria: SelectionCriteria,
+    cold_start_limiter: ColdStartLimiter,
 ) -> bool:
-    if upstream.record.upstream_id in wanted.tried:
+    if upstream.record.upstream_id in criteria.tried:
         return False
-    if upstream.paused():
+    if upstream.is_paused():
         return False
-    if upstream.region in wanted.barred_regions:
+    if upstream.region in criteria.excluded_regions:
         return False
-    regions = wanted.route.allowed_regions
+    regions = criteria.route.allowed_regions
     if regions and upstream.region not in regions:
         return False
-    if wanted.service is None or not upstream.cold(now_s=wanted.now_s):
+    if criteria.service is None or not upstream.is_cold(now_s=criteria.now_s):
         return True
-    return wanted.joined and cold_starts.may_send(
+    return criteria.joined and cold_start_limiter.may_send(
         incarnation=upstream.incarnation,
-        rate_per_s=wanted.service.cold_rate_per_s,
-        entry_names=wanted.entry_names,
-        now_s=wanted.now_s,
+        rate_per_s=criteria.service.cold_rate_per_s,
+        entry_names=criteria.entry_names,
+        now_s=criteria.now_s,
     )
--- a/almondstair/core/cold_starts.py
+++ b/almondstair/core/cold_start_limiter.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-# Part of the operator's limit that is used; see `second_tries`.
+# Part of the operator's limit that is used; see `shared_retry_budget`.
 USED_SHARE = 0.8
 # The operators count per second. The window is longer by the time to reach an
 # upstream: a request that is delayed, for instance by a new connection, may
@@ -12,7 +12,7 @@
 WINDOW_S = 1.25
 
 
-class ColdStarts:
+class ColdStartLimiter:
     """Keeps the rate of all entries together below a cold upstream's limit.
 
     Each entry has an equal share of the limit. If that is less than one request
@@ -20,21 +20,23 @@
     hash of entry and upstream selects them.
     """
 
-    def __init__(self, *, own_name: str, over: float, slack: float) -> None:
+    def __init__(
+        self, *, own_name: str, rate_factor: float, slack: float
+    ) -> None:
         """Creates the limits of one entry.
 
         Args:
           own_name: name of this entry.
-          over: factor on the rate that a cold upstream tolerates.
+          rate_factor: factor on the rate that a cold upstream tolerates.
           slack: requests per second allowed in addition.
         """
         self._own_name = own_name
-        self.set_bounds(over=over, slack=slack)
+        self.set_limits(rate_factor=rate_factor, slack=slack)
         self._sent: dict[str, deque[float]] = {}
 
-    def set_bounds(self, *, over: float, slack: float) -> None:
+    def set_limits(self, *, rate_factor: float, slack: float) -> None:
         """Replaces the limits; requests already sent stay counted."""
-        self._rate_factor = over
+        self._rate_factor = rate_factor
         self._slack = slack
 
     def may_send(
@@ -53,7 +55,7 @@
             sent.popleft()
         return len(sent) < share
 
-    def note_sent(self, *, incarnation: str, now_s: float) -> None:
+    def record_sent(self, *, incarnation: str, now_s: float) -> None:
         """Counts a request to a cold upstream."""
         self._sent.setdefault(incarnation, deque()).append(now_s)
 
--- a/almondstair/core/crash_suspects.py
+++ b/almondstair/core/crash_suspects.py
@@ -58,19 +58,19 @@
     upstream: int
 
 
-class Standing(enum.Enum):
+class CrashVerdict(enum.Enum):
     """States how a request may be sent.
 
     Attributes:
       CLEAR: to any upstream.
       SUSPECT: only to the one upstream that all entries select.
-      UNSETTLED: not until it is known whether upstreams are alive.
+      PENDING: not until it is known whether upstreams are alive.
       REFUSED: not at all, as it has crashed too many upstreams.
     """
 
     CLEAR = "clear"
     SUSPECT = "suspect"
-    UNSETTLED = "unsettled"
+    PENDING = "unsettled"
     REFUSED = "refused"
 
 
@@ -156,7 +156,9 @@
         self._cases: OrderedDict[int, _Case] = OrderedDict()
         self._answered: OrderedDict[int, None] = OrderedDict()
 
-    def note_lost(self, strike: Strike, *, ran_s: float, now_s: float) -> bool:
+    def record_lost(
+        self, strike: Strike, *, ran_s: float, now_s: float
+    ) -> bool:
         """Records a connection that ended without a response.
 
         Args:
@@ -172,14 +174,14 @@
         case.add_unconfirmed(strike.upstream, _Loss(now_s, now_s - ran_s))
         return strike.fingerprint not in self._answered
 
-    def note_lives(self, upstream: int) -> None:
+    def record_alive(self, upstream: int) -> None:
         """Dismisses the losses at an upstream that seems to be alive."""
         for case in self._cases.values():
             loss = case.unconfirmed.pop(upstream, None)
             if loss is not None:
                 case.dismissed[upstream] = loss
 
-    def note_gone(self, upstream: int, *, now_s: float) -> list[int]:
+    def record_ended(self, upstream: int, *, now_s: float) -> list[int]:
         """Turns the losses at an upstream that has ended into strikes.
 
         Returns:
@@ -194,7 +196,7 @@
             strikes.append(request)
         return strikes
 
-    def strike(self, strike: Strike, *, now_s: float) -> None:
+    def add_strike(self, strike: Strike, *, now_s: float) -> None:
         """Adds a strike that another entry reports."""
         case = self._case(strike.fingerprint)
         loss = case.pop_loss(strike.upstream)
@@ -203,7 +205,7 @@
             loss = _Loss(lost_s=now_s, began_s=-math.inf)
         self._strike(strike.fingerprint, strike.upstream, loss)
 
-    def note_answered(self, request: int) -> None:
+    def record_response(self, request: int) -> None:
         """Clears a request that got a complete response."""
         self._cases.pop(request, None)
         self._answered[request] = None
@@ -211,23 +213,23 @@
         if len(self._answered) > MAX_ANSWERED:
             self._answered.popitem(last=False)
 
-    def standing(self, request: int, *, now_s: float) -> Standing:
+    def verdict(self, request: int, *, now_s: float) -> CrashVerdict:
         """Returns how a request may be sent now."""
         case = self._cases.get(request)
         if case is None:
-            return Standing.CLEAR
+            return CrashVerdict.CLEAR
         case.drop_expired(now_s)
         unconfirmed = self._recent_unconfirmed(request, now_s)
         strikes = len(case.strikes)
         if strikes >= MIN_STRIKES_TO_REFUSE:
             if case.count_consecutive() >= MIN_CONSECUTIVE_TO_REFUSE:
-                return Standing.REFUSED
+                return CrashVerdict.REFUSED
         upstream_count = len(unconfirmed | case.strikes.keys())
         if unconfirmed and upstream_count >= MIN_UPSTREAMS_TO_HOLD:
-            return Standing.UNSETTLED
-        return Standing.SUSPECT if upstream_count else Standing.CLEAR
+            return CrashVerdict.PENDING
+        return CrashVerdict.SUSPECT if upstream_count else CrashVerdict.CLEAR
 
-    def exposed(self, request: int, *, now_s: float) -> frozenset[int]:
+    def possibly_crashed(self, request: int, *, now_s: float) -> frozenset[int]:
         """Returns hashes of the upstreams that a request may have crashed."""
         case = self._cases.get(request)
         if case is None:
@@ -235,7 +237,7 @@
         unconfirmed = self._recent_unconfirmed(request, now_s)
         return frozenset(unconfirmed | case.strikes.keys())
 
-    def fresh(self, *, now_s: float, for_s: float) -> list[Strike]:
+    def recent_strikes(self, *, now_s: float, for_s: float) -> list[Strike]:
         """Returns the strikes of the last `for_s` seconds, for reports."""
         found = []
         for request, case in self._cases.items():
--- a/almondstair/core/look_ups.py
+++ b/almondstair/core/entry_directory.py
@@ -17,7 +17,7 @@
 
 import xxhash
 
-from almondstair.core.registered import Entry
+from almondstair.core.registered_entries import Entry
 
 # Most addresses that callers accept.
 MAX_ADDRESSES = 64
@@ -37,7 +37,7 @@
     seed: int
 
 
-class LookUps:
+class EntryDirectory:
     """Selects entries for callers."""
 
     def __init__(self) -> None:
@@ -45,19 +45,19 @@
         self._entries: list[_Weighted] = []
         self._lists: dict[tuple[str, str], list[str]] = {}
 
-    def take_entries(self, entries: Iterable[Entry]) -> None:
+    def set_entries(self, entries: Iterable[Entry]) -> None:
         """Replaces the live entries; called when any of them changes."""
         found = list(entries)
-        has_weights = all(entry.carries_mbps > 0 for entry in found)
+        has_weights = all(entry.throughput_mbps > 0 for entry in found)
         self._entries = []
         self._lists = {}
         for entry in found:
             seed = xxhash.xxh3_64_intdigest(entry.name.encode())
             # Entries of an older version do not state it; then all are equal.
-            weight = entry.carries_mbps if has_weights else 1.0
+            weight = entry.throughput_mbps if has_weights else 1.0
             self._entries.append(_Weighted(entry, weight, seed))
 
-    def named(self, *, region: str, caller: str) -> list[str]:
+    def addresses_for(self, *, region: str, caller: str) -> list[str]:
         """Returns the addresses of entries for a caller.
 
         They are in the caller's region, or elsewhere if it has no entries.
--- a/almondstair/core/entry_waits.py
+++ b/almondstair/core/entry_waits.py
@@ -23,7 +23,7 @@
 # requests can retry, and a draining entry ends in time.
 MAX_WAIT_S = 2.0
 # Interval between two attempts to find a free slot while few requests wait.
-LOOK_S = 0.03
+ATTEMPT_INTERVAL_S = 0.03
 # Waiting requests above which the interval grows, so that there are at most 134
 # attempts per second, however many requests wait.
 ATTEMPTS_PER_INTERVAL = 4
@@ -32,7 +32,7 @@
 MAX_WAITING_BYTES = 8 * 1024 * 1024
 
 
-class EntryWaits:
+class EntryQueue:
     """Counts and limits the requests that wait at one entry."""
 
     def __init__(self) -> None:
@@ -41,18 +41,20 @@
         self._bytes = 0
 
     @property
-    def look_s(self) -> float:
+    def attempt_interval_s(self) -> float:
         """Returns the time until the next attempt, in seconds."""
-        return LOOK_S * max(1.0, self._waiting / ATTEMPTS_PER_INTERVAL)
+        return ATTEMPT_INTERVAL_S * max(
+            1.0, self._waiting / ATTEMPTS_PER_INTERVAL
+        )
 
-    def has_room(self, *, body_bytes: int) -> bool:
+    def has_capacity(self, *, body_bytes: int) -> bool:
         """Returns whether one more request may wait."""
         if self._waiting >= MAX_WAITING:
             return False
         return self._bytes + body_bytes <= MAX_WAITING_BYTES
 
     @contextlib.contextmanager
-    def place(self, *, body_bytes: int) -> Iterator[None]:
+    def hold_waiting(self, *, body_bytes: int) -> Iterator[None]:
         """Counts a request while it waits."""
         self.enter(body_bytes=body_bytes)
         try:
@@ -71,41 +73,51 @@
         self._bytes -= body_bytes
 
 
-def patient(*, aim_s: float, shortest_aim_s: float) -> bool:
+def is_patient(*, target_latency_s: float, shortest_target_s: float) -> bool:
     """Returns whether a request yields to shorter ones of its service."""
-    return aim_s >= PATIENT_TIMES * shortest_aim_s
+    return target_latency_s >= PATIENT_TIMES * shortest_target_s
 
 
-def most_queue_s(*, aim_s: float, shortest_aim_s: float, age_s: float) -> float:
+def max_queue_s(
+    *, target_latency_s: float, shortest_target_s: float, age_s: float
+) -> float:
     """Returns how long a request may queue at an upstream, in seconds.
 
     Args:
-      aim_s: latency target of the request, in seconds.
-      shortest_aim_s: shortest latency target in its service, in seconds.
+      target_latency_s: latency target of the request, in seconds.
+      shortest_target_s: shortest latency target in its service, in seconds.
       age_s: time since its arrival, in seconds.
     """
-    if not patient(aim_s=aim_s, shortest_aim_s=shortest_aim_s):
+    if not is_patient(
+        target_latency_s=target_latency_s, shortest_target_s=shortest_target_s
+    ):
         return math.inf
-    if age_s >= aim_s:
+    if age_s >= target_latency_s:
         return math.inf
     return 0.0
 
 
-def goes_on(
-    *, aim_s: float, shortest_aim_s: float, age_s: float, run_s: float
+def should_wait(
+    *,
+    target_latency_s: float,
+    shortest_target_s: float,
+    age_s: float,
+    run_s: float,
 ) -> bool:
     """Returns whether a request that keeps waiting can still be on time.
 
     Args:
-      aim_s: latency target of the request, in seconds.
-      shortest_aim_s: shortest latency target in its service, in seconds.
+      target_latency_s: latency target of the request, in seconds.
+      shortest_target_s: shortest latency target in its service, in seconds.
       age_s: time since its arrival, in seconds.
       run_s: its shortest expected run time, in seconds.
     """
-    if not patient(aim_s=aim_s, shortest_aim_s=shortest_aim_s):
+    if not is_patient(
+        target_latency_s=target_latency_s, shortest_target_s=shortest_target_s
+    ):
         return False
     if age_s >= MAX_WAIT_S:
         return False
     # It starts at the next attempt at the earliest. Without that interval the
     # last ones would be late by a few milliseconds, in slots that others need.
-    return age_s + LOOK_S + run_s < aim_s
+    return age_s + ATTEMPT_INTERVAL_S + run_s < target_latency_s
--- a/almondstair/core/fleet.py
+++ b/almondstair/core/fleet.py
@@ -5,13 +5,13 @@
 import math
 
 from almondstair.core.incarnations import EndedIncarnations
-from almondstair.core.others_loads import OthersLoads
+from almondstair.core.peer_loads import PeerLoads
 from almondstair.core.placement import PlacementOrders
-from almondstair.core.placement_plan import EMPTY
+from almondstair.core.placement_plan import EMPTY_PLAN
 from almondstair.core.placement_plan import Plan
-from almondstair.core.registered import Entry
-from almondstair.core.registered import Lapsed
-from almondstair.core.registered import Taken
+from almondstair.core.registered_entries import Entry
+from almondstair.core.registered_entries import ExpiredRegistrations
+from almondstair.core.registered_entries import RegistrationChange
 from almondstair.core.routing import Route
 from almondstair.core.routing import RoutingConfiguration
 from almondstair.core.routing import RoutingTable
@@ -49,14 +49,14 @@
         with the start of the evacuation on the entry's clock, in seconds.
       entries: live entries by name.
       entry_names: names of the live entries, including this one.
-      by_hash: registered upstreams by the hash of their incarnation, which
-        identifies them in messages between entries.
-      others_loads: requests of other entries at each upstream.
-      peers_heard: whether every other entry reports its loads.
+      upstreams_by_hash: registered upstreams by the hash of their incarnation,
+        which identifies them in messages between entries.
+      peer_loads: requests of other entries at each upstream.
+      peer_loads_complete: whether every other entry reports its loads.
       plan: weights that distribute keys over upstreams.
       as_of_s: time of the view on the entry's clock, in seconds.
       entries_version: a number that changes with the live entries.
-      takers_version: a number that changes with the eligible upstreams.
+      eligible_version: a number that changes with the eligible upstreams.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self._by_service: dict[str, list[UpstreamState]] = {}
         self._regions_by_service: dict[str, set[str]] = {}
         self._eligible_stale = False
-        self.takers_version = 0
+        self.eligible_version = 0
         self.entries_version = 0
         self._ended = EndedIncarnations()
         self._upstream_expiry_s: dict[str, float] = {}
@@ -85,28 +85,28 @@
         self._orders = PlacementOrders(
             own_region=own_region, demand=Counter(zones.values())
         )
-        self.plan = EMPTY
+        self.plan = EMPTY_PLAN
         self._grace_until_s = -math.inf
         self._loaded = False
         self.table: RoutingTable | None = None
         self.evacuated: dict[str, float] = {}
         self.entries: dict[str, Entry] = {}
         self.entry_names: frozenset[str] = frozenset((own_name,))
-        self.by_hash: dict[int, UpstreamState] = {}
-        self.others_loads = OthersLoads()
-        self.peers_heard = False
+        self.upstreams_by_hash: dict[int, UpstreamState] = {}
+        self.peer_loads = PeerLoads()
+        self.peer_loads_complete = False
         self.as_of_s = -math.inf
         self._registered_until_s = -math.inf
         self._registered_at_s = math.inf
         self._utilisation: dict[str, tuple[float, float]] = {}
 
-    def take_zones(self, zones: dict[str, str]) -> None:
+    def set_zones(self, zones: dict[str, str]) -> None:
         """Replaces the regions of the availability zones."""
         self._zones = zones
         self._orders = PlacementOrders(
             own_region=self._own_region, demand=Counter(zones.values())
         )
-        self._orders.take_plan(self.plan)
+        self._orders.set_plan(self.plan)
         for state in self._upstreams.values():
             state.region = zones.get(state.record.availability_zone, "")
         self._eligible_stale = True
@@ -122,7 +122,7 @@
 
     # Configuration.
 
-    def take_configuration(self, configuration: RoutingConfiguration) -> bool:
+    def apply_configuration(self, configuration: RoutingConfiguration) -> bool:
         """Applies a configuration if it is newer than the current one.
 
         A peer or a stale read may return an older version, by which requests
@@ -139,30 +139,36 @@
 
     # Upstreams.
 
-    def take_upstream(self, record: UpstreamRecord, *, now_s: float) -> Taken:
+    def apply_upstream(
+        self, record: UpstreamRecord, *, now_s: float
+    ) -> RegistrationChange:
         """Applies the registration of an upstream.
 
         Incarnations are kept apart. Otherwise a restarted upstream would
         inherit the load, the pauses and the cached objects of its previous
         incarnation, and would get no requests if that one was draining.
         """
-        if self._ended.outdated(record):
-            return Taken(used=False, changed=False)
+        if self._ended.is_outdated(record):
+            return RegistrationChange(is_current=False, changed=False)
         state = self._upstreams.get(record.upstream_id)
         if state is None:
             self._upstream_expiry_s.pop(record.upstream_id, None)
             self._add_upstream(record, now_s)
-            return Taken(used=True, changed=True)
+            return RegistrationChange(is_current=True, changed=True)
         before = state.record
-        if record.born_ms < before.born_ms:
-            return Taken(used=False, changed=False)
+        if record.started_ms < before.started_ms:
+            return RegistrationChange(is_current=False, changed=False)
         self._upstream_expiry_s.pop(record.upstream_id, None)
-        if record.born_ms > before.born_ms:
+        if record.started_ms > before.started_ms:
             self._remove(record.upstream_id)
             self._add_upstream(record, now_s)
-            return Taken(used=True, changed=True, ended=state.incarnation)
+            return RegistrationChange(
+                is_current=True,
+                changed=True,
+                replaced_incarnation=state.incarnation,
+            )
         changed = self._change_upstream(state, record, now_s)
-        return Taken(used=True, changed=changed)
+        return RegistrationChange(is_current=True, changed=changed)
 
     def _change_upstream(
         self, state: UpstreamState, record: UpstreamRecord, now_s: float
@@ -185,18 +191,18 @@
         return changed or cold_extended
 
     def _add_upstream(self, record: UpstreamRecord, now_s: float) -> None:
-        if self._ended.left(record):
+        if self._ended.was_draining(record):
             # The store applied a write from before the draining late. Without
             # this the upstream would get requests again, and nothing would
             # remove the registration.
             record = record._replace(draining=True)
         region = self._zones.get(record.availability_zone, "")
         state = UpstreamState(
-            record=record, region=region, loads=self.others_loads
+            record=record, region=region, peer_loads=self.peer_loads
         )
         state.cold_until_s = self._cold_until_s(record, now_s)
         self._upstreams[record.upstream_id] = state
-        self.by_hash[state.name_hash] = state
+        self.upstreams_by_hash[state.name_hash] = state
         self._eligible_stale = True
 
     def _cold_until_s(self, record: UpstreamRecord, now_s: float) -> float:
@@ -216,7 +222,7 @@
             until_s = max(until_s, now_s + cold_s + COLD_MARGIN_S)
         return until_s
 
-    def note_reached(self, state: UpstreamState, *, now_s: float) -> None:
+    def record_reached(self, state: UpstreamState, *, now_s: float) -> None:
         """Records that an upstream accepted a new connection.
 
         If upstreams keep their ids, one that was unreachable may have restarted
@@ -225,9 +231,9 @@
         get the requests of a warm upstream for the 0.6 s until its registration
         is read.
         """
-        if state.record.born_ms and state.was_unreachable:
+        if state.record.started_ms and state.is_unreachable:
             self._mark_cold_from(state, now_s)
-        state.note_reached()
+        state.record_reached()
 
     def _mark_cold_from(self, state: UpstreamState, from_s: float) -> None:
         cold_s = self._cold_s(state.record.service)
@@ -241,18 +247,20 @@
         rule = self.table.configuration.services.get(service)
         return rule.cold_s if rule is not None else 0.0
 
-    def note_trouble(self, *, now_s: float) -> None:
+    def record_store_failure(self, *, now_s: float) -> None:
         """Records that the store does not answer or refuses a call."""
         self._grace_until_s = now_s + EXPIRY_GRACE_S
 
-    def note_return(self, *, written_to: bool, now_s: float) -> None:
+    def record_store_recovery(
+        self, *, upstreams_wrote: bool, now_s: float
+    ) -> None:
         """Records that the store answers again.
 
         Args:
-          written_to: whether most upstreams wrote to it meanwhile.
+          upstreams_wrote: whether most upstreams wrote to it meanwhile.
           now_s: the entry's clock, in seconds.
         """
-        grace_s = DISCONNECT_GRACE_S if written_to else EXPIRY_GRACE_S
+        grace_s = DISCONNECT_GRACE_S if upstreams_wrote else EXPIRY_GRACE_S
         self._grace_until_s = now_s + grace_s
 
     def drop_upstream(
@@ -271,7 +279,7 @@
             return None
         return self._remove(upstream_id)
 
-    def forget_unlisted(
+    def drop_unlisted(
         self, listed: set[str], *, now_s: float
     ) -> list[UpstreamRecord]:
         """Drops upstreams that a full listing lacks; returns those removed."""
@@ -284,7 +292,7 @@
                 removed.append(record)
         return removed
 
-    def expire(self, *, now_s: float) -> Lapsed:
+    def expire(self, *, now_s: float) -> ExpiredRegistrations:
         """Drops registrations whose grace period is over."""
         upstreams = []
         for upstream_id, at_s in list(self._upstream_expiry_s.items()):
@@ -298,29 +306,31 @@
             if now_s >= at_s:
                 self._remove_entry(name)
                 entries.append(name)
-        return Lapsed(upstreams=upstreams, entries=entries)
+        return ExpiredRegistrations(upstreams=upstreams, entries=entries)
 
     def _remove(self, upstream_id: str) -> UpstreamRecord | None:
         self._upstream_expiry_s.pop(upstream_id, None)
         state = self._upstreams.pop(upstream_id, None)
         if state is None:
             return None
-        self.by_hash.pop(state.name_hash, None)
+        self.upstreams_by_hash.pop(state.name_hash, None)
         self._eligible_stale = True
-        self._ended.note_ended(state.record, cold_until_s=state.cold_until_s)
+        self._ended.record_ended(state.record, cold_until_s=state.cold_until_s)
         return state.record
 
-    def misdirected(self, record: UpstreamRecord, *, now_s: float) -> None:
+    def record_misdirected(
+        self, record: UpstreamRecord, *, now_s: float
+    ) -> None:
         """Records that another upstream answers at an incarnation's address."""
         name = incarnation_hash(record.incarnation)
-        self._ended.found_replaced(name, now_s=now_s)
-        self.note_replaced(name)
+        self._ended.record_detected(name, now_s=now_s)
+        self.record_replaced(name)
 
-    def replaced(self, *, now_s: float) -> list[int]:
+    def recently_replaced(self, *, now_s: float) -> list[int]:
         """Returns hashes of the incarnations recently found replaced."""
-        return self._ended.found_lately(now_s=now_s)
+        return self._ended.recently_detected(now_s=now_s)
 
-    def note_replaced(self, name: int) -> str:
+    def record_replaced(self, name: int) -> str:
         """Drops a replaced incarnation.
 
         It stays excluded until a newer incarnation registers. While the store's
@@ -334,8 +344,8 @@
         Returns:
           The incarnation, or an empty string if it was not registered.
         """
-        self._ended.note_replaced(name)
-        state = self.by_hash.get(name)
+        self._ended.record_replaced(name)
+        state = self.upstreams_by_hash.get(name)
         if state is None:
             return ""
         self._remove(state.record.upstream_id)
@@ -350,7 +360,7 @@
         if not self._eligible_stale:
             return
         self._eligible_stale = False
-        self.takers_version += 1
+        self.eligible_version += 1
         self._by_service = {}
         self._regions_by_service = {}
         for state in self._upstreams.values():
@@ -364,7 +374,7 @@
                 state.record.service, set()
             )
             regions.add(state.region)
-        self._orders.forget()
+        self._orders.clear()
 
     def upstreams(self) -> Iterable[UpstreamState]:
         """Returns all registered upstreams."""
@@ -384,19 +394,19 @@
         """Returns the number of registered upstreams."""
         return len(self._upstreams)
 
-    def takers(self, service: str) -> list[UpstreamState]:
+    def eligible_upstreams(self, service: str) -> list[UpstreamState]:
         """Returns the upstreams of a service that may get new requests."""
         self._refresh_eligible()
         return self._by_service.get(service, [])
 
-    def may_take(self, name: int) -> bool:
+    def is_eligible(self, name: int) -> bool:
         """Returns whether the upstream of a hash may get new requests now."""
-        state = self.by_hash.get(name)
-        if state is None or state.record.draining or state.paused():
+        state = self.upstreams_by_hash.get(name)
+        if state is None or state.record.draining or state.is_paused():
             return False
         return state.record.availability_zone not in self.evacuated
 
-    def may_stay(self, service: str, *, route: Route) -> bool:
+    def can_run_locally(self, service: str, *, route: Route) -> bool:
         """Returns whether a route's requests may run in this entry's region."""
         self._refresh_eligible()
         allowed = route.allowed_regions
@@ -409,41 +419,43 @@
         """Returns a service's eligible upstreams in the order for a key."""
         self._refresh_eligible()
         return self._orders.order(
-            service=service, key=key, upstreams=self.takers(service)
+            service=service, key=key, upstreams=self.eligible_upstreams(service)
         )
 
-    def take_plan(self, plan: Plan) -> None:
+    def set_plan(self, plan: Plan) -> None:
         """Applies a plan to the order of upstreams for keys."""
         self.plan = plan
-        self._orders.take_plan(plan)
+        self._orders.set_plan(plan)
 
-    def use(self, service: str, *, now_s: float) -> float:
+    def utilisation(self, service: str, *, now_s: float) -> float:
         """Returns the utilisation of a service's slots, 0 to 1.
 
         It is computed at most every `MAX_UTILISATION_AGE_S`.
         """
-        at_s, use = self._utilisation.get(service, (-math.inf, 0.0))
+        at_s, utilisation = self._utilisation.get(service, (-math.inf, 0.0))
         if now_s - at_s < MAX_UTILISATION_AGE_S:
-            return use
+            return utilisation
         slots = 0
         busy = 0.0
-        for upstream in self.takers(service):
-            if upstream.cold(now_s=now_s) or upstream.paused():
+        for upstream in self.eligible_upstreams(service):
+            if upstream.is_cold(now_s=now_s) or upstream.is_paused():
                 # Its slots are not available for normal traffic.
                 continue
             slots += upstream.record.slots
             # Requests in one upstream's queue take no slot of another. If they
             # counted, queues in one region would make the service look full,
             # and requests would be refused while other regions are idle.
-            held = upstream.busy(now_s=now_s, peers_heard=self.peers_heard)
-            busy += min(upstream.record.slots, held)
-        use = busy / slots if slots else 1.0
-        self._utilisation[service] = (now_s, use)
-        return use
+            load = upstream.estimated_load(
+                now_s=now_s, peer_loads_complete=self.peer_loads_complete
+            )
+            busy += min(upstream.record.slots, load)
+        utilisation = busy / slots if slots else 1.0
+        self._utilisation[service] = (now_s, utilisation)
+        return utilisation
 
     # Evacuations.
 
-    def evacuate(self, zone: str, *, now_s: float) -> bool:
+    def start_evacuation(self, zone: str, *, now_s: float) -> bool:
         """Stops new requests to a zone; returns whether this is a change."""
         if zone in self.evacuated:
             return False
@@ -451,7 +463,7 @@
         self._eligible_stale = True
         return True
 
-    def take_back(self, zone: str, *, now_s: float) -> bool:
+    def end_evacuation(self, zone: str, *, now_s: float) -> bool:
         """Ends an evacuation; the zone's upstreams count as cold."""
         if zone not in self.evacuated:
             return False
@@ -466,19 +478,19 @@
 
     # Entries.
 
-    def note_registered(
-        self, *, until_s: float, anew: bool, now_s: float
+    def record_registered(
+        self, *, valid_until_s: float, created: bool, now_s: float
     ) -> None:
         """Records that this entry's registration was created or renewed.
 
         Args:
-          until_s: time until which it is guaranteed to last, on the entry's
-            clock, in seconds.
-          anew: whether it was created, so that others may not count it yet.
+          valid_until_s: time until which it is guaranteed to last, on the
+            entry's clock, in seconds.
+          created: whether it was created, so that others may not count it yet.
           now_s: the entry's clock, in seconds.
         """
-        self._registered_until_s = until_s
-        if anew:
+        self._registered_until_s = valid_until_s
+        if created:
             self._registered_at_s = now_s
 
     def joined(self, *, now_s: float) -> bool:
@@ -494,7 +506,7 @@
             return False
         return now_s - self._registered_at_s >= JOIN_DELAY_S
 
-    def take_entry(self, entry: Entry) -> bool:
+    def apply_entry(self, entry: Entry) -> bool:
         """Applies an entry's registration; returns whether it is a change."""
         self._entry_expiry_s.pop(entry.name, None)
         if self.entries.get(entry.name) == entry:
--- a/almondstair/core/incarnations.py
+++ b/almondstair/core/incarnations.py
@@ -29,13 +29,13 @@
 
     def __init__(self) -> None:
         """Starts with an empty memory."""
-        self._born_ms: OrderedDict[str, int] = OrderedDict()
+        self._started_ms: OrderedDict[str, int] = OrderedDict()
         self._drained: OrderedDict[str, None] = OrderedDict()
         self._cold_until_s: OrderedDict[str, float] = OrderedDict()
         self._replaced: OrderedDict[int, None] = OrderedDict()
         self._detected_at_s: dict[int, float] = {}
 
-    def note_ended(
+    def record_ended(
         self, record: UpstreamRecord, *, cold_until_s: float
     ) -> None:
         """Records an incarnation that ended or has a successor.
@@ -45,14 +45,16 @@
           cold_until_s: until when it counts as cold, on the entry's clock, in
             seconds.
         """
-        born_ms = max(record.born_ms, self._born_ms.get(record.upstream_id, 0))
-        _remember(self._born_ms, record.upstream_id, born_ms)
+        started_ms = max(
+            record.started_ms, self._started_ms.get(record.upstream_id, 0)
+        )
+        _remember(self._started_ms, record.upstream_id, started_ms)
         if record.draining:
             _remember(self._drained, record.incarnation, None)
-        if record.born_ms:
+        if record.started_ms:
             _remember(self._cold_until_s, record.incarnation, cold_until_s)
 
-    def note_replaced(self, name: int) -> None:
+    def record_replaced(self, name: int) -> None:
         """Records that another upstream answers at an incarnation's address.
 
         Args:
@@ -60,25 +62,25 @@
         """
         _remember(self._replaced, name, None)
 
-    def found_replaced(self, name: int, *, now_s: float) -> None:
+    def record_detected(self, name: int, *, now_s: float) -> None:
         """Records a replacement found by this entry, to report it to others."""
-        self.note_replaced(name)
+        self.record_replaced(name)
         self._detected_at_s[name] = now_s
 
-    def found_lately(self, *, now_s: float) -> list[int]:
+    def recently_detected(self, *, now_s: float) -> list[int]:
         """Returns hashes of the replaced incarnations to report to others."""
         for name, at_s in list(self._detected_at_s.items()):
             if now_s - at_s > REPLACED_REPORT_S:
                 del self._detected_at_s[name]
         return list(self._detected_at_s)
 
-    def outdated(self, record: UpstreamRecord) -> bool:
+    def is_outdated(self, record: UpstreamRecord) -> bool:
         """Returns whether a registration is of an outdated incarnation.
 
         That is one that was found replaced, or one that is older than the
         newest known incarnation of its id.
         """
-        if record.born_ms < self._born_ms.get(record.upstream_id, 0):
+        if record.started_ms < self._started_ms.get(record.upstream_id, 0):
             return True
         return incarnation_hash(record.incarnation) in self._replaced
 
@@ -92,7 +94,7 @@
         """
         return self._cold_until_s.get(record.incarnation)
 
-    def left(self, record: UpstreamRecord) -> bool:
+    def was_draining(self, record: UpstreamRecord) -> bool:
         """Returns whether an incarnation was draining before it ended."""
         return record.incarnation in self._drained
 
--- a/almondstair/core/known_places.py
+++ b/almondstair/core/known_places.py
@@ -29,7 +29,7 @@
 # Remembered objects, 100 bytes each and 100 bytes per location.
 MAX_OBJECTS = 4096
 
-Place = tuple[int, int]
+CachedLocation = tuple[int, int]
 
 
 def object_hash(*, service: str, key: str) -> int:
@@ -43,18 +43,18 @@
     def __init__(self) -> None:
         self._times_s: OrderedDict[int, dict[int, float]] = OrderedDict()
 
-    def note(self, place: Place, at_s: float) -> None:
-        name, upstream = place
-        places = self._times_s.get(name)
-        if places is None:
-            places = {}
-            self._times_s[name] = places
+    def record(self, location: CachedLocation, at_s: float) -> None:
+        name, upstream = location
+        times_s = self._times_s.get(name)
+        if times_s is None:
+            times_s = {}
+            self._times_s[name] = times_s
             if len(self._times_s) > MAX_OBJECTS:
                 self._times_s.popitem(last=False)
-        places[upstream] = at_s
+        times_s[upstream] = at_s
 
-    def at_s(self, place: Place) -> float:
-        name, upstream = place
+    def at_s(self, location: CachedLocation) -> float:
+        name, upstream = location
         return self._times_s.get(name, {}).get(upstream, -math.inf)
 
     def upstreams(self, name: int, now_s: float) -> frozenset[int]:
@@ -68,16 +68,16 @@
         return list(self._times_s)
 
 
-class KnownPlaces:
+class CachedLocations:
     """Holds the cached locations of objects and those to be reported."""
 
     def __init__(self) -> None:
         """Starts without locations."""
         self._own = _LastRequests()
         self._reported = _LastRequests()
-        self._new: dict[Place, float] = {}
+        self._new: dict[CachedLocation, float] = {}
 
-    def at(self, name: int, *, now_s: float) -> frozenset[int]:
+    def upstreams_for(self, name: int, *, now_s: float) -> frozenset[int]:
         """Returns the upstreams that are assumed to have an object cached.
 
         Locations that this entry uses itself take precedence over reported
@@ -93,7 +93,7 @@
         own = self._own.upstreams(name, now_s)
         return own or self._reported.upstreams(name, now_s)
 
-    def note_sent(self, name: int, upstream: int, *, now_s: float) -> None:
+    def record_sent(self, name: int, upstream: int, *, now_s: float) -> None:
         """Records a request for an object that is sent to an upstream.
 
         Args:
@@ -101,27 +101,29 @@
           upstream: the hash of the upstream's incarnation.
           now_s: the entry's clock, in seconds.
         """
-        place = (name, upstream)
-        self._own.note(place, now_s)
-        if now_s - self._reported.at_s(place) < RENEWAL_AGE_S:
+        location = (name, upstream)
+        self._own.record(location, now_s)
+        if now_s - self._reported.at_s(location) < RENEWAL_AGE_S:
             return
-        self._reported.note(place, now_s)
-        self._new[place] = now_s
+        self._reported.record(location, now_s)
+        self._new[location] = now_s
 
-    def take(self, places: Iterable[Place], *, now_s: float) -> None:
+    def apply_reported(
+        self, locations: Iterable[CachedLocation], *, now_s: float
+    ) -> None:
         """Applies the locations that another entry reports."""
-        for place in places:
-            if now_s - self._reported.at_s(place) >= TOLD_S:
-                self._reported.note(place, now_s)
+        for location in locations:
+            if now_s - self._reported.at_s(location) >= TOLD_S:
+                self._reported.record(location, now_s)
 
-    def found_lately(self, *, now_s: float) -> list[Place]:
+    def locations_to_report(self, *, now_s: float) -> list[CachedLocation]:
         """Returns the locations that this entry currently reports."""
-        for place, at_s in list(self._new.items()):
+        for location, at_s in list(self._new.items()):
             if now_s - at_s >= TOLD_S:
-                del self._new[place]
+                del self._new[location]
         return list(self._new)
 
-    def all_places(self, *, now_s: float) -> list[Place]:
+    def all_locations(self, *, now_s: float) -> list[CachedLocation]:
         """Returns all locations that have not expired, for a new entry."""
         found = []
         for name in self._reported.objects():
--- a/almondstair/core/others_loads.py
+++ b/almondstair/core/peer_loads.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 
 
-class OthersLoads:
+class PeerLoads:
     """Holds the last total over all entries and this entry's part of it."""
 
     def __init__(self) -> None:
@@ -16,7 +16,9 @@
         self._total: Mapping[int, int] = {}
         self._own: Mapping[int, int] = {}
 
-    def take(self, total: Mapping[int, int], *, own: Mapping[int, int]) -> None:
+    def update(
+        self, total: Mapping[int, int], *, own: Mapping[int, int]
+    ) -> None:
         """Replaces the total over all entries.
 
         Args:
@@ -26,7 +28,7 @@
         self._total = total
         self._own = own
 
-    def at(self, name: int) -> int:
+    def requests_at(self, name: int) -> int:
         """Returns the requests of other entries at the upstream of a hash."""
         requests = self._total.get(name, 0)
         if not requests:
--- a/almondstair/core/placement.py
+++ b/almondstair/core/placement.py
@@ -17,7 +17,7 @@
 
 import xxhash
 
-from almondstair.core.placement_plan import EMPTY
+from almondstair.core.placement_plan import EMPTY_PLAN
 from almondstair.core.placement_plan import Plan
 from almondstair.core.upstream_state import UpstreamState
 
@@ -33,7 +33,7 @@
 MIN_SHARE = 1e-6
 
 
-def region_shares(
+def compute_region_shares(
     *,
     own_region: str,
     capacity: Mapping[str, float],
@@ -72,32 +72,32 @@
     return shares
 
 
-def give_away(
+def redistribute(
     shares: Mapping[str, float],
     *,
     capacity: Mapping[str, float],
-    kept: Mapping[str, float],
+    kept_shares: Mapping[str, float],
 ) -> dict[str, float]:
     """Returns shares from which regions with queues have handed over keys.
 
-    `region_shares` only considers capacity and expected demand. When callers
-    move to one region and its upstreams build up queues, all keys would stay
-    there as long as its capacity is nominally sufficient.
+    `compute_region_shares` only considers capacity and expected demand. When
+    callers move to one region and its upstreams build up queues, all keys would
+    stay there as long as its capacity is nominally sufficient.
 
     Args:
       shares: share of the keys that belongs to each region.
       capacity: slots of the service in each region.
-      kept: part of its keys that each region keeps by the plan, 0 to 1.
+      kept_shares: part of its keys that each region keeps by the plan, 0 to 1.
     """
     adjusted = {}
     for region, share in shares.items():
-        adjusted[region] = share * kept.get(region, 1.0)
+        adjusted[region] = share * kept_shares.get(region, 1.0)
     for region, share in shares.items():
-        freed = share - share * kept.get(region, 1.0)
+        freed = share - share * kept_shares.get(region, 1.0)
         accepting = {}
         for other, slots in capacity.items():
             if other != region:
-                accepting[other] = slots * kept.get(other, 1.0)
+                accepting[other] = slots * kept_shares.get(other, 1.0)
         total_accepting = sum(accepting.values())
         if not total_accepting:
             adjusted[region] += freed
@@ -121,7 +121,7 @@
         """
         self._own_region = own_region
         self._demand = demand
-        self._plan = EMPTY
+        self._plan = EMPTY_PLAN
         # By service, in the order of the upstreams passed to `order`.
         self._weights: dict[str, list[float]] = {}
         # By service and key, the rendezvous hash of each upstream. The upstream
@@ -129,7 +129,7 @@
         self._hashes: dict[tuple[str, str], list[float]] = {}
         self._orders: dict[tuple[str, str], list[UpstreamState]] = {}
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Drops all cached orders; called when the set of upstreams changes."""
         self._hashes.clear()
         self._clear_weights()
@@ -138,7 +138,7 @@
         self._orders.clear()
         self._weights.clear()
 
-    def take_plan(self, plan: Plan) -> None:
+    def set_plan(self, plan: Plan) -> None:
         """Applies the weights of a plan."""
         if plan == self._plan:
             return
@@ -153,7 +153,7 @@
         if cached is not None:
             return cached
         if len(self._hashes) >= MAX_CACHED_ORDERS:
-            self.forget()
+            self.clear()
         weights = self._weights.get(service)
         if weights is None:
             weights = self._compute_weights(upstreams)
@@ -178,12 +178,12 @@
         for upstream in upstreams:
             slots = capacity.get(upstream.region, 0.0)
             capacity[upstream.region] = slots + upstream.record.slots
-        shares = region_shares(
+        shares = compute_region_shares(
             own_region=self._own_region, capacity=capacity, demand=self._demand
         )
         weighted, kept = self._apply_plan(upstreams, capacity)
         if self._plan.weights:
-            shares = give_away(shares, capacity=capacity, kept=kept)
+            shares = redistribute(shares, capacity=capacity, kept_shares=kept)
         weights = []
         for upstream in upstreams:
             region = upstream.region
--- a/almondstair/core/placement_plan.py
+++ b/almondstair/core/placement_plan.py
@@ -65,7 +65,7 @@
         return self.weights.get(name, _PERCENT) / _PERCENT
 
 
-EMPTY = Plan(weights={})
+EMPTY_PLAN = Plan(weights={})
 
 
 class Planner:
@@ -73,21 +73,21 @@
 
     def __init__(self) -> None:
         """Starts with equal weights."""
-        self.plan = EMPTY
+        self.plan = EMPTY_PLAN
         self._weights: dict[int, float] = {}
         self._loads: dict[int, float] = {}
         self._step_loads: dict[int, float] = {}
         self._last_observed_s = -math.inf
         self._last_step_s = -math.inf
 
-    def take(self, plan: Plan) -> None:
+    def set_plan(self, plan: Plan) -> None:
         """Continues from a plan that another entry computed."""
         self.plan = plan
         self._weights = {}
         for name, percent in plan.weights.items():
             self._weights[name] = percent / _PERCENT
 
-    def observe(
+    def update(
         self,
         *,
         services: Mapping[str, Iterable[UpstreamState]],
@@ -117,7 +117,7 @@
         for upstreams in services.values():
             for upstream in upstreams:
                 name = upstream.name_hash
-                requests = upstream.in_flight + upstream.others
+                requests = upstream.in_flight + upstream.peer_requests
                 load = requests / upstream.record.slots
                 before = self._loads.get(name, load)
                 loads[name] = before + share * (load - before)
--- a/almondstair/core/region_shares.py
+++ b/almondstair/core/region_shares.py
@@ -26,30 +26,31 @@
 DISRUPTION_S = 6.0
 
 
-class Limits(NamedTuple):
+class RegionLimits(NamedTuple):
     """Holds the limits for the region of the next request.
 
     Attributes:
-      barred: regions that have used their share of this window.
-      due: a region with less than its minimum share of this window, or empty.
+      excluded: regions that have used their share of this window.
+      underserved: a region with less than its minimum share of this window, or
+        empty.
     """
 
-    barred: frozenset[str]
-    due: str
+    excluded: frozenset[str]
+    underserved: str
 
 
-UNLIMITED = Limits(barred=frozenset(), due="")
+UNLIMITED = RegionLimits(excluded=frozenset(), underserved="")
 
 
-class RegionShares:
+class RegionShareLimiter:
     """Counts requests by region and limits how their shares change."""
 
-    def __init__(self, *, own_region: str, most_change: float) -> None:
+    def __init__(self, *, own_region: str, max_change: float) -> None:
         """Creates the limit of one entry.
 
         Args:
           own_region: the region of this entry and its callers; never excluded.
-          most_change: part of the requests, 0 to 1, that may change their
+          max_change: part of the requests, 0 to 1, that may change their
             region from one window to the next.
         """
         self._own_region = own_region
@@ -58,19 +59,19 @@
         self._previous: Counter[str] = Counter()
         self._current: Counter[str] = Counter()
         self._unlimited_until_s = 0.0
-        self.most_change = most_change
+        self.max_change = max_change
 
-    def note_disturbed(self, *, now_s: float) -> None:
+    def record_disruption(self, *, now_s: float) -> None:
         """Lifts the limit for a while, as requests have to move."""
         self._unlimited_until_s = now_s + DISRUPTION_S
 
-    def note_sent(self, region: str, *, now_s: float) -> None:
+    def record_sent(self, region: str, *, now_s: float) -> None:
         """Counts a request that is sent to a region."""
         self._advance(now_s)
         self._buckets[-1][region] += 1
         self._current[region] += 1
 
-    def limits(self, *, now_s: float) -> Limits:
+    def limits(self, *, now_s: float) -> RegionLimits:
         """Returns the limits for the next request."""
         if now_s < self._unlimited_until_s:
             return UNLIMITED
@@ -79,7 +80,7 @@
         current = self._current.total()
         if before < LEAST_REQUESTS:
             return UNLIMITED
-        step = USED_SHARE * self.most_change
+        step = USED_SHARE * self.max_change
         barred = []
         due = ""
         for region in self._previous.keys() | self._current.keys():
@@ -91,7 +92,7 @@
                 barred.append(region)
             if sent + 1 < (share - step) * (current + 1):
                 due = region
-        return Limits(barred=frozenset(barred), due=due)
+        return RegionLimits(excluded=frozenset(barred), underserved=due)
 
     def _advance(self, now_s: float) -> None:
         """Starts the buckets up to now and recounts both windows."""
--- a/almondstair/core/registered.py
+++ b/almondstair/core/registered_entries.py
@@ -31,7 +31,7 @@
     link_mbps: float = 0.0
 
     @property
-    def carries_mbps(self) -> float:
+    def throughput_mbps(self) -> float:
         """Returns the VM's throughput in Mbit/s, limited by cores or link.
 
         It does not depend on the other entries, which change whenever one
@@ -40,21 +40,21 @@
         return min(self.link_mbps, self.cores * MBPS_PER_CORE)
 
 
-class Taken(NamedTuple):
+class RegistrationChange(NamedTuple):
     """Holds the effect of an upstream's registration.
 
     Attributes:
-      used: whether it is of the newest incarnation.
+      is_current: whether it is of the newest incarnation.
       changed: whether it changes how requests are sent.
-      ended: the incarnation that it replaced, or empty.
+      replaced_incarnation: the incarnation that it replaced, or empty.
     """
 
-    used: bool
+    is_current: bool
     changed: bool
-    ended: str = ""
+    replaced_incarnation: str = ""
 
 
-class Lapsed(NamedTuple):
+class ExpiredRegistrations(NamedTuple):
     """Holds the registrations whose grace period is over."""
 
     upstreams: list[UpstreamRecord]
--- a/almondstair/core/load_pace.py
+++ b/almondstair/core/report_schedule.py
@@ -13,7 +13,7 @@
 import math
 from typing import NamedTuple
 
-from almondstair.core.known_places import Place
+from almondstair.core.known_places import CachedLocation
 
 # Interval between two messages inside an availability zone: the shortest, the
 # part per entry of the zone, and the longest.
@@ -22,7 +22,7 @@
 MAX_INTERVAL_S = 0.15
 # Shortest interval between two totals to other zones, where traffic is
 # expensive.
-ZONES_PAUSE_S = 0.1
+MIN_ZONES_INTERVAL_S = 0.1
 # Longest interval while nothing changes.
 HEARTBEAT_S = 0.4
 # Part of the reporter's link that totals for its zone may use.
@@ -30,7 +30,7 @@
 _BITS_PER_MBIT = 1e6
 
 
-def pause_s(zone_entries: int) -> float:
+def report_interval_s(zone_entries: int) -> float:
     """Returns the interval between two messages inside a zone, in seconds.
 
     Args:
@@ -40,7 +40,7 @@
     return min(MAX_INTERVAL_S, max(MIN_INTERVAL_S, zone_interval_s))
 
 
-class LinkShare:
+class ReportBandwidth:
     """Limits the bandwidth of the reports from a VM to its zone."""
 
     def __init__(self, *, link_mbps: float) -> None:
@@ -52,11 +52,11 @@
         self._bits_per_s = LINK_SHARE * link_mbps * _BITS_PER_MBIT
         self._free_at_s = -math.inf
 
-    def free(self, *, now_s: float) -> bool:
+    def has_capacity(self, *, now_s: float) -> bool:
         """Returns whether a report can be sent within a zone's interval."""
         return now_s >= self._free_at_s - MAX_INTERVAL_S
 
-    def note_sent(self, sent_bytes: int, *, now_s: float) -> None:
+    def record_sent(self, sent_bytes: int, *, now_s: float) -> None:
         """Records bytes that were sent at once."""
         if not self._bits_per_s:
             return
@@ -64,67 +64,67 @@
         self._free_at_s = from_s + 8 * sent_bytes / self._bits_per_s
 
 
-Loads = dict[int, int]
+UpstreamLoads = dict[int, int]
 
 
-class Word(NamedTuple):
+class EntryReport(NamedTuple):
     """Holds the contents of a report.
 
     Attributes:
       loads: requests by the hash of an upstream's incarnation.
       replaced: hashes of incarnations that were found replaced.
       strikes: requests that may crash upstreams.
-      places: objects and the upstreams that have them cached.
+      locations: objects and the upstreams that have them cached.
     """
 
-    loads: Loads
+    loads: UpstreamLoads
     replaced: list[int]
     strikes: list[tuple[int, int]]
-    places: list[Place]
+    locations: list[CachedLocation]
 
 
-class Telling:
+class ReportSchedule:
     """Decides when the next report of one kind is due."""
 
-    def __init__(self, *, least_pause_s: float = 0.0) -> None:
+    def __init__(self, *, min_interval_s: float = 0.0) -> None:
         """Starts without a previous report.
 
         Args:
-          least_pause_s: shortest interval between two reports that are not
+          min_interval_s: shortest interval between two reports that are not
             urgent, in seconds.
         """
-        self._least_pause_s = least_pause_s
-        self._last_sent = Word({}, [], [], [])
+        self._min_interval_s = min_interval_s
+        self._last_sent = EntryReport({}, [], [], [])
         self._last_sent_at_s = -math.inf
 
-    def urgent(self, word: Word) -> bool:
+    def is_urgent(self, report: EntryReport) -> bool:
         """Returns whether a report has new replacements or strikes.
 
         An upstream that was replaced, or that a request may have crashed, gets
         requests from every entry that has no report of it.
         """
         last = self._last_sent
-        if set(word.replaced) - set(last.replaced):
+        if set(report.replaced) - set(last.replaced):
             return True
-        return bool(set(word.strikes) - set(last.strikes))
+        return bool(set(report.strikes) - set(last.strikes))
 
-    def due(self, word: Word, *, now_s: float) -> bool:
+    def is_due(self, report: EntryReport, *, now_s: float) -> bool:
         """Returns whether a report is due.
 
         Args:
-          word: the current report.
+          report: the current report.
           now_s: the entry's clock, in seconds.
         """
-        if self.urgent(word):
+        if self.is_urgent(report):
             return True
         age_s = now_s - self._last_sent_at_s
-        if age_s < self._least_pause_s:
+        if age_s < self._min_interval_s:
             return False
-        if age_s >= HEARTBEAT_S or word.loads != self._last_sent.loads:
+        if age_s >= HEARTBEAT_S or report.loads != self._last_sent.loads:
             return True
-        return word.places != self._last_sent.places
+        return report.locations != self._last_sent.locations
 
-    def note_told(self, word: Word, *, now_s: float) -> None:
+    def record_sent(self, report: EntryReport, *, now_s: float) -> None:
         """Records that a report was sent; it must not change afterwards."""
-        self._last_sent = word
+        self._last_sent = report
         self._last_sent_at_s = now_s
--- /dev/null
+++ b/almondstair/core/request_placer.py
@@ -0,0 +1,284 @@
+"""Places requests on upstreams by the entry's view of the deployment.
+
+A decision takes the order of upstreams for the request's key (`placement`), the
+selection among them (`choosing`), and the time for which the request may wait
+for a slot at the entry if there is none (`entry_waits`).
+"""
+
+from collections.abc import Collection, Mapping
+from typing import NamedTuple
+
+from almondstair.core import entry_waits
+from almondstair.core.choosing import Choice
+from almondstair.core.choosing import SelectionCriteria
+from almondstair.core.choosing import select_upstream
+from almondstair.core.cold_start_limiter import ColdStartLimiter
+from almondstair.core.crash_suspects import UNCONFIRMED_TTL_S
+from almondstair.core.fleet import Fleet
+from almondstair.core.known_places import CachedLocations
+from almondstair.core.known_places import object_hash
+from almondstair.core.region_shares import RegionLimits
+from almondstair.core.region_shares import RegionShareLimiter
+from almondstair.core.routing import Route
+from almondstair.core.run_times import RunTimes
+from almondstair.core.shared_order import shared_order
+from almondstair.core.upstream_state import UpstreamState
+
+# Delay after which a caller that found no capacity retries. Requests run for a
+# few tenths of a second, so a slot is free by then; a longer delay would leave
+# less of the latency target.
+NO_CAPACITY_RETRY_MS = 150
+
+
+class PlacementRequest(NamedTuple):
+    """Holds a request that needs an upstream.
+
+    Attributes:
+      route: its route.
+      service: the service that handles it.
+      key: the key by which it is placed.
+      arrived_s: its arrival on the entry's clock, in seconds.
+      deadline_s: when its caller gives up or its route's timeout ends, on the
+        entry's clock, in seconds.
+      tried: ids of upstreams to which it was already sent.
+      possibly_crashed: hashes of upstreams that it may have crashed; if there
+        are any, every entry sends it to the same next one.
+    """
+
+    route: Route
+    service: str
+    key: str
+    arrived_s: float
+    deadline_s: float
+    tried: Collection[str]
+    possibly_crashed: frozenset[int] = frozenset()
+
+
+class PlacementDecision(NamedTuple):
+    """Holds the result of a placement.
+
+    Attributes:
+      choice: the selected upstream; None if none has capacity.
+      excluded_regions: regions that were excluded because traffic moves between
+        regions in bounded steps.
+      pending: whether the request may just have crashed the upstream that is
+        next for it, so that no other one may get it yet.
+    """
+
+    choice: Choice | None
+    excluded_regions: frozenset[str]
+    pending: bool = False
+
+
+class RequestPlacer:
+    """Places the requests of one entry."""
+
+    def __init__(
+        self,
+        *,
+        fleet: Fleet,
+        run_times: RunTimes,
+        cached_locations: CachedLocations,
+        region_limiter: RegionShareLimiter,
+        cold_start_limiter: ColdStartLimiter,
+        round_trips_s: Mapping[str, float],
+    ) -> None:
+        """Creates the placement of one entry.
+
+        Args:
+          fleet: the entry's view of the deployment, with a routing table.
+          run_times: learned run times of requests.
+          cached_locations: which upstreams have which objects cached.
+          region_limiter: limit on how fast requests move between regions.
+          cold_start_limiter: limit on requests to cold upstreams.
+          round_trips_s: measured round trip to each other region, in seconds;
+            updated by its owner.
+        """
+        self._fleet = fleet
+        self._run_times = run_times
+        self._cached_locations = cached_locations
+        self._region_limiter = region_limiter
+        self._cold_start_limiter = cold_start_limiter
+        self._round_trips_s = round_trips_s
+        self._eligible_version = 0
+
+    def place(
+        self, request: PlacementRequest, *, now_s: float
+    ) -> PlacementDecision:
+        """Returns the upstream for a request in the regions that may get it.
+
+        Requests that cannot run in their own region do not count as moved to
+        another one, and no region is excluded for them.
+        """
+        if request.possibly_crashed:
+            return self._place_suspect(request, now_s)
+        if not self._fleet.can_run_locally(
+            request.service, route=request.route
+        ):
+            choice = self._select(request, frozenset(), now_s)
+            return PlacementDecision(choice, frozenset())
+        limits = self._limits(now_s)
+        if limits.underserved:
+            others = self._fleet.regions() - {limits.underserved}
+            choice = self._select(request, others, now_s)
+            if choice is not None and not choice.waits:
+                return PlacementDecision(choice, limits.excluded)
+        choice = self._select(request, limits.excluded, now_s)
+        return PlacementDecision(choice, limits.excluded)
+
+    def record_sent(
+        self, request: PlacementRequest, choice: Choice, *, now_s: float
+    ) -> None:
+        """Counts a request that is sent to its selected upstream."""
+        if request.route.key_affinity:
+            self._cached_locations.record_sent(
+                object_hash(service=request.service, key=request.key),
+                choice.upstream.name_hash,
+                now_s=now_s,
+            )
+        if self._fleet.can_run_locally(request.service, route=request.route):
+            region = choice.upstream.region
+            self._region_limiter.record_sent(region, now_s=now_s)
+
+    def record_disruption(self, *, now_s: float) -> None:
+        """Lifts the limit on moves between regions after a failed attempt."""
+        self._region_limiter.record_disruption(now_s=now_s)
+
+    def record_run(
+        self,
+        request: PlacementRequest,
+        choice: Choice,
+        *,
+        took_s: float,
+        now_s: float,
+    ) -> None:
+        """Updates the run times from a response.
+
+        Args:
+          request: the request.
+          choice: the upstream that answered, with the estimates for it.
+          took_s: time from sending it to the complete response, in seconds.
+          now_s: the entry's clock, in seconds.
+        """
+        upstream = choice.upstream
+        round_trip_s = self._round_trips_s.get(upstream.region, 0.0)
+        run_s = max(0.001, took_s - round_trip_s)
+        upstream.record_run(
+            run_s=run_s,
+            expected_s=choice.expected_s - round_trip_s,
+            now_s=now_s,
+        )
+        if choice.waits:
+            # The share of the wait is only estimated and would bias the mean.
+            return
+        self._run_times.record_run(
+            service=request.service,
+            route=request.route.name,
+            warm=choice.warm,
+            run_s=run_s,
+        )
+
+    def may_wait(self, request: PlacementRequest, *, now_s: float) -> bool:
+        """Returns whether a request that found no slot may wait for one."""
+        if not self._fleet.eligible_upstreams(request.service):
+            return False
+        target_latency_s = request.route.target_latency_s
+        times = self._run_times.expected(
+            route=request.route.name, target_latency_s=target_latency_s
+        )
+        return entry_waits.should_wait(
+            target_latency_s=target_latency_s,
+            shortest_target_s=self._shortest_target_s(request),
+            age_s=now_s - request.arrived_s,
+            run_s=times.cached_s,
+        )
+
+    def _shortest_target_s(self, request: PlacementRequest) -> float:
+        table = self._fleet.table
+        if table is None:
+            return request.route.target_latency_s
+        return table.shortest_target_s(request.service)
+
+    def _cached_upstreams(
+        self, request: PlacementRequest, now_s: float
+    ) -> frozenset[int]:
+        object_name = object_hash(service=request.service, key=request.key)
+        upstreams = self._cached_locations.upstreams_for(
+            object_name, now_s=now_s
+        )
+        return frozenset(filter(self._fleet.is_eligible, upstreams))
+
+    def _limits(self, now_s: float) -> RegionLimits:
+        version = self._fleet.eligible_version
+        if version != self._eligible_version:
+            self._eligible_version = version
+            self._region_limiter.record_disruption(now_s=now_s)
+        return self._region_limiter.limits(now_s=now_s)
+
+    def _place_suspect(
+        self, request: PlacementRequest, now_s: float
+    ) -> PlacementDecision:
+        """Places a request that may crash upstreams where all entries do."""
+        regions = request.route.allowed_regions
+        order = shared_order(
+            key=request.key,
+            upstreams=self._fleet.eligible_upstreams(request.service),
+            possibly_crashed=request.possibly_crashed,
+        )
+        for upstream in order:
+            if regions and upstream.region not in regions:
+                continue
+            if not upstream.is_unreachable:
+                choice = self._select(request, frozenset(), now_s, [upstream])
+                return PlacementDecision(choice, frozenset())
+            if now_s - upstream.unreachable_at_s <= UNCONFIRMED_TTL_S:
+                # Another entry may have lost it there without having reported
+                # the loss yet.
+                return PlacementDecision(None, frozenset(), pending=True)
+        return PlacementDecision(None, frozenset())
+
+    def _select(
+        self,
+        request: PlacementRequest,
+        excluded: frozenset[str],
+        now_s: float,
+        order: list[UpstreamState] | None = None,
+    ) -> Choice | None:
+        assert self._fleet.table is not None
+        services = self._fleet.table.configuration.services
+        route = request.route
+        times = self._run_times
+        age_s = now_s - request.arrived_s
+        criteria = SelectionCriteria(
+            route=route,
+            service=services.get(request.service),
+            tried=request.tried,
+            cached_upstreams=self._cached_upstreams(request, now_s),
+            run_times=times.expected(
+                route=route.name, target_latency_s=route.target_latency_s
+            ),
+            service_run_s=times.service_run_s(
+                service=request.service, default_s=route.target_latency_s
+            ),
+            utilisation=self._fleet.utilisation(request.service, now_s=now_s),
+            target_left_s=route.target_latency_s - age_s,
+            remaining_s=request.deadline_s - now_s,
+            round_trips_s=self._round_trips_s,
+            entry_names=self._fleet.entry_names,
+            joined=self._fleet.joined(now_s=now_s),
+            peer_loads_complete=self._fleet.peer_loads_complete,
+            excluded_regions=excluded,
+            now_s=now_s,
+            max_queue_s=entry_waits.max_queue_s(
+                target_latency_s=route.target_latency_s,
+                shortest_target_s=self._shortest_target_s(request),
+                age_s=age_s,
+            ),
+        )
+        if order is None:
+            order = self._fleet.order(service=request.service, key=request.key)
+        return select_upstream(
+            order=order,
+            criteria=criteria,
+            cold_start_limiter=self._cold_start_limiter,
+        )
--- a/almondstair/core/routing.py
+++ b/almondstair/core/routing.py
@@ -40,11 +40,12 @@
       hostname: value of `Host` that selects it.
       prefix: start of the path; begins and ends with a slash.
       kind: whether its requests may run more than once.
-      aim_s: latency target, in seconds; a later response loses credit.
+      target_latency_s: latency target, in seconds; a later response loses
+        credit.
       timeout_s: longest time until a request is given up, in seconds.
       attempts: most upstreams to which one request is sent.
       priority: its priority; 0 is the highest.
-      by_key: whether requests for one key benefit from the same upstream.
+      key_affinity: whether requests for one key benefit from the same upstream.
       destinations: services for its requests; one or a weighted split.
       allowed_regions: regions in which its requests may run; empty for all.
     """
@@ -53,11 +54,11 @@
     hostname: str
     prefix: str
     kind: RouteKind
-    aim_s: float
+    target_latency_s: float
     timeout_s: float
     attempts: int
     priority: int
-    by_key: bool
+    key_affinity: bool
     destinations: tuple[Destination, ...]
     allowed_regions: tuple[str, ...]
 
@@ -109,19 +110,19 @@
         for route in configuration.routes:
             prefixes = self._hosts.setdefault(route.hostname.lower(), {})
             prefixes[route.prefix] = route
-        self._shortest_aim_s: dict[str, float] = {}
+        self._shortest_target_s: dict[str, float] = {}
         for route in configuration.routes:
             for destination in route.destinations:
-                before_s = self._shortest_aim_s.get(
-                    destination.service, route.aim_s
+                before_s = self._shortest_target_s.get(
+                    destination.service, route.target_latency_s
                 )
-                self._shortest_aim_s[destination.service] = min(
-                    before_s, route.aim_s
+                self._shortest_target_s[destination.service] = min(
+                    before_s, route.target_latency_s
                 )
 
-    def shortest_aim_s(self, service: str) -> float:
+    def shortest_target_s(self, service: str) -> float:
         """Returns the shortest latency target in a service, in seconds."""
-        return self._shortest_aim_s.get(service, 0.0)
+        return self._shortest_target_s.get(service, 0.0)
 
     def match(self, *, host: str, path: str) -> Route | None:
         """Returns the route with the longest prefix of `path`, if any.
@@ -145,7 +146,7 @@
         return None
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Splits the requests of a route in exact proportion to the weights.
 
     A random selection would deviate by several percent over some hundred
--- a/almondstair/core/run_times.py
+++ b/almondstair/core/run_times.py
@@ -20,16 +20,16 @@
 INITIAL_CACHED_RATIO = 0.4
 
 
-class Expected(NamedTuple):
+class ExpectedRunTimes(NamedTuple):
     """Holds the expected run times of a request.
 
     Attributes:
-      known_s: run time where its object is cached, in seconds.
-      new_s: run time where it is not, in seconds.
+      cached_s: run time where its object is cached, in seconds.
+      uncached_s: run time where it is not, in seconds.
     """
 
-    known_s: float
-    new_s: float
+    cached_s: float
+    uncached_s: float
 
 
 class RunTimes:
@@ -44,15 +44,17 @@
         self._routes: dict[tuple[str, bool], _RunningMean] = {}
         self._services: dict[str, _RunningMean] = {}
 
-    def expected(self, *, route: str, aim_s: float) -> Expected:
+    def expected(
+        self, *, route: str, target_latency_s: float
+    ) -> ExpectedRunTimes:
         """Returns the expected run times of a request.
 
         Args:
           route: the request's route.
-          aim_s: the route's latency target in seconds, from which the initial
-            estimate is derived.
+          target_latency_s: the route's latency target in seconds, from which
+            the initial estimate is derived.
         """
-        new_s = INITIAL_RUN_RATIO * aim_s
+        new_s = INITIAL_RUN_RATIO * target_latency_s
         uncached = self._routes.get((route, False))
         if uncached is not None:
             new_s = uncached.with_estimate(new_s)
@@ -60,16 +62,16 @@
         cached = self._routes.get((route, True))
         if cached is not None:
             known_s = cached.with_estimate(known_s)
-        return Expected(
-            known_s=min(known_s, MAX_CACHED_RATIO * new_s), new_s=new_s
+        return ExpectedRunTimes(
+            cached_s=min(known_s, MAX_CACHED_RATIO * new_s), uncached_s=new_s
         )
 
-    def service_s(self, *, service: str, default_s: float) -> float:
+    def service_run_s(self, *, service: str, default_s: float) -> float:
         """Returns the mean run time of a service's requests, in seconds."""
         mean = self._services.get(service)
         return default_s if mean is None else mean.with_estimate(default_s)
 
-    def note_run(
+    def record_run(
         self, *, service: str, route: str, warm: bool | None, run_s: float
     ) -> None:
         """Adds the run time of a response.
--- a/almondstair/core/agreed_places.py
+++ b/almondstair/core/shared_order.py
@@ -12,8 +12,11 @@
 from almondstair.core.upstream_state import UpstreamState
 
 
-def agreed_order(
-    *, key: str, upstreams: Iterable[UpstreamState], exposed: Collection[int]
+def shared_order(
+    *,
+    key: str,
+    upstreams: Iterable[UpstreamState],
+    possibly_crashed: Collection[int],
 ) -> list[UpstreamState]:
     """Returns the upstreams for a request in the same order on all entries.
 
@@ -23,16 +26,17 @@
     Args:
       key: key that is the same for all retries of the request.
       upstreams: the eligible upstreams of its service.
-      exposed: hashes of the upstreams that it may have crashed; excluded.
+      possibly_crashed: hashes of the upstreams that it may have crashed;
+        excluded.
     """
     candidates = list(upstreams)
     regions = set()
     for upstream in candidates:
-        if upstream.name_hash in exposed:
+        if upstream.name_hash in possibly_crashed:
             regions.add(upstream.region)
     scored = []
     for upstream in candidates:
-        if upstream.name_hash in exposed:
+        if upstream.name_hash in possibly_crashed:
             continue
         text = f"{key}\0{upstream.name_hash}"
         score = xxhash.xxh3_64_intdigest(text.encode())
--- a/almondstair/core/second_tries.py
+++ b/almondstair/core/shared_retry_budget.py
@@ -10,7 +10,7 @@
 NEWCOMER_SHARE = 0.25
 
 
-class SecondTries:
+class SharedRetryBudget:
     """Limits how often requests of a service are retried at another upstream.
 
     The limit over all entries is a ratio of the requests plus a slack. Each
@@ -27,11 +27,11 @@
           slack: retries allowed in addition, over all entries.
           window_s: length of the sliding window, in seconds.
         """
-        self.set_bounds(ratio=ratio, slack=slack, window_s=window_s)
+        self.set_limits(ratio=ratio, slack=slack, window_s=window_s)
         self._requests: dict[str, deque[float]] = {}
         self._retries: dict[str, deque[float]] = {}
 
-    def set_bounds(
+    def set_limits(
         self, *, ratio: float, slack: float, window_s: float
     ) -> None:
         """Replaces the limits; counted requests and retries stay counted."""
@@ -39,11 +39,11 @@
         self._slack = slack
         self._window_s = window_s
 
-    def note_request(self, *, service: str, now_s: float) -> None:
+    def record_request(self, *, service: str, now_s: float) -> None:
         """Counts a request for a service."""
         self._requests.setdefault(service, deque()).append(now_s)
 
-    def take(
+    def try_acquire(
         self, *, service: str, entries: int, joined: bool, now_s: float
     ) -> bool:
         """Counts a retry and returns True if the budget allows it.
--- a/almondstair/core/upstream_state.py
+++ b/almondstair/core/upstream_state.py
@@ -5,7 +5,7 @@
 
 import xxhash
 
-from almondstair.core.others_loads import OthersLoads
+from almondstair.core.peer_loads import PeerLoads
 
 # Half-life of the number of other entries' requests that a response reported.
 # Requests last a few tenths of a second, so after a second half of them ended.
@@ -34,7 +34,7 @@
       draining: whether it is about to stop and accepts no new requests.
       cold_left_s: remaining time for which it is cold after its start, in
         seconds.
-      born_ms: time of its start, in milliseconds since 1970; 0 if unknown.
+      started_ms: time of its start, in milliseconds since 1970; 0 if unknown.
     """
 
     upstream_id: str
@@ -45,15 +45,15 @@
     slots: int
     draining: bool
     cold_left_s: float
-    born_ms: int = 0
+    started_ms: int = 0
 
     @property
     def incarnation(self) -> str:
         """Returns a name that is unique to this start of the upstream."""
-        if not self.born_ms:
+        if not self.started_ms:
             return self.upstream_id
         # Ids contain no spaces.
-        return f"{self.upstream_id} {self.born_ms}"
+        return f"{self.upstream_id} {self.started_ms}"
 
 
 def incarnation_hash(incarnation: str) -> int:
@@ -61,7 +61,7 @@
     return xxhash.xxh32_intdigest(incarnation.encode())
 
 
-class ToldLoad(NamedTuple):
+class ReportedLoad(NamedTuple):
     """Holds the load that an upstream reports in a response."""
 
     running: int
@@ -79,7 +79,7 @@
       region: its region.
       in_flight: requests of this entry that are in flight to it.
       cold_until_s: until when it is cold, on the entry's clock, in seconds.
-      was_unreachable: whether it has accepted no connection since the last
+      is_unreachable: whether it has accepted no connection since the last
         failed one.
       unreachable_at_s: time of the first of those failures, on the entry's
         clock, in seconds.
@@ -90,25 +90,25 @@
         *,
         record: UpstreamRecord,
         region: str,
-        loads: OthersLoads | None = None,
+        peer_loads: PeerLoads | None = None,
     ) -> None:
         """Starts without load or failures.
 
         Args:
           record: its registration.
           region: its region.
-          loads: requests of other entries at all upstreams.
+          peer_loads: requests of other entries at all upstreams.
         """
         self.record = record
         self.incarnation = record.incarnation
         self.name_hash = incarnation_hash(self.incarnation)
-        self._loads = loads or OthersLoads()
+        self._peer_loads = peer_loads or PeerLoads()
         self.region = region
         self.in_flight = 0
         self.cold_until_s = 0.0
-        self.was_unreachable = False
+        self.is_unreachable = False
         self.unreachable_at_s = -math.inf
-        self._reported_others = 0.0
+        self._reported_peer_requests = 0.0
         self._reported_at_s = -math.inf
         self._on_probation = False
         self._probe_running = False
@@ -119,37 +119,41 @@
     # Load.
 
     @property
-    def others(self) -> int:
+    def peer_requests(self) -> int:
         """Returns the number of requests that other entries report for it."""
-        return self._loads.at(self.name_hash)
+        return self._peer_loads.requests_at(self.name_hash)
 
-    def take_load(self, told: ToldLoad, *, now_s: float) -> None:
+    def apply_load(self, reported: ReportedLoad, *, now_s: float) -> None:
         """Applies the load that a response reports.
 
         The upstream may still count the answered request. This entry counts it
         too until its response is handled, so that the difference is the load of
         other entries.
         """
-        busy = told.running + told.waiting
-        self._reported_others = max(0.0, float(busy - self.in_flight))
+        busy = reported.running + reported.waiting
+        self._reported_peer_requests = max(0.0, float(busy - self.in_flight))
         self._reported_at_s = now_s
 
-    def busy(self, *, now_s: float, peers_heard: bool) -> float:
+    def estimated_load(
+        self, *, now_s: float, peer_loads_complete: bool
+    ) -> float:
         """Returns the estimated number of requests that it holds.
 
         Args:
           now_s: the entry's clock, in seconds.
-          peers_heard: whether every other entry reports its load there; the
-            sum is then nearly exact, and newer than the last response.
+          peer_loads_complete: whether every other entry reports its load there;
+            the sum is then nearly exact, and newer than the last response.
         """
-        known = float(self.in_flight + self.others)
-        if peers_heard:
-            return known
+        reported = float(self.in_flight + self.peer_requests)
+        if peer_loads_complete:
+            return reported
         age_s = now_s - self._reported_at_s
         if age_s > 8 * LOAD_HALF_LIFE_S:
-            return known
-        others = self._reported_others * 0.5 ** (age_s / LOAD_HALF_LIFE_S)
-        return max(known, self.in_flight + others)
+            return reported
+        peer_requests = self._reported_peer_requests * 0.5 ** (
+            age_s / LOAD_HALF_LIFE_S
+        )
+        return max(reported, self.in_flight + peer_requests)
 
     def load_age_s(self, *, now_s: float) -> float:
         """Returns the age of the load that it last reported, in seconds."""
@@ -157,39 +161,39 @@
 
     # Reachability.
 
-    def paused(self) -> bool:
+    def is_paused(self) -> bool:
         """Returns whether it gets no requests after it was unreachable."""
-        if self.was_unreachable:
+        if self.is_unreachable:
             return True
         # After it is reachable again, one request at a time probes it.
         return self._on_probation and self._probe_running
 
-    def note_unreachable(self, *, now_s: float = -math.inf) -> None:
+    def record_unreachable(self, *, now_s: float = -math.inf) -> None:
         """Records a failed connection; it is paused until one is accepted."""
-        if not self.was_unreachable:
+        if not self.is_unreachable:
             self.unreachable_at_s = now_s
         self._probe_running = False
         self._on_probation = True
-        self.was_unreachable = True
+        self.is_unreachable = True
 
-    def note_reached(self) -> None:
+    def record_reached(self) -> None:
         """Records that it accepted a new connection."""
-        self.was_unreachable = False
+        self.is_unreachable = False
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Counts a request that is sent to it."""
         self.in_flight += 1
         if self._on_probation:
             self._probe_running = True
 
-    def note_ended(self) -> None:
+    def record_ended(self) -> None:
         """Counts a request that has ended."""
         self.in_flight -= 1
         self._probe_running = False
 
     # Failures and run times.
 
-    def note_answer(self, *, good: bool, now_s: float) -> None:
+    def record_response(self, *, good: bool, now_s: float) -> None:
         """Counts a response as a success or as a failure of the upstream."""
         self._decay(now_s)
         if good:
@@ -197,7 +201,7 @@
         sample = 0.0 if good else 1.0
         self._failures += SAMPLE_WEIGHT * (sample - self._failures)
 
-    def note_run(
+    def record_run(
         self, *, run_s: float, expected_s: float, now_s: float
     ) -> None:
         """Compares a run time with the one expected for its service.
@@ -233,6 +237,6 @@
         factor = 0.5 ** (age_s / HEALTH_HALF_LIFE_S)
         return math.exp(self._slowness_log * factor)
 
-    def cold(self, *, now_s: float) -> bool:
+    def is_cold(self, *, now_s: float) -> bool:
         """Returns whether it is considered cold."""
         return now_s < self.cold_until_s
--- a/almondstair/core/zone_roles.py
+++ b/almondstair/core/zone_roles.py
@@ -11,15 +11,15 @@
 
 import xxhash
 
-from almondstair.core.registered import Entry
+from almondstair.core.registered_entries import Entry
 
 
-def in_turn(entries: Iterable[Entry], *, zone: str) -> list[Entry]:
+def ranked_entries(entries: Iterable[Entry], *, zone: str) -> list[Entry]:
     """Returns the entries of a zone, ranked for its work."""
-    return turns(entries).get(zone, [])
+    return ranked_by_zone(entries).get(zone, [])
 
 
-def turns(entries: Iterable[Entry]) -> dict[str, list[Entry]]:
+def ranked_by_zone(entries: Iterable[Entry]) -> dict[str, list[Entry]]:
     """Returns the entries of each zone, ranked for its work."""
     found: dict[str, list[Entry]] = {}
     for entry in entries:
@@ -37,10 +37,10 @@
     would apply it seconds after the others.
     """
     digest = xxhash.xxh32_intdigest(entry.name.encode())
-    return (-entry.carries_mbps, digest)
+    return (-entry.throughput_mbps, digest)
 
 
-def acting(
+def first_alive(
     candidates: Collection[Entry],
     *,
     own_name: str,
--- a/almondstair/gateway/calls.py
+++ b/almondstair/gateway/calls.py
@@ -5,7 +5,7 @@
 
 from almondstair.clock import now_s
 from almondstair.core.crash_suspects import fingerprint
-from almondstair.core.placing import Asked
+from almondstair.core.request_placer import PlacementRequest
 from almondstair.core.routing import Route
 from almondstair.gateway.http_wire import Headers
 from almondstair.gateway.http_wire import UpstreamResponseHead
@@ -81,7 +81,7 @@
         caller_s = DEFAULT_DEADLINE_S
         stated = request.header(names.DEADLINE)
         if stated is not None:
-            caller_s = names.read_milliseconds(stated) or DEFAULT_DEADLINE_S
+            caller_s = names.parse_milliseconds(stated) or DEFAULT_DEADLINE_S
         self.deadline_s = request.arrived_s + min(caller_s, route.timeout_s)
         self.tried: list[str] = []
         self.attempts = 0
@@ -93,15 +93,18 @@
     @property
     def key(self) -> str:
         """Returns the key by which the request is placed."""
-        key = self.request.header(names.KEY)
-        if key is None or not self.route.by_key:
+        key = self.request.header(names.AFFINITY_KEY)
+        if key is None or not self.route.key_affinity:
             return self.request_id.decode("latin-1")
         return key.decode("latin-1")
 
     @property
     def resend_key(self) -> str:
         """Returns a key that is the same for each resend of the request."""
-        if self.route.by_key and self.request.header(names.KEY) is not None:
+        if (
+            self.route.key_affinity
+            and self.request.header(names.AFFINITY_KEY) is not None
+        ):
             return self.key
         return f"{self.fingerprint():x}"
 
@@ -110,16 +113,16 @@
         """Returns the request's id for logs."""
         return self.request_id.decode("latin-1", "replace")
 
-    def placement_request(self) -> Asked:
+    def placement_request(self) -> PlacementRequest:
         """Returns the inputs of the call's placement."""
-        return Asked(
+        return PlacementRequest(
             route=self.route,
             service=self.service,
             key=self.resend_key if self.possibly_crashed else self.key,
             arrived_s=self.request.arrived_s,
-            ends_s=self.deadline_s,
+            deadline_s=self.deadline_s,
             tried=self.tried,
-            exposed=self.possibly_crashed,
+            possibly_crashed=self.possibly_crashed,
         )
 
     def remaining_s(self) -> float:
--- a/almondstair/gateway/crash_words.py
+++ b/almondstair/gateway/crash_words.py
@@ -8,7 +8,7 @@
 
 from almondstair.clock import now_s
 from almondstair.core.crash_suspects import CrashSuspects
-from almondstair.core.crash_suspects import Standing
+from almondstair.core.crash_suspects import CrashVerdict
 from almondstair.core.crash_suspects import Strike
 from almondstair.core.upstream_state import UpstreamState
 from almondstair.gateway.load_sharing import LoadSharing
@@ -47,7 +47,7 @@
         """
         upstream_hash = upstream.name_hash
         strike = Strike(request, upstream_hash)
-        if self._suspects.note_lost(strike, ran_s=ran_s, now_s=now_s()):
+        if self._suspects.record_lost(strike, ran_s=ran_s, now_s=now_s()):
             ran_ms = round(ran_s * _MS_PER_S)
             self._sharing.send_all(
                 LostRequest(self._own_name, request, upstream_hash, ran_ms)
@@ -56,7 +56,7 @@
     def note_gone(self, upstream: UpstreamState) -> None:
         """Records a gone upstream and reports the requests lost there."""
         upstream_hash = upstream.name_hash
-        suspected_requests = self._suspects.note_gone(
+        suspected_requests = self._suspects.record_ended(
             upstream_hash, now_s=now_s()
         )
         if suspected_requests:
@@ -66,20 +66,20 @@
 
     def note_lives(self, upstream: UpstreamState) -> None:
         """Records that an upstream is alive after a lost response."""
-        self._suspects.note_lives(upstream.name_hash)
+        self._suspects.record_alive(upstream.name_hash)
 
     def note_answered(self, request: int) -> None:
         """Records a complete response to a request."""
-        self._suspects.note_answered(request)
+        self._suspects.record_response(request)
 
-    def standing(self, request: int) -> Standing:
+    def standing(self, request: int) -> CrashVerdict:
         """Returns a request's standing after reading pending reports."""
         self._sharing.read_waiting()
-        return self._suspects.standing(request, now_s=now_s())
+        return self._suspects.verdict(request, now_s=now_s())
 
     def exposed(self, request: int) -> frozenset[int]:
         """Returns hashes of the upstreams that a request may have crashed."""
-        return self._suspects.exposed(request, now_s=now_s())
+        return self._suspects.possibly_crashed(request, now_s=now_s())
 
     def exposed_now(self, request: int) -> frozenset[int]:
         """Returns the same as `exposed` after reading pending reports."""
--- a/almondstair/gateway/daemon.py
+++ b/almondstair/gateway/daemon.py
@@ -12,15 +12,15 @@
 
 from almondstair import log
 from almondstair.clock import now_s
-from almondstair.core.cold_starts import ColdStarts
+from almondstair.core.cold_start_limiter import ColdStartLimiter
 from almondstair.core.crash_suspects import CrashSuspects
+from almondstair.core.entry_directory import EntryDirectory
 from almondstair.core.fleet import Fleet
-from almondstair.core.known_places import KnownPlaces
-from almondstair.core.look_ups import LookUps
-from almondstair.core.placing import Placing
-from almondstair.core.region_shares import RegionShares
+from almondstair.core.known_places import CachedLocations
+from almondstair.core.region_shares import RegionShareLimiter
+from almondstair.core.request_placer import RequestPlacer
 from almondstair.core.run_times import RunTimes
-from almondstair.core.second_tries import SecondTries
+from almondstair.core.shared_retry_budget import SharedRetryBudget
 from almondstair.errors import AlmondstairError
 from almondstair.gateway.caller_connection import CallerConnection
 from almondstair.gateway.crash_words import CrashWords
@@ -93,10 +93,10 @@
             own_zone=settings.availability_zone,
             seeds=_other_seeds(settings),
         )
-        self._lookups = LookUps()
+        self._lookups = EntryDirectory()
         self._entries_version = -1
         self._metrics = Measures()
-        self._cached_locations = KnownPlaces()
+        self._cached_locations = CachedLocations()
         suspects = CrashSuspects()
         self._load_exchange = LoadSharing(
             fleet=self._fleet,
@@ -132,17 +132,17 @@
     def _create_forwarder(self) -> None:
         settings = self._settings
         bounds = settings.bounds
-        self._retry_budget = SecondTries(
+        self._retry_budget = SharedRetryBudget(
             ratio=bounds.retry_ratio,
             slack=bounds.retry_slack,
             window_s=bounds.retry_window_s,
         )
-        self._region_limiter = RegionShares(
-            own_region=settings.region, most_change=bounds.region_change
+        self._region_limiter = RegionShareLimiter(
+            own_region=settings.region, max_change=bounds.region_change
         )
-        self._cold_start_limiter = ColdStarts(
+        self._cold_start_limiter = ColdStartLimiter(
             own_name=settings.entry_name,
-            over=bounds.cold_over,
+            rate_factor=bounds.cold_over,
             slack=bounds.cold_slack,
         )
         self._connector = Reaching(
@@ -152,12 +152,12 @@
             own_region=settings.region,
             regions=settings.zones.values(),
         )
-        placing = Placing(
+        placing = RequestPlacer(
             fleet=self._fleet,
             run_times=RunTimes(),
-            places=self._cached_locations,
-            region_shares=self._region_limiter,
-            cold_starts=self._cold_start_limiter,
+            cached_locations=self._cached_locations,
+            region_limiter=self._region_limiter,
+            cold_start_limiter=self._cold_start_limiter,
             round_trips_s=self._connector.round_trips_s,
         )
         sender = UpstreamSender(
@@ -206,8 +206,8 @@
         """Returns addresses of entries for a caller of a region."""
         if self._entries_version != self._fleet.entries_version:
             self._entries_version = self._fleet.entries_version
-            self._lookups.take_entries(self._fleet.entries.values())
-        found = self._lookups.named(region=region, caller=caller)
+            self._lookups.set_entries(self._fleet.entries.values())
+        found = self._lookups.addresses_for(region=region, caller=caller)
         if not found and not self._leaving:
             found = [self._settings.listen.callers]
         return found
@@ -293,22 +293,22 @@
         before = self._settings
         self._settings = settings
         bounds = settings.bounds
-        self._retry_budget.set_bounds(
+        self._retry_budget.set_limits(
             ratio=bounds.retry_ratio,
             slack=bounds.retry_slack,
             window_s=bounds.retry_window_s,
         )
-        self._region_limiter.most_change = bounds.region_change
-        self._cold_start_limiter.set_bounds(
-            over=bounds.cold_over, slack=bounds.cold_slack
+        self._region_limiter.max_change = bounds.region_change
+        self._cold_start_limiter.set_limits(
+            rate_factor=bounds.cold_over, slack=bounds.cold_slack
         )
         if settings.zones != before.zones:
-            self._fleet.take_zones(settings.zones)
+            self._fleet.set_zones(settings.zones)
             self._connector.know_regions(settings.zones.values())
         if settings.seeds != before.seeds:
             self._follower.set_seeds(_other_seeds(settings))
         if settings.store.address != before.store.address:
-            self._client.move(settings.store.address)
+            self._client.set_address(settings.store.address)
             self._follower.reset_revision()
 
     async def stop(self) -> None:
--- a/almondstair/gateway/following.py
+++ b/almondstair/gateway/following.py
@@ -8,7 +8,7 @@
 from almondstair.clock import now_s
 from almondstair.core import zone_roles
 from almondstair.core.fleet import Fleet
-from almondstair.core.registered import Entry
+from almondstair.core.registered_entries import Entry
 from almondstair.errors import AlmondstairError
 from almondstair.gateway.configuration_history import ConfigurationHistory
 from almondstair.gateway.mirror import Mirror
@@ -188,7 +188,9 @@
         return [*peers, self._store, *self._remote_peers()]
 
     def _readers(self, zone: str) -> list[Entry]:
-        candidates = zone_roles.in_turn(self._fleet.entries.values(), zone=zone)
+        candidates = zone_roles.ranked_entries(
+            self._fleet.entries.values(), zone=zone
+        )
         return candidates[:STORE_READERS]
 
     def _remote_peers(self) -> list[Source]:
@@ -212,7 +214,7 @@
         return peer
 
     def _record_loss(self, error: AlmondstairError | None) -> None:
-        self._fleet.note_trouble(now_s=now_s())
+        self._fleet.record_store_failure(now_s=now_s())
         if self._store_lost:
             return
         self._store_lost = True
@@ -234,7 +236,7 @@
         self._store_lost = False
         now = now_s()
         written_to = not batch.from_store or self._others_wrote(batch.items)
-        self._fleet.note_return(written_to=written_to, now_s=now)
+        self._fleet.record_store_recovery(upstreams_wrote=written_to, now_s=now)
         log.event(
             log.Event.STORE_BACK,
             revision=batch.revision,
@@ -312,11 +314,11 @@
         if item.value is None:
             return
         try:
-            configuration = documents.read_configuration(item.value)
+            configuration = documents.decode_configuration(item.value)
         except AlmondstairError as error:
             log.event(log.Event.CONFIGURATION_BAD, detail=error.detail)
             return
-        if self._fleet.take_configuration(configuration):
+        if self._fleet.apply_configuration(configuration):
             self.history.add(
                 version=configuration.version,
                 text=item.value,
@@ -334,10 +336,10 @@
     def _apply_evacuation(self, item: Item) -> None:
         zone = item.key.removeprefix(documents.EVACUATION_PREFIX)
         if item.value is None:
-            changed = self._fleet.take_back(zone, now_s=now_s())
+            changed = self._fleet.end_evacuation(zone, now_s=now_s())
             self._mirror.remove(item.key, item.revision)
         else:
-            changed = self._fleet.evacuate(zone, now_s=now_s())
+            changed = self._fleet.start_evacuation(zone, now_s=now_s())
             self._mirror.put(item.key, item.value, item.revision)
         if changed:
             log.event(
--- a/almondstair/gateway/forwarding.py
+++ b/almondstair/gateway/forwarding.py
@@ -5,14 +5,14 @@
 from almondstair import log
 from almondstair.clock import now_s
 from almondstair.core.choosing import Choice
-from almondstair.core.crash_suspects import Standing
-from almondstair.core.entry_waits import EntryWaits
+from almondstair.core.crash_suspects import CrashVerdict
+from almondstair.core.entry_waits import EntryQueue
 from almondstair.core.fleet import Fleet
-from almondstair.core.placing import NO_ROOM_RETRY_MS
-from almondstair.core.placing import Placing
+from almondstair.core.request_placer import NO_CAPACITY_RETRY_MS
+from almondstair.core.request_placer import RequestPlacer
 from almondstair.core.routing import CallerLimits
-from almondstair.core.routing import WeightedTurns
-from almondstair.core.second_tries import SecondTries
+from almondstair.core.routing import WeightedRoundRobin
+from almondstair.core.shared_retry_budget import SharedRetryBudget
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 from almondstair.errors import Ran
@@ -62,8 +62,8 @@
         *,
         fleet: Fleet,
         sender: UpstreamSender,
-        retry_budget: SecondTries,
-        placer: Placing,
+        retry_budget: SharedRetryBudget,
+        placer: RequestPlacer,
         crash_reports: CrashWords,
         metrics: Measures,
     ) -> None:
@@ -82,10 +82,10 @@
         self._placer = placer
         self._crash_reports = crash_reports
         self._metrics = metrics
-        self._service_turns = WeightedTurns()
+        self._service_turns = WeightedRoundRobin()
         self._recorder = CallRecorder(fleet=fleet, metrics=metrics)
         self._sender = sender
-        self._slot_waits = EntryWaits()
+        self._slot_waits = EntryQueue()
         self.in_flight: dict[CallerRequest, ForwardedCall] = {}
         self.rejecting = False
         self._started_s = now_s()
@@ -183,7 +183,7 @@
             ) from error
 
     async def _serve(self, call: ForwardedCall) -> None:
-        self._retry_budget.note_request(service=call.service, now_s=now_s())
+        self._retry_budget.record_request(service=call.service, now_s=now_s())
         cause = ""
         while True:
             choice = await self._choose_or_wait(call)
@@ -191,7 +191,7 @@
                 raise self._no_capacity_error(call, cause)
             if call.tried and not self._acquire_retry(call):
                 raise self._attempts_spent_error(call, cause)
-            self._placer.note_sent(
+            self._placer.record_sent(
                 call.placement_request(), choice, now_s=now_s()
             )
             outcome = await self._sender.send(call, choice)
@@ -201,7 +201,7 @@
                 return
             cause = outcome.cause
             if not _is_orderly_refusal(outcome):
-                self._placer.note_disturbed(now_s=now_s())
+                self._placer.record_disruption(now_s=now_s())
             self._recorder.record_failed_attempt(call, choice, outcome)
             if not self._may_retry(call, outcome):
                 raise self._attempts_spent_error(call, cause)
@@ -218,11 +218,11 @@
         held_bytes = call.request.body_length
         if held_bytes is None:
             held_bytes = MAX_BUFFERED_BODY_BYTES
-        if not self._slot_waits.has_room(body_bytes=held_bytes):
+        if not self._slot_waits.has_capacity(body_bytes=held_bytes):
             return None
-        with self._slot_waits.place(body_bytes=held_bytes):
+        with self._slot_waits.hold_waiting(body_bytes=held_bytes):
             while choice is None and self._should_wait(call):
-                await asyncio.sleep(self._slot_waits.look_s)
+                await asyncio.sleep(self._slot_waits.attempt_interval_s)
                 choice = self._choose_upstream(call)
         return choice
 
@@ -234,23 +234,23 @@
         """
         request = call.fingerprint()
         standing = self._crash_reports.standing(request)
-        if standing in (Standing.UNSETTLED, Standing.REFUSED):
+        if standing in (CrashVerdict.PENDING, CrashVerdict.REFUSED):
             raise self._quarantine_error(call, standing)
         call.possibly_crashed = self._crash_reports.exposed(request)
         placed = self._placer.place(call.placement_request(), now_s=now_s())
-        if placed.unsettled:
-            raise self._quarantine_error(call, Standing.UNSETTLED)
-        call.excluded_regions = placed.held_back
+        if placed.pending:
+            raise self._quarantine_error(call, CrashVerdict.PENDING)
+        call.excluded_regions = placed.excluded_regions
         return placed.choice
 
     def _should_wait(self, call: ForwardedCall) -> bool:
         if call.request.caller_disconnected:
             return False
-        return self._placer.waits_on(call.placement_request(), now_s=now_s())
+        return self._placer.may_wait(call.placement_request(), now_s=now_s())
 
     def _acquire_retry(self, call: ForwardedCall) -> bool:
         now = now_s()
-        return self._retry_budget.take(
+        return self._retry_budget.try_acquire(
             service=call.service,
             entries=len(self._fleet.entry_names),
             joined=self._fleet.joined(now_s=now),
@@ -271,14 +271,14 @@
 
     @staticmethod
     def _quarantine_error(
-        call: ForwardedCall, standing: Standing
+        call: ForwardedCall, standing: CrashVerdict
     ) -> AlmondstairError:
         if call.may_have_run:
             return AlmondstairError(
                 kind=ErrorKind.UPSTREAM_LOST,
                 detail="the request may crash upstreams",
             )
-        if standing is Standing.REFUSED:
+        if standing is CrashVerdict.REFUSED:
             return AlmondstairError(kind=ErrorKind.QUARANTINED)
         return AlmondstairError(
             kind=ErrorKind.QUARANTINED,
@@ -291,14 +291,14 @@
     ) -> AlmondstairError:
         if call.may_have_run:
             return self._attempts_spent_error(call, cause)
-        if not self._fleet.takers(call.service):
+        if not self._fleet.eligible_upstreams(call.service):
             return AlmondstairError(
                 kind=ErrorKind.NO_UPSTREAM, detail=f"service {call.service}"
             )
         return AlmondstairError(
             kind=ErrorKind.NO_SLOT,
             detail=cause or "",
-            retry_after_ms=NO_ROOM_RETRY_MS,
+            retry_after_ms=NO_CAPACITY_RETRY_MS,
         )
 
     def _attempts_spent_error(
--- a/almondstair/gateway/load_sharing.py
+++ b/almondstair/gateway/load_sharing.py
@@ -8,7 +8,7 @@
 entries, exchanges sums with the reporters of other zones, and sends the total
 to its zone. The number of messages of an entry is thus independent of the size
 of the fleet, and each zone, not each entry, sends one message to other zones.
-`core/load_pace.py` decides when messages are due.
+`core/report_schedule.py` decides when messages are due.
 """
 
 import asyncio
@@ -21,20 +21,20 @@
 
 from almondstair import log
 from almondstair.clock import now_s
-from almondstair.core import load_pace
+from almondstair.core import report_schedule
 from almondstair.core import zone_roles
 from almondstair.core.crash_suspects import CrashSuspects
 from almondstair.core.crash_suspects import Strike
 from almondstair.core.fleet import Fleet
-from almondstair.core.known_places import KnownPlaces
-from almondstair.core.known_places import Place
-from almondstair.core.load_pace import LinkShare
-from almondstair.core.load_pace import Loads
-from almondstair.core.load_pace import Telling
-from almondstair.core.load_pace import Word
-from almondstair.core.placement_plan import EMPTY
+from almondstair.core.known_places import CachedLocation
+from almondstair.core.known_places import CachedLocations
+from almondstair.core.placement_plan import EMPTY_PLAN
 from almondstair.core.placement_plan import Planner
-from almondstair.core.registered import Entry
+from almondstair.core.registered_entries import Entry
+from almondstair.core.report_schedule import EntryReport
+from almondstair.core.report_schedule import ReportBandwidth
+from almondstair.core.report_schedule import ReportSchedule
+from almondstair.core.report_schedule import UpstreamLoads
 from almondstair.gateway import peer_messages
 from almondstair.gateway.peer_messages import CachedObjects
 from almondstair.gateway.peer_messages import LostRequest
@@ -47,7 +47,7 @@
 from almondstair.gateway.upstream_pool import UpstreamPool
 
 # Reports of an entry expire after three missed heartbeats.
-PEER_TIMEOUT_S = 3 * load_pace.HEARTBEAT_S
+PEER_TIMEOUT_S = 3 * report_schedule.HEARTBEAT_S
 # Longest interval between two messages with a plan: a message may be lost, and
 # an entry that has just started has no plan.
 MAX_PLAN_INTERVAL_S = 0.4
@@ -76,14 +76,14 @@
 
     at_s: float
     entry: str
-    loads: Loads
+    loads: UpstreamLoads
     replaced: list[int]
-    cached_locations: list[Place]
+    cached_locations: list[CachedLocation]
 
 
-def add_loads(parts: Iterable[Loads]) -> Loads:
+def add_loads(parts: Iterable[UpstreamLoads]) -> UpstreamLoads:
     """Returns the sum of several loads."""
-    total: Loads = {}
+    total: UpstreamLoads = {}
     for part in parts:
         for name, count in part.items():
             total[name] = total.get(name, 0) + count
@@ -99,7 +99,7 @@
         fleet: Fleet,
         pool: UpstreamPool,
         suspects: CrashSuspects,
-        places: KnownPlaces,
+        places: CachedLocations,
         own_name: str,
         own_zone: str,
         link_mbps: float = 0.0,
@@ -126,12 +126,14 @@
         self._member_reports: dict[str, ReceivedReport] = {}
         self._zone_reports: dict[str, ReceivedReport] = {}
         self._last_heard_s: dict[str, float] = {}
-        self._reported_loads: Loads = {}
-        self._link_share = LinkShare(link_mbps=link_mbps)
-        self._own_schedule = Telling()
-        self._zone_sum_schedule = Telling(least_pause_s=load_pace.ZONES_PAUSE_S)
-        self._total_schedule = Telling()
-        self._published_plan = EMPTY
+        self._reported_loads: UpstreamLoads = {}
+        self._link_share = ReportBandwidth(link_mbps=link_mbps)
+        self._own_schedule = ReportSchedule()
+        self._zone_sum_schedule = ReportSchedule(
+            min_interval_s=report_schedule.MIN_ZONES_INTERVAL_S
+        )
+        self._total_schedule = ReportSchedule()
+        self._published_plan = EMPTY_PLAN
         self._plan_published_at_s = -math.inf
         self._plan_sent_last = False
         self._entries_by_zone: dict[str, list[Entry]] = {}
@@ -204,7 +206,7 @@
         if isinstance(message, LostRequest | UpstreamGone):
             self._apply_crash_report(message, now)
             return
-        self._places.take(message.places, now_s=now)
+        self._places.apply_reported(message.places, now_s=now)
         if isinstance(message, CachedObjects):
             return
         report = ReceivedReport(
@@ -216,7 +218,7 @@
         )
         self._drop_replaced(message.replaced)
         for strike in message.strikes:
-            self._suspects.strike(Strike(*strike), now_s=now)
+            self._suspects.add_strike(Strike(*strike), now_s=now)
         if isinstance(message, Own):
             if message.entry not in self._member_reports:
                 self._send_cached_objects(message.entry, now)
@@ -224,7 +226,7 @@
         elif isinstance(message, ZoneLoadSum):
             self._zone_reports[message.zone] = report
         else:
-            self._fleet.others_loads.take(
+            self._fleet.peer_loads.update(
                 message.loads, own=self._reported_loads
             )
             if message.complete:
@@ -237,10 +239,10 @@
         if isinstance(message, LostRequest):
             strike = Strike(message.request, upstream)
             ran_s = message.ran_ms / 1000
-            self._suspects.note_lost(strike, ran_s=ran_s, now_s=now)
+            self._suspects.record_lost(strike, ran_s=ran_s, now_s=now)
             return
         for request in message.requests:
-            self._suspects.strike(Strike(request, upstream), now_s=now)
+            self._suspects.add_strike(Strike(request, upstream), now_s=now)
 
     def _send_cached_objects(self, name: str, now: float) -> None:
         """Sends all cached objects to an entry that has not reported before.
@@ -251,7 +253,7 @@
         entry = self._fleet.entries.get(name)
         if entry is None:
             return
-        locations = self._places.all_places(now_s=now)
+        locations = self._places.all_locations(now_s=now)
         for begin in range(0, len(locations), MAX_CACHED_OBJECTS):
             part = locations[begin : begin + MAX_CACHED_OBJECTS]
             self._send(CachedObjects(self._own_name, part), [entry])
@@ -264,8 +266,8 @@
         """
         if message.zone > self._planning_zone():
             return
-        self._planner.take(message.plan)
-        self._fleet.take_plan(message.plan)
+        self._planner.set_plan(message.plan)
+        self._fleet.set_plan(message.plan)
 
     def _planning_zone(self) -> str:
         """Returns the zone whose reporter makes the plan, the first by name."""
@@ -278,7 +280,7 @@
           names: hashes of the replaced incarnations.
         """
         for upstream_hash in names:
-            incarnation = self._fleet.note_replaced(upstream_hash)
+            incarnation = self._fleet.record_replaced(upstream_hash)
             if not incarnation:
                 continue
             self._pool.forget(incarnation=incarnation)
@@ -290,7 +292,7 @@
         """Sends due reports until it is cancelled."""
         while True:
             members = self._in_turn(self._own_zone)
-            await asyncio.sleep(load_pace.pause_s(len(members)))
+            await asyncio.sleep(report_schedule.report_interval_s(len(members)))
             self._tick(now_s())
 
     def _tick(self, now: float) -> None:
@@ -303,7 +305,9 @@
             self._send_reports(now)
         else:
             self._send_own_loads(reporter, now)
-        self._fleet.peers_heard = now - self._total_at_s < PEER_TIMEOUT_S
+        self._fleet.peer_loads_complete = (
+            now - self._total_at_s < PEER_TIMEOUT_S
+        )
 
     def _reporter(self, now: float) -> Entry | None:
         candidates = self._in_turn(self._own_zone)
@@ -313,38 +317,38 @@
             heard_s = self._last_heard_s.setdefault(entry.name, now)
             return now - heard_s < PEER_TIMEOUT_S
 
-        return zone_roles.acting(
+        return zone_roles.first_alive(
             candidates, own_name=self._own_name, alive=alive
         )
 
-    def _own_loads(self) -> Loads:
-        upstreams = self._fleet.by_hash.items()
+    def _own_loads(self) -> UpstreamLoads:
+        upstreams = self._fleet.upstreams_by_hash.items()
         return {name: one.in_flight for name, one in upstreams if one.in_flight}
 
     def _in_turn(self, zone: str) -> list[Entry]:
         """Returns a zone's entries in the order in which they act."""
         if self._entries_version != self._fleet.entries_version:
             self._entries_version = self._fleet.entries_version
-            self._entries_by_zone = zone_roles.turns(
+            self._entries_by_zone = zone_roles.ranked_by_zone(
                 self._fleet.entries.values()
             )
         return self._entries_by_zone.get(zone, [])
 
     def _send_own_loads(self, reporter: Entry, now: float) -> None:
-        report = Word(
+        report = EntryReport(
             self._own_loads(),
-            self._fleet.replaced(now_s=now),
+            self._fleet.recently_replaced(now_s=now),
             self._fresh_strikes(now),
-            self._places.found_lately(now_s=now)[:MAX_CACHED_OBJECTS],
+            self._places.locations_to_report(now_s=now)[:MAX_CACHED_OBJECTS],
         )
-        if not self._own_schedule.due(report, now_s=now):
+        if not self._own_schedule.is_due(report, now_s=now):
             return
-        self._own_schedule.note_told(report, now_s=now)
+        self._own_schedule.record_sent(report, now_s=now)
         self._reported_loads = report.loads
         self._send(Own(self._own_name, *report), [reporter])
 
     def _fresh_strikes(self, now: float) -> list[tuple[int, int]]:
-        fresh = self._suspects.fresh(now_s=now, for_s=STRIKE_REPORT_S)
+        fresh = self._suspects.recent_strikes(now_s=now, for_s=STRIKE_REPORT_S)
         return [(strike.fingerprint, strike.upstream) for strike in fresh]
 
     def _send_reports(self, now: float) -> None:
@@ -359,12 +363,14 @@
         ]
         total = add_loads([zone_sum, *others])
         self._reported_loads = own
-        self._fleet.others_loads.take(total, own=self._reported_loads)
+        self._fleet.peer_loads.update(total, own=self._reported_loads)
         self._update_plan(now)
         if self._all_zones_reported():
             self._total_at_s = now
-        replaced = set(self._fleet.replaced(now_s=now))
-        cached_locations = dict.fromkeys(self._places.found_lately(now_s=now))
+        replaced = set(self._fleet.recently_replaced(now_s=now))
+        cached_locations = dict.fromkeys(
+            self._places.locations_to_report(now_s=now)
+        )
         for member in self._member_reports.values():
             replaced.update(member.replaced)
             cached_locations.update(dict.fromkeys(member.cached_locations))
@@ -372,13 +378,15 @@
         strikes = self._fresh_strikes(now)
         cached_objects = list(cached_locations)[:MAX_CACHED_OBJECTS]
         self._send_zone_sum(
-            Word(zone_sum, list(replaced), strikes, cached_objects), now
+            EntryReport(zone_sum, list(replaced), strikes, cached_objects), now
         )
         for report in self._zone_reports.values():
             replaced.update(report.replaced)
             cached_locations.update(dict.fromkeys(report.cached_locations))
         cached_objects = list(cached_locations)[:MAX_CACHED_OBJECTS]
-        total_report = Word(total, list(replaced), strikes, cached_objects)
+        total_report = EntryReport(
+            total, list(replaced), strikes, cached_objects
+        )
         # Both share one allowance of the link: alternate so that neither
         # starves the other.
         if self._plan_sent_last:
@@ -388,41 +396,41 @@
             self._send_plan(now)
             self._send_total(total_report, now)
 
-    def _send_zone_sum(self, report: Word, now: float) -> None:
-        if not self._zone_sum_schedule.due(report, now_s=now):
+    def _send_zone_sum(self, report: EntryReport, now: float) -> None:
+        if not self._zone_sum_schedule.is_due(report, now_s=now):
             return
-        self._zone_sum_schedule.note_told(report, now_s=now)
+        self._zone_sum_schedule.record_sent(report, now_s=now)
         message = ZoneLoadSum(
             entry=self._own_name,
             zone=self._own_zone,
             loads=_cut(report.loads),
             replaced=report.replaced,
             strikes=report.strikes,
-            places=report.places,
+            places=report.locations,
         )
         self._send(message, self._other_reporters())
 
-    def _send_total(self, report: Word, now: float) -> None:
-        if not self._total_schedule.due(report, now_s=now):
+    def _send_total(self, report: EntryReport, now: float) -> None:
+        if not self._total_schedule.is_due(report, now_s=now):
             return
-        if not self._total_schedule.urgent(report):
-            if not self._link_share.free(now_s=now):
+        if not self._total_schedule.is_urgent(report):
+            if not self._link_share.has_capacity(now_s=now):
                 return
-        self._total_schedule.note_told(report, now_s=now)
+        self._total_schedule.record_sent(report, now_s=now)
         message = Total(
             entry=self._own_name,
             complete=self._all_zones_reported(),
             loads=_cut(report.loads),
             replaced=report.replaced,
             strikes=report.strikes,
-            places=report.places,
+            places=report.locations,
         )
         self._send_to_zone(message, now)
 
     def _send_to_zone(self, message: Message, now: float) -> None:
         self._plan_sent_last = isinstance(message, PlanTold)
         sent_bytes = self._send(message, self._in_turn(self._own_zone))
-        self._link_share.note_sent(sent_bytes, now_s=now)
+        self._link_share.record_sent(sent_bytes, now_s=now)
 
     def _update_plan(self, now: float) -> None:
         """Updates the plan if this zone makes it.
@@ -434,9 +442,9 @@
             return
         services = {}
         for service in self._fleet.services():
-            services[service] = self._fleet.takers(service)
-        self._planner.observe(services=services, now_s=now)
-        self._fleet.take_plan(self._planner.plan)
+            services[service] = self._fleet.eligible_upstreams(service)
+        self._planner.update(services=services, now_s=now)
+        self._fleet.set_plan(self._planner.plan)
 
     def _send_plan(self, now: float) -> None:
         """Sends the plan when it has changed, and periodically."""
@@ -444,7 +452,7 @@
         age_s = now - self._plan_published_at_s
         if plan == self._published_plan and age_s < MAX_PLAN_INTERVAL_S:
             return
-        if not self._link_share.free(now_s=now):
+        if not self._link_share.has_capacity(now_s=now):
             return
         self._published_plan = plan
         self._plan_published_at_s = now
@@ -496,7 +504,7 @@
         return sent_bytes
 
 
-def _cut(loads: Loads) -> Loads:
+def _cut(loads: UpstreamLoads) -> UpstreamLoads:
     """Returns the busiest upstreams, as many as fit a message."""
     if len(loads) <= MAX_UPSTREAMS:
         return loads
--- a/almondstair/gateway/overview.py
+++ b/almondstair/gateway/overview.py
@@ -61,9 +61,9 @@
         for kind, count in self._client.calls.items():
             measures.store_calls.labels(kind).set(count)
         for service in self._fleet.services():
-            takers = self._fleet.takers(service)
-            measures.upstreams.labels(service).set(len(takers))
-            use = self._fleet.use(service, now_s=now)
+            eligible = self._fleet.eligible_upstreams(service)
+            measures.upstreams.labels(service).set(len(eligible))
+            use = self._fleet.utilisation(service, now_s=now)
             measures.slot_use.labels(service).set(use)
         for event, count in log.left_out().items():
             measures.dropped_log_lines.labels(event).set(count)
@@ -91,7 +91,7 @@
             "configuration_version": table.version if table else None,
             "store_revision": self._follower.revision,
             "store_age_s": round(now - self._follower.heard_at_s, 2),
-            "peers_heard": self._fleet.peers_heard,
+            "peers_heard": self._fleet.peer_loads_complete,
             "evacuated": sorted(self._fleet.evacuated),
             "evacuated_for_s": {
                 zone: round(now - since_s, 2)
@@ -137,13 +137,16 @@
         "availability_zone": record.availability_zone,
         "slots": record.slots,
         "busy": round(
-            upstream.busy(now_s=now, peers_heard=fleet.peers_heard), 1
+            upstream.estimated_load(
+                now_s=now, peer_loads_complete=fleet.peer_loads_complete
+            ),
+            1,
         ),
         "load_age_s": round(age_s, 2) if age_s < NO_REPORT_AGE_S else None,
         "in_flight": upstream.in_flight,
         "draining": record.draining,
-        "paused": upstream.paused(),
-        "cold": upstream.cold(now_s=now),
+        "paused": upstream.is_paused(),
+        "cold": upstream.is_cold(now_s=now),
         "slowness": round(upstream.slowness(now_s=now), 2),
         "failure_share": round(upstream.failure_share(now_s=now), 2),
     }
--- a/almondstair/gateway/peer_messages.py
+++ b/almondstair/gateway/peer_messages.py
@@ -2,19 +2,19 @@
 
 import msgspec
 
-from almondstair.core.known_places import Place
-from almondstair.core.load_pace import Loads
+from almondstair.core.known_places import CachedLocation
 from almondstair.core.placement_plan import Plan
+from almondstair.core.report_schedule import UpstreamLoads
 
 
 class Own(msgspec.Struct, array_like=True, tag=0):
     """One entry's loads, sent to its zone's reporter; see `Total`."""
 
     entry: str
-    loads: Loads
+    loads: UpstreamLoads
     replaced: list[int]
     strikes: list[tuple[int, int]]
-    places: list[Place] = []
+    places: list[CachedLocation] = []
 
 
 class ZoneLoadSum(msgspec.Struct, array_like=True, tag=1):
@@ -22,10 +22,10 @@
 
     entry: str
     zone: str
-    loads: Loads
+    loads: UpstreamLoads
     replaced: list[int]
     strikes: list[tuple[int, int]]
-    places: list[Place] = []
+    places: list[CachedLocation] = []
 
 
 class Total(msgspec.Struct, array_like=True, tag=2):
@@ -43,10 +43,10 @@
 
     entry: str
     complete: bool
-    loads: Loads
+    loads: UpstreamLoads
     replaced: list[int]
     strikes: list[tuple[int, int]]
-    places: list[Place] = []
+    places: list[CachedLocation] = []
 
 
 class PlanTold(msgspec.Struct, array_like=True, tag=3):
@@ -67,7 +67,7 @@
     """All cached objects and their upstreams, sent to a new entry."""
 
     entry: str
-    places: list[Place]
+    places: list[CachedLocation]
 
 
 class LostRequest(msgspec.Struct, array_like=True, tag=5):
--- a/almondstair/gateway/reaching.py
+++ b/almondstair/gateway/reaching.py
@@ -107,7 +107,7 @@
                 address=record.address, timeout_s=CONNECT_TIMEOUT_S
             )
         except (OSError, TimeoutError) as error:
-            upstream.note_unreachable(now_s=now_s())
+            upstream.record_unreachable(now_s=now_s())
             self._crash_reports.note_gone(upstream)
             log.event(
                 log.Event.UPSTREAM_UNREACHABLE,
@@ -117,7 +117,7 @@
             )
             return None
         self._record_round_trip(upstream.region, now_s() - began_s)
-        self._fleet.note_reached(upstream, now_s=now_s())
+        self._fleet.record_reached(upstream, now_s=now_s())
         return connection
 
     def _record_round_trip(self, region: str, sample_s: float) -> None:
@@ -146,7 +146,7 @@
         pause_s = first_s
         try:
             while not await self._probe_once(upstream, pause_s):
-                if upstream.was_unreachable:
+                if upstream.is_unreachable:
                     pause_s = max(FIRST_LOOK_S, PROBE_BACKOFF_FACTOR * pause_s)
                     pause_s = min(MAX_PROBE_PAUSE_S, pause_s)
         finally:
@@ -161,7 +161,7 @@
         """Probes once after a pause; returns whether to stop probing."""
         await asyncio.sleep(pause_s)
         upstream_hash = upstream.name_hash
-        if self._fleet.by_hash.get(upstream_hash) is not upstream:
+        if self._fleet.upstreams_by_hash.get(upstream_hash) is not upstream:
             return True
         connection = await self._try_connect(upstream)
         if connection is None:
--- a/almondstair/gateway/registering.py
+++ b/almondstair/gateway/registering.py
@@ -48,7 +48,7 @@
         self._client = client
         self._fleet = fleet
         self._key = documents.ENTRY_PREFIX + name
-        self._value = documents.write_entry(record)
+        self._value = documents.encode_entry(record)
         self._ttl_s = max(LEASE_S, shortest_lease_s)
         self._lease = 0
 
@@ -66,7 +66,9 @@
 
     async def _renew(self) -> None:
         began_s = now_s()
-        anew = not self._lease or not await self._client.keep_lease(self._lease)
+        anew = not self._lease or not await self._client.renew_lease(
+            self._lease
+        )
         if anew:
             self._lease = 0
             began_s = now_s()
@@ -77,8 +79,8 @@
                 return
             self._lease = lease
         # The lease starts when the call arrives, not before `began_s`.
-        self._fleet.note_registered(
-            until_s=began_s + self._ttl_s, anew=anew, now_s=now_s()
+        self._fleet.record_registered(
+            valid_until_s=began_s + self._ttl_s, created=anew, now_s=now_s()
         )
 
     async def end(self) -> None:
@@ -86,7 +88,7 @@
         if not self._lease:
             return
         try:
-            await self._client.end_lease(self._lease)
+            await self._client.revoke_lease(self._lease)
         except AlmondstairError as error:
             # The lease expires; until then, callers find a closing entry.
             log.event(log.Event.REGISTRATION_LATE, detail=error.detail)
--- a/almondstair/gateway/registrations.py
+++ b/almondstair/gateway/registrations.py
@@ -6,7 +6,7 @@
 from almondstair import log
 from almondstair.clock import now_s
 from almondstair.core.fleet import Fleet
-from almondstair.core.registered import Entry
+from almondstair.core.registered_entries import Entry
 from almondstair.core.upstream_state import UpstreamRecord
 from almondstair.gateway.change_lines import ChangeLog
 from almondstair.gateway.mirror import Mirror
@@ -57,7 +57,7 @@
         if item.value is None:
             self._remove_upstream(upstream_id, item.revision)
             return
-        record = documents.read_upstream(item.key, item.value)
+        record = documents.decode_upstream(item.key, item.value)
         if record is None:
             self._log_unreadable(item)
             return
@@ -67,15 +67,15 @@
             # upstream's start would make it cold for as long as it reported
             # then, and its service would reject requests despite free slots.
             record = record._replace(cold_left_s=0.0)
-        result = self._fleet.take_upstream(record, now_s=now_s())
-        if result.ended:
-            self._pool.forget(incarnation=result.ended)
+        result = self._fleet.apply_upstream(record, now_s=now_s())
+        if result.replaced_incarnation:
+            self._pool.forget(incarnation=result.replaced_incarnation)
             self.change_log.write(
                 log.Event.UPSTREAM_GONE,
                 group=record.service,
-                upstream=result.ended,
+                upstream=result.replaced_incarnation,
             )
-        if result.used:
+        if result.is_current:
             known = self._revisions.get(upstream_id, 0)
             self._revisions[upstream_id] = max(known, item.revision)
         if not result.changed:
@@ -133,7 +133,7 @@
         for key in keys:
             if key.startswith(documents.UPSTREAM_PREFIX):
                 listed.add(key.removeprefix(documents.UPSTREAM_PREFIX))
-        for record in self._fleet.forget_unlisted(listed, now_s=now_s()):
+        for record in self._fleet.drop_unlisted(listed, now_s=now_s()):
             self.clean_up_upstream(record, revision=revision)
 
     def apply_entry(self, item: Item) -> None:
@@ -141,7 +141,7 @@
         if item.value is None:
             return
         name = item.key.removeprefix(documents.ENTRY_PREFIX)
-        record = documents.read_entry(item.value)
+        record = documents.decode_entry(item.value)
         if record is None or not name:
             self._log_unreadable(item)
             return
@@ -154,7 +154,7 @@
             cores=record.cores,
             link_mbps=record.link_mbps,
         )
-        if self._fleet.take_entry(entry):
+        if self._fleet.apply_entry(entry):
             self._mirror.put(item.key, item.value, item.revision)
             self.change_log.write(
                 log.Event.ENTRY_CHANGED,
--- a/almondstair/gateway/sources.py
+++ b/almondstair/gateway/sources.py
@@ -60,7 +60,9 @@
     async def fetch(self, *, after: int) -> Batch:
         """Fetches changes, or a full listing if they are not available."""
         if after:
-            page = await self._client.changes(prefix="", after=after, wait_ms=0)
+            page = await self._client.list_changes(
+                prefix="", after=after, wait_ms=0
+            )
             if page is not None:
                 return Batch(
                     items=page.items,
--- a/almondstair/gateway/tries.py
+++ b/almondstair/gateway/tries.py
@@ -5,9 +5,9 @@
 from almondstair import log
 from almondstair.clock import now_s
 from almondstair.core.choosing import Choice
-from almondstair.core.cold_starts import ColdStarts
+from almondstair.core.cold_start_limiter import ColdStartLimiter
 from almondstair.core.fleet import Fleet
-from almondstair.core.placing import Placing
+from almondstair.core.request_placer import RequestPlacer
 from almondstair.core.upstream_state import UpstreamState
 from almondstair.gateway.calls import AttemptResult
 from almondstair.gateway.calls import AttemptVerdict
@@ -44,11 +44,11 @@
         *,
         fleet: Fleet,
         pool: UpstreamPool,
-        cold_start_limiter: ColdStarts,
+        cold_start_limiter: ColdStartLimiter,
         crash_reports: CrashWords,
         metrics: Measures,
         connector: Reaching,
-        placer: Placing,
+        placer: RequestPlacer,
     ) -> None:
         """Creates the sender of one entry.
 
@@ -74,11 +74,11 @@
         upstream = choice.upstream
         call.tried.append(upstream.record.upstream_id)
         now = now_s()
-        if upstream.cold(now_s=now):
-            self._cold_start_limiter.note_sent(
+        if upstream.is_cold(now_s=now):
+            self._cold_start_limiter.record_sent(
                 incarnation=upstream.incarnation, now_s=now
             )
-        upstream.note_sent()
+        upstream.record_sent()
         try:
             connection = await self._get_connection(call, choice)
             if connection is None:
@@ -96,7 +96,7 @@
             began_s = now_s()
             exchange = await self._timed_exchange(call, choice, connection)
         finally:
-            upstream.note_ended()
+            upstream.record_ended()
         if exchange.end is ExchangeEnd.LOST:
             self._report_loss(call, upstream, ran_s=now_s() - began_s)
         outcome = self._classify(call, choice, exchange)
@@ -118,7 +118,7 @@
     ) -> None:
         """Reports a lost response and probes the upstream."""
         self._crash_reports.note_lost(call.fingerprint(), upstream, ran_s=ran_s)
-        if upstream.was_unreachable:
+        if upstream.is_unreachable:
             self._crash_reports.note_gone(upstream)
             return
         self._connector.look_after(upstream)
@@ -165,7 +165,7 @@
             )
             if duration_valid:
                 now = now_s()
-                self._placer.note_run(
+                self._placer.record_run(
                     call.placement_request(),
                     choice,
                     took_s=now - began_s,
@@ -208,7 +208,7 @@
         if exchange.end is not ExchangeEnd.COMPLETE or head is None:
             # The next connection shows whether the upstream is gone; one that
             # only loses responses remains in use, but less.
-            upstream.note_answer(good=False, now_s=now_s())
+            upstream.record_response(good=False, now_s=now_s())
             return AttemptResult(
                 AttemptVerdict.UNKNOWN,
                 exchange,
@@ -223,13 +223,15 @@
                 AttemptVerdict.NOT_RUN, exchange, "upstream replaced"
             )
         if find_header(head.headers, names.NOT_RUN) is not None:
-            upstream.note_answer(good=False, now_s=now_s())
+            upstream.record_response(good=False, now_s=now_s())
             return AttemptResult(
                 AttemptVerdict.NOT_RUN, exchange, f"refused {head.status}"
             )
         if cause:
             return AttemptResult(AttemptVerdict.UNKNOWN, exchange, cause)
-        upstream.note_answer(good=head.status < _SERVER_ERROR, now_s=now_s())
+        upstream.record_response(
+            good=head.status < _SERVER_ERROR, now_s=now_s()
+        )
         self._crash_reports.note_answered(call.fingerprint())
         return AttemptResult(AttemptVerdict.ANSWERED, exchange)
 
@@ -239,13 +241,13 @@
         value = find_header(upstream_headers, names.LOAD)
         if value is None:
             return
-        load = names.read_load(value)
+        load = names.parse_load(value)
         if load is not None:
-            choice.upstream.take_load(load, now_s=now_s())
+            choice.upstream.apply_load(load, now_s=now_s())
 
     def _record_replaced(self, choice: Choice) -> None:
         record = choice.upstream.record
-        self._fleet.misdirected(record, now_s=now_s())
+        self._fleet.record_misdirected(record, now_s=now_s())
         self._pool.forget(incarnation=record.incarnation)
         log.event(log.Event.UPSTREAM_GONE, upstream=record.incarnation)
 
@@ -265,7 +267,7 @@
         return f"status {head.status}"
     if (
         head.status in _SUCCESS
-        and find_header(head.headers, names.SEAL) is None
+        and find_header(head.headers, names.RESPONSE_SEAL) is None
     ):
         return "response without signature"
     return ""
--- a/almondstair/platform/boot.py
+++ b/almondstair/platform/boot.py
@@ -19,7 +19,7 @@
     peers: str
 
 
-class VmMeans(NamedTuple):
+class VmResources(NamedTuple):
     """Holds the resources of the VM.
 
     Attributes:
@@ -45,7 +45,7 @@
     heartbeat_s: float
 
 
-class Bounds(NamedTuple):
+class OperatorLimits(NamedTuple):
     """Holds the operators' limits; durations are in seconds.
 
     Attributes:
@@ -96,13 +96,13 @@
     region: str
     availability_zone: str
     ip: str
-    means: VmMeans
+    means: VmResources
     listen: Listen
     peer_ports: tuple[int, int]
     seeds: tuple[str, ...]
     zones: dict[str, str]
     store: StoreSettings
-    bounds: Bounds
+    bounds: OperatorLimits
 
 
 def load(path: str) -> BootSettings:
@@ -203,7 +203,7 @@
         shortest_lease_s=reader.number("platform.platform.ttlMinS"),
         heartbeat_s=reader.number("platform.heartbeatS"),
     )
-    bounds = Bounds(
+    bounds = OperatorLimits(
         drain_s=reader.number("terms.bounds.drainS"),
         stop_s=reader.number("terms.bounds.graceS"),
         configuration_s=reader.number("terms.bounds.configApplyS"),
@@ -216,7 +216,7 @@
         region_change=reader.number("terms.bounds.maxShift", 1.0),
     )
     cores = reader.number("local.limits.cores", 0.0)
-    means = VmMeans(
+    means = VmResources(
         cores=cores * reader.number("local.limits.cpuShare", 1.0),
         link_mbps=reader.number("local.limits.linkMbps", 0.0),
     )
--- a/almondstair/platform/documents.py
+++ b/almondstair/platform/documents.py
@@ -134,7 +134,7 @@
 _ENTRY = msgspec.json.Decoder(EntryRecord)
 
 
-def read_configuration(value: bytes) -> RoutingConfiguration:
+def decode_configuration(value: bytes) -> RoutingConfiguration:
     """Decodes the operator's configuration.
 
     Raises:
@@ -187,17 +187,17 @@
         hostname=hostname,
         prefix=rule.match.prefix,
         kind=kind,
-        aim_s=rule.target_latency_s,
+        target_latency_s=rule.target_latency_s,
         timeout_s=action.timeout_s,
         attempts=action.attempts,
         priority=rule.priority,
-        by_key=rule.session_affinity,
+        key_affinity=rule.session_affinity,
         destinations=tuple(parts),
         allowed_regions=tuple(action.allowed_regions),
     )
 
 
-def read_upstream(key: str, value: bytes) -> UpstreamRecord | None:
+def decode_upstream(key: str, value: bytes) -> UpstreamRecord | None:
     """Decodes a registration of an upstream.
 
     The keys are writable by others. Validation is strict, as an invalid value
@@ -225,11 +225,11 @@
         slots=wire.slots,
         draining=wire.state == "draining",
         cold_left_s=wire.cold_left_s,
-        born_ms=wire.born,
+        started_ms=wire.born,
     )
 
 
-def read_entry(value: bytes) -> EntryRecord | None:
+def decode_entry(value: bytes) -> EntryRecord | None:
     """Decodes an entry's registration; returns None if it is invalid."""
     try:
         record = _ENTRY.decode(value)
@@ -241,6 +241,6 @@
     return record
 
 
-def write_entry(record: EntryRecord) -> bytes:
+def encode_entry(record: EntryRecord) -> bytes:
     """Encodes an entry's registration."""
     return msgspec.json.encode(record)
--- a/almondstair/platform/headers.py
+++ b/almondstair/platform/headers.py
@@ -1,16 +1,16 @@
 """Names and formats of headers on the users' platform."""
 
-from almondstair.core.upstream_state import ToldLoad
+from almondstair.core.upstream_state import ReportedLoad
 
 REQUEST_ID = b"x-almondstair-request-id"
 DEADLINE = b"x-almondstair-deadline-ms"
-KEY = b"x-almondstair-affinity-key"
+AFFINITY_KEY = b"x-almondstair-affinity-key"
 # An upstream with another id responds with 421 and does not run the request.
 EXPECTED_UPSTREAM = b"x-almondstair-expect-instance"
 # States for certain that the upstream did not run the request.
 NOT_RUN = b"x-almondstair-not-executed"
 # Signature of an upstream's response; a success without it is not valid.
-SEAL = b"x-almondstair-response-seal"
+RESPONSE_SEAL = b"x-almondstair-response-seal"
 UPSTREAM_ID = b"x-almondstair-instance-id"
 LOAD = b"x-almondstair-server-load"
 COLD_LEFT = b"x-almondstair-cold-ms"
@@ -18,7 +18,7 @@
 _LOAD_FIELDS = 3
 
 
-def read_load(value: bytes) -> ToldLoad | None:
+def parse_load(value: bytes) -> ReportedLoad | None:
     """Parses `running,waiting,slots`; returns None if it is invalid."""
     parts = value.split(b",")
     if len(parts) != _LOAD_FIELDS:
@@ -27,10 +27,10 @@
         running, waiting, slots = (int(part) for part in parts)
     except ValueError:
         return None
-    return ToldLoad(running=running, waiting=waiting, slots=slots)
+    return ReportedLoad(running=running, waiting=waiting, slots=slots)
 
 
-def read_milliseconds(value: bytes) -> float | None:
+def parse_milliseconds(value: bytes) -> float | None:
     """Parses a time in milliseconds into seconds; None if it is invalid."""
     try:
         return max(0.0, float(value) / 1000)
--- a/almondstair/platform/kv.py
+++ b/almondstair/platform/kv.py
@@ -95,7 +95,7 @@
         self._http_caller = HttpCaller(address=address)
         self.calls: dict[str, int] = {}
 
-    def move(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Replaces the store's address; calls in flight fail."""
         self._http_caller.close()
         self._http_caller = HttpCaller(address=address)
@@ -146,7 +146,7 @@
             raise self._status_error("list", status)
         return _read_page(body)
 
-    async def changes(
+    async def list_changes(
         self, *, prefix: str, after: int, wait_ms: int
     ) -> Page | None:
         """Returns the changes since a revision, None if it was compacted.
@@ -176,7 +176,7 @@
         except msgspec.MsgspecError as error:
             raise self._status_error("lease", status) from error
 
-    async def keep_lease(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         """Renews a lease; returns whether it still existed."""
         path = f"/kv-keep/{lease}"
         status, _ = await self._call("keep", "POST", path)
@@ -186,7 +186,7 @@
             raise self._status_error("keep", status)
         return True
 
-    async def end_lease(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """Ends a lease and removes its keys."""
         path = f"/kv-lease-end/{lease}"
         status, _ = await self._call("end", "DELETE", path)
--- a/benchmarks/choices.py
+++ b/benchmarks/choices.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from almondstair.core.placement_plan import Plan
-from almondstair.core.placing import Asked
+from almondstair.core.request_placer import PlacementRequest
 from emulator.load_pattern import Kind
 from emulator.load_pattern import Pattern
 from emulator.load_pattern import Service
@@ -65,12 +65,12 @@
 
 
 def _ask(entry: ModelledEntry, key: str) -> None:
-    asked = Asked(
+    asked = PlacementRequest(
         route=entry.routes["k"],
         service="s",
         key=key,
         arrived_s=100.0,
-        ends_s=102.0,
+        deadline_s=102.0,
         tried=(),
     )
     placed = entry.placing.place(asked, now_s=100.0)
--- a/emulator/modelled_entry.py
+++ b/emulator/modelled_entry.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Iterable, Mapping
 
-from almondstair.core.cold_starts import ColdStarts
-from almondstair.core.entry_waits import EntryWaits
+from almondstair.core.cold_start_limiter import ColdStartLimiter
+from almondstair.core.entry_waits import EntryQueue
 from almondstair.core.fleet import Fleet
-from almondstair.core.known_places import KnownPlaces
+from almondstair.core.known_places import CachedLocations
 from almondstair.core.placement_plan import Plan
-from almondstair.core.placing import Placing
-from almondstair.core.region_shares import RegionShares
-from almondstair.core.registered import Entry
+from almondstair.core.region_shares import RegionShareLimiter
+from almondstair.core.registered_entries import Entry
+from almondstair.core.request_placer import RequestPlacer
 from almondstair.core.routing import CallerLimits
 from almondstair.core.routing import Destination
 from almondstair.core.routing import Route
@@ -36,11 +36,11 @@
         hostname="replay",
         prefix=f"/{kind.name}/",
         kind=RouteKind.SAFE if kind.repeatable else RouteKind.UNSAFE,
-        aim_s=kind.aim_s,
+        target_latency_s=kind.aim_s,
         timeout_s=kind.deadline_s,
         attempts=ATTEMPTS,
         priority=kind.priority,
-        by_key=True,
+        key_affinity=True,
         destinations=(Destination(kind.service, 1),),
         allowed_regions=(),
     )
@@ -91,32 +91,32 @@
             own_name=self.name, own_region=self.region, zones=zones
         )
         configuration = _configuration(self._pattern)
-        self._fleet.take_configuration(configuration)
+        self._fleet.apply_configuration(configuration)
         for route in configuration.routes:
             self.routes[route.name] = route
         for record in upstream_records(self._pattern):
-            self._fleet.take_upstream(record, now_s=0.0)
+            self._fleet.apply_upstream(record, now_s=0.0)
         self._fleet.mark_loaded()
         for other in self._names:
-            self._fleet.take_entry(Entry(other, "", "", "", ""))
+            self._fleet.apply_entry(Entry(other, "", "", "", ""))
         round_trips_s = {}
         for region in self._pattern.regions:
             if region != self.region:
                 round_trips_s[region] = self._pattern.round_trip_s
-        self.places = KnownPlaces()
-        self.placing = Placing(
+        self.places = CachedLocations()
+        self.placing = RequestPlacer(
             fleet=self._fleet,
             run_times=RunTimes(),
-            places=self.places,
-            region_shares=RegionShares(
-                own_region=self.region, most_change=MOST_REGION_CHANGE
+            cached_locations=self.places,
+            region_limiter=RegionShareLimiter(
+                own_region=self.region, max_change=MOST_REGION_CHANGE
             ),
-            cold_starts=ColdStarts(
-                own_name=self.name, over=COLD_OVER, slack=COLD_SLACK
+            cold_start_limiter=ColdStartLimiter(
+                own_name=self.name, rate_factor=COLD_OVER, slack=COLD_SLACK
             ),
             round_trips_s=round_trips_s,
         )
-        self.waits = EntryWaits()
+        self.waits = EntryQueue()
 
     def loads(self) -> dict[int, int]:
         """Returns how many requests it has at each upstream, by its hash."""
@@ -130,24 +130,24 @@
         self, total: Mapping[int, int], own: Mapping[int, int], plan: Plan
     ) -> None:
         """Takes everybody's loads, less what of them is its own."""
-        self._fleet.peers_heard = True
-        self._fleet.others_loads.take(total, own=own)
-        self._fleet.take_plan(plan)
+        self._fleet.peer_loads_complete = True
+        self._fleet.peer_loads.update(total, own=own)
+        self._fleet.set_plan(plan)
 
     def takers(self) -> dict[str, list[UpstreamState]]:
         """Returns the upstreams that may get work, by service."""
         found = {}
         for service in self._fleet.services():
-            found[service] = self._fleet.takers(service)
+            found[service] = self._fleet.eligible_upstreams(service)
         return found
 
     def evacuate(self, region: str, *, now_s: float) -> None:
         """Gives a region's upstreams nothing."""
-        self._fleet.evacuate(region, now_s=now_s)
+        self._fleet.start_evacuation(region, now_s=now_s)
 
     def take_back(self, region: str, *, now_s: float) -> None:
         """Uses a region's upstreams again."""
-        self._fleet.take_back(region, now_s=now_s)
+        self._fleet.end_evacuation(region, now_s=now_s)
 
 
 def upstream_records(pattern: Pattern) -> list[UpstreamRecord]:
--- a/emulator/replay.py
+++ b/emulator/replay.py
@@ -14,10 +14,10 @@
 from typing import NamedTuple
 
 from almondstair.core.choosing import Choice
-from almondstair.core.placement_plan import EMPTY
+from almondstair.core.placement_plan import EMPTY_PLAN
 from almondstair.core.placement_plan import Planner
-from almondstair.core.placing import NO_ROOM_RETRY_MS
-from almondstair.core.placing import Asked
+from almondstair.core.request_placer import NO_CAPACITY_RETRY_MS
+from almondstair.core.request_placer import PlacementRequest
 from almondstair.gateway.reaching import CONNECT_TIMEOUT_S
 from almondstair.gateway.reaching import FIRST_LOOK_S
 from emulator.load_pattern import Kind
@@ -58,7 +58,7 @@
 
     request: _Request
     entry: ModelledEntry
-    asked: Asked
+    asked: PlacementRequest
 
 
 class Replay:
@@ -183,12 +183,12 @@
             if entry.region == request.region:
                 near.append(entry)
         entry = self._draws.choice(near)
-        asked = Asked(
+        asked = PlacementRequest(
             route=entry.routes[request.kind.name],
             service=request.kind.service,
             key=request.key,
             arrived_s=self._now_s,
-            ends_s=request.ends_s,
+            deadline_s=request.ends_s,
             tried=[],
         )
         self._place(_Call(request, entry, asked))
@@ -225,14 +225,14 @@
         if placed.choice is not None:
             self._send(call, placed.choice)
             return
-        if call.asked.tried or not entry.waits.has_room(body_bytes=0):
+        if call.asked.tried or not entry.waits.has_capacity(body_bytes=0):
             self._refuse(call)
             return
         self._wait(call)
 
     def _wait(self, call: _Call) -> None:
         entry = call.entry
-        if not entry.placing.waits_on(call.asked, now_s=self._now_s):
+        if not entry.placing.may_wait(call.asked, now_s=self._now_s):
             self._refuse(call)
             return
         waits = entry.waits
@@ -242,29 +242,31 @@
             waits.leave(body_bytes=0)
             self._place(call)
 
-        self._later(waits.look_s, look)
+        self._later(waits.attempt_interval_s, look)
 
     def _refuse(self, call: _Call) -> None:
-        self._come_back(call.request, NO_ROOM_RETRY_MS / 1000, Ending.REFUSED)
+        self._come_back(
+            call.request, NO_CAPACITY_RETRY_MS / 1000, Ending.REFUSED
+        )
 
     def _send(self, call: _Call, choice: Choice) -> None:
         entry, asked = call.entry, call.asked
         state = choice.upstream
         upstream = self._upstreams[state.record.upstream_id]
         sent_s = self._now_s
-        entry.placing.note_sent(asked, choice, now_s=sent_s)
-        state.note_sent()
+        entry.placing.record_sent(asked, choice, now_s=sent_s)
+        state.record_sent()
         assert isinstance(asked.tried, list)
         asked.tried.append(upstream.name)
-        way_s = choice.way_s / 2
+        way_s = choice.round_trip_s / 2
 
         def answer(new: bool) -> None:
             self._later(way_s, lambda: answered(new))
 
         def answered(new: bool) -> None:
-            state.note_ended()
-            state.note_answer(good=True, now_s=self._now_s)
-            entry.placing.note_run(
+            state.record_ended()
+            state.record_response(good=True, now_s=self._now_s)
+            entry.placing.record_run(
                 asked,
                 choice,
                 took_s=self._now_s - sent_s,
@@ -287,23 +289,23 @@
         self._later(way_s, arrive)
 
     def _shed(self, call: _Call, choice: Choice) -> None:
-        choice.upstream.note_ended()
-        choice.upstream.note_answer(good=False, now_s=self._now_s)
+        choice.upstream.record_ended()
+        choice.upstream.record_response(good=False, now_s=self._now_s)
         self._try_again(call)
 
     def _unreachable(self, call: _Call, choice: Choice) -> None:
         state = choice.upstream
-        state.note_ended()
-        if not state.paused():
+        state.record_ended()
+        if not state.is_paused():
             upstream = self._upstreams[state.record.upstream_id]
             self._later(FIRST_LOOK_S, lambda: self._look(upstream, choice))
-        state.note_unreachable()
-        call.entry.placing.note_disturbed(now_s=self._now_s)
+        state.record_unreachable()
+        call.entry.placing.record_disruption(now_s=self._now_s)
         self._try_again(call)
 
     def _look(self, upstream: ModelledUpstream, choice: Choice) -> None:
         if not upstream.lost:
-            choice.upstream.note_reached()
+            choice.upstream.record_reached()
             return
         if self._now_s < self._pattern.span_s:
             self._later(FIRST_LOOK_S, lambda: self._look(upstream, choice))
@@ -321,18 +323,18 @@
         for loads in own.values():
             for name, count in loads.items():
                 total[name] = total.get(name, 0) + count
-        self._planner.observe(
+        self._planner.update(
             services=self._entries[0].takers(), now_s=self._now_s
         )
         plan = self._planner.plan
         places = []
         for entry in self._entries:
-            places += entry.places.found_lately(now_s=self._now_s)
+            places += entry.places.locations_to_report(now_s=self._now_s)
 
         def hear() -> None:
             for entry in self._entries:
                 entry.hear(total, own[entry.name], plan)
-                entry.places.take(places, now_s=self._now_s)
+                entry.places.apply_reported(places, now_s=self._now_s)
 
         self._later(self._pattern.told_s, hear)
         if self._now_s < self._pattern.span_s:
@@ -396,4 +398,4 @@
         if begins:
             for entry in self._entries:
                 entry.restart()
-            self._planner.take(EMPTY)
+            self._planner.set_plan(EMPTY_PLAN)
--- a/emulator/upstream.py
+++ b/emulator/upstream.py
@@ -279,7 +279,7 @@
             run.ended = "crashed"
             upstream.crashed.set()
             self.cut()
-        key = request.headers.get(names.KEY.decode(), self.request_id)
+        key = request.headers.get(names.AFFINITY_KEY.decode(), self.request_id)
         self.task = asyncio.ensure_future(upstream.work(key))
         try:
             await self.task
@@ -310,7 +310,7 @@
             self.reply_raw(fault, body)
             return
         self.set_header(names.REQUEST_ID.decode(), self.request_id)
-        self.set_header(names.SEAL.decode(), f"seal-{self.request_id}")
+        self.set_header(names.RESPONSE_SEAL.decode(), f"seal-{self.request_id}")
         self.set_header(names.LOAD.decode(), self.upstream.load())
         if self.upstream.plan.keep_alive_s:
             limit_s = self.upstream.plan.keep_alive_s
--- a/features/steps/gateway_change_lines_steps.py
+++ b/features/steps/gateway_change_lines_steps.py
@@ -35,7 +35,7 @@
         link_mbps=10.0,
     )
     key = f"{documents.ENTRY_PREFIX}e{number}"
-    return Item(key, documents.write_entry(record), 900 + number)
+    return Item(key, documents.encode_entry(record), 900 + number)
 
 
 def _take(context, items, *, listing):
--- a/features/steps/gateway_core_steps.py
+++ b/features/steps/gateway_core_steps.py
@@ -7,21 +7,21 @@
 from behave import when
 
 from almondstair.core import placement
-from almondstair.core.choosing import Wanted
-from almondstair.core.choosing import choose
-from almondstair.core.cold_starts import ColdStarts
+from almondstair.core.choosing import SelectionCriteria
+from almondstair.core.choosing import select_upstream
+from almondstair.core.cold_start_limiter import ColdStartLimiter
 from almondstair.core.fleet import Fleet
-from almondstair.core.others_loads import OthersLoads
-from almondstair.core.region_shares import RegionShares
+from almondstair.core.peer_loads import PeerLoads
+from almondstair.core.region_shares import RegionShareLimiter
 from almondstair.core.routing import CallerLimits
 from almondstair.core.routing import Destination
 from almondstair.core.routing import Route
 from almondstair.core.routing import RouteKind
 from almondstair.core.routing import RoutingConfiguration
 from almondstair.core.routing import RoutingTable
-from almondstair.core.routing import WeightedTurns
-from almondstair.core.run_times import Expected
-from almondstair.core.second_tries import SecondTries
+from almondstair.core.routing import WeightedRoundRobin
+from almondstair.core.run_times import ExpectedRunTimes
+from almondstair.core.shared_retry_budget import SharedRetryBudget
 from almondstair.core.upstream_state import UpstreamRecord
 from almondstair.core.upstream_state import UpstreamState
 from almondstair.core.upstream_state import incarnation_hash
@@ -35,11 +35,11 @@
         hostname="h",
         prefix=prefix,
         kind=RouteKind.SAFE,
-        aim_s=0.4,
+        target_latency_s=0.4,
         timeout_s=1.0,
         attempts=2,
         priority=1,
-        by_key=True,
+        key_affinity=True,
         destinations=tuple(Destination(*part) for part in parts),
         allowed_regions=(),
     )
@@ -51,19 +51,19 @@
 
 def _upstream(name, region="r", slots=4):
     record = UpstreamRecord(name, "s", "a:1", region, "v", slots, False, 0.0)
-    return UpstreamState(record=record, region=region, loads=OthersLoads())
+    return UpstreamState(record=record, region=region, peer_loads=PeerLoads())
 
 
 def _hold(upstreams, count):
     """Has other entries tell of requests at upstreams."""
     for upstream in upstreams:
-        upstream._loads.take({upstream.name_hash: count}, own={})
+        upstream._peer_loads.update({upstream.name_hash: count}, own={})
 
 
 @when("{count:d} requests are dealt out over parts of 70, 20 and 10")
 def step_deal(context, count):
     route = _route("/a/", (("x", 70), ("y", 20), ("z", 10)))
-    turns = WeightedTurns()
+    turns = WeightedRoundRobin()
     context.dealt = {"x": 0, "y": 0, "z": 0}
     context.count = count
     for _ in range(count):
@@ -153,7 +153,7 @@
 
 
 def _kept(context, region):
-    return placement.region_shares(
+    return placement.compute_region_shares(
         own_region=region, capacity=context.capacity, demand=context.demand
     )[region]
 
@@ -175,10 +175,12 @@
 def step_tries(context, entries, requests, slack):
     taken = 0
     for _ in range(entries):
-        budget = SecondTries(ratio=0.2, slack=slack, window_s=10.0)
+        budget = SharedRetryBudget(ratio=0.2, slack=slack, window_s=10.0)
         for _ in range(requests):
-            budget.note_request(service="s", now_s=1.0)
-        while budget.take(service="s", entries=entries, joined=True, now_s=2.0):
+            budget.record_request(service="s", now_s=1.0)
+        while budget.try_acquire(
+            service="s", entries=entries, joined=True, now_s=2.0
+        ):
             taken += 1
     assert 0 < taken <= 0.2 * requests * entries + slack, taken
 
@@ -188,11 +190,11 @@
     names = frozenset(f"e{number}" for number in range(entries))
     sent = 0
     for name in names:
-        cold = ColdStarts(own_name=name, over=1.5, slack=5)
+        cold = ColdStartLimiter(own_name=name, rate_factor=1.5, slack=5)
         while cold.may_send(
             incarnation="u", rate_per_s=5.0, entry_names=names, now_s=1.0
         ):
-            cold.note_sent(incarnation="u", now_s=1.0)
+            cold.record_sent(incarnation="u", now_s=1.0)
             sent += 1
     assert 0 < sent <= most, sent
 
@@ -202,7 +204,7 @@
     fleet = Fleet(own_name="e", own_region="r", zones={"z": "r"})
     context.taken = []
     for version in (5, 3, 8):
-        if fleet.take_configuration(_configuration(version, [])):
+        if fleet.apply_configuration(_configuration(version, [])):
             context.taken.append(version)
 
 
@@ -212,25 +214,27 @@
 
 
 def _choose(upstreams, *, use=0.0, known=(), now_s=100.0):
-    wanted = Wanted(
+    wanted = SelectionCriteria(
         route=_route("/a/"),
         service=None,
         tried=(),
-        warm_places=frozenset(map(incarnation_hash, known)),
-        expected=Expected(known_s=0.1, new_s=0.4),
-        service_s=0.2,
-        use=use,
-        aim_left_s=0.4,
-        left_s=1.0,
+        cached_upstreams=frozenset(map(incarnation_hash, known)),
+        run_times=ExpectedRunTimes(cached_s=0.1, uncached_s=0.4),
+        service_run_s=0.2,
+        utilisation=use,
+        target_left_s=0.4,
+        remaining_s=1.0,
         round_trips_s={},
         entry_names=frozenset(("e",)),
         joined=True,
-        barred_regions=frozenset(),
-        peers_heard=True,
+        excluded_regions=frozenset(),
+        peer_loads_complete=True,
         now_s=now_s,
     )
-    cold = ColdStarts(own_name="e", over=1.5, slack=5)
-    found = choose(order=upstreams, wanted=wanted, cold_starts=cold)
+    cold = ColdStartLimiter(own_name="e", rate_factor=1.5, slack=5)
+    found = select_upstream(
+        order=upstreams, criteria=wanted, cold_start_limiter=cold
+    )
     return found.upstream.record.upstream_id if found else None
 
 
@@ -259,42 +263,45 @@
     context.fleet = Fleet(own_name="e", own_region="r", zones={"z": "r"})
     for name in ("u0", "u1"):
         record = UpstreamRecord(name, "s", "a:1", "z", "v", 3, False, 0.0)
-        context.fleet.take_upstream(record, now_s=0.0)
+        context.fleet.apply_upstream(record, now_s=0.0)
 
 
 @when("one of them drains and is removed, and an older word of it comes")
 def step_late_word(context):
-    ready = context.fleet.takers("s")[0].record
-    context.fleet.take_upstream(ready._replace(draining=True), now_s=1.0)
+    ready = context.fleet.eligible_upstreams("s")[0].record
+    context.fleet.apply_upstream(ready._replace(draining=True), now_s=1.0)
     context.fleet.drop_upstream(ready.upstream_id, now_s=2.0)
-    context.fleet.take_upstream(ready, now_s=3.0)
+    context.fleet.apply_upstream(ready, now_s=3.0)
 
 
 @when("one of them is found replaced {by}, and a listing still has it")
 def step_replaced(context, by):
-    listed = context.fleet.takers("s")[0].record
+    listed = context.fleet.eligible_upstreams("s")[0].record
     if by == "here":
-        context.fleet.misdirected(listed, now_s=1.0)
+        context.fleet.record_misdirected(listed, now_s=1.0)
     else:
-        context.fleet.note_replaced(incarnation_hash(listed.incarnation))
-    context.fleet.take_upstream(listed, now_s=2.0)
+        context.fleet.record_replaced(incarnation_hash(listed.incarnation))
+    context.fleet.apply_upstream(listed, now_s=2.0)
 
 
 @then("only the other one gets new work")
 def step_only_other(context):
-    names = [state.record.upstream_id for state in context.fleet.takers("s")]
+    names = [
+        state.record.upstream_id
+        for state in context.fleet.eligible_upstreams("s")
+    ]
     assert names == ["u1"], names
 
 
 @when("one of them holds {count:d} requests and the other none")
 def step_holds(context, count):
-    name = context.fleet.takers("s")[0].name_hash
-    context.fleet.others_loads.take({name: count}, own={})
+    name = context.fleet.eligible_upstreams("s")[0].name_hash
+    context.fleet.peer_loads.update({name: count}, own={})
 
 
 @then("half of the service's slots are in use")
 def step_half_used(context):
-    assert context.fleet.use("s", now_s=1.0) == 0.5
+    assert context.fleet.utilisation("s", now_s=1.0) == 0.5
 
 
 @given(
@@ -302,12 +309,12 @@
     "{span_s:d} s"
 )
 def step_sent_elsewhere(context, share, span_s):
-    context.shares = RegionShares(own_region="r", most_change=0.15)
+    context.shares = RegionShareLimiter(own_region="r", max_change=0.15)
     context.now_s = 100.0
     for number in range(100 * span_s):
         context.now_s += 0.01
         region = "other" if number % 10 < 10 * share else "r"
-        context.shares.note_sent(region, now_s=context.now_s)
+        context.shares.record_sent(region, now_s=context.now_s)
 
 
 @when("its own region has room for all of them")
@@ -317,9 +324,11 @@
         elsewhere = 0
         for _ in range(200):
             context.now_s += 0.01
-            region = context.shares.limits(now_s=context.now_s).due or "r"
+            region = (
+                context.shares.limits(now_s=context.now_s).underserved or "r"
+            )
             elsewhere += region == "other"
-            context.shares.note_sent(region, now_s=context.now_s)
+            context.shares.record_sent(region, now_s=context.now_s)
         context.windows.append(elsewhere / 200)
 
 
@@ -335,15 +344,15 @@
 @when("an upstream has gone")
 def step_has_gone(context):
     for _ in range(30):
-        context.shares.note_sent("other", now_s=context.now_s)
-    barred = context.shares.limits(now_s=context.now_s).barred
+        context.shares.record_sent("other", now_s=context.now_s)
+    barred = context.shares.limits(now_s=context.now_s).excluded
     assert barred == {"other"}, barred
-    context.shares.note_disturbed(now_s=context.now_s)
+    context.shares.record_disruption(now_s=context.now_s)
 
 
 @then("no region is barred")
 def step_none_barred(context):
-    assert not context.shares.limits(now_s=context.now_s).barred
+    assert not context.shares.limits(now_s=context.now_s).excluded
 
 
 @given("two equal upstreams")
@@ -355,7 +364,7 @@
 @when("the first one's answers fail {count:d} times")
 def step_fail(context, count):
     for _ in range(count):
-        context.upstreams[0].note_answer(good=False, now_s=context.now_s)
+        context.upstreams[0].record_response(good=False, now_s=context.now_s)
 
 
 @then("requests go to the second one")
--- a/features/steps/gateway_crashing_steps.py
+++ b/features/steps/gateway_crashing_steps.py
@@ -8,7 +8,7 @@
 from behave import when
 
 from almondstair.core.crash_suspects import CrashSuspects
-from almondstair.core.crash_suspects import Standing
+from almondstair.core.crash_suspects import CrashVerdict
 from almondstair.core.crash_suspects import Strike
 from features.support import harness
 from features.support.crashing_world import CrashingWorld
@@ -211,13 +211,13 @@
     for number in range(count):
         now_s = 100.0 + number * span_ms / 1000 / count
         strike = Strike(7, number)
-        suspects.note_lost(strike, ran_s=long_ms / 1000, now_s=now_s)
-        suspects.note_lost(strike, ran_s=short_ms / 1000, now_s=now_s)
+        suspects.record_lost(strike, ran_s=long_ms / 1000, now_s=now_s)
+        suspects.record_lost(strike, ran_s=short_ms / 1000, now_s=now_s)
     for number in range(count):
-        suspects.note_gone(number, now_s=100.05)
-    context.standing = suspects.standing(7, now_s=100.1)
+        suspects.record_ended(number, now_s=100.05)
+    context.standing = suspects.verdict(7, now_s=100.1)
 
 
 @then("that look-up is suspect, and not refused")
 def step_suspect(context):
-    assert context.standing is Standing.SUSPECT, context.standing
+    assert context.standing is CrashVerdict.SUSPECT, context.standing
--- a/features/steps/gateway_fleet_steps.py
+++ b/features/steps/gateway_fleet_steps.py
@@ -9,7 +9,7 @@
 from behave import when
 
 from almondstair.core import zone_roles
-from almondstair.core.registered import Entry
+from almondstair.core.registered_entries import Entry
 from emulator.documents import HOST
 from emulator.documents import route
 from features.steps.gateway_steps import keep_sending
@@ -267,7 +267,7 @@
     entries = []
     for name in world.gateways:
         entries.append(Entry(name, "", "", "east", "a1"))
-    reader, other = zone_roles.in_turn(entries, zone="a1")
+    reader, other = zone_roles.ranked_entries(entries, zone="a1")
     context.other = other.name
     process = context.processes.children[reader.name].process
     context.add_cleanup(process.send_signal, signal.SIGCONT)
--- a/features/steps/gateway_following_steps.py
+++ b/features/steps/gateway_following_steps.py
@@ -14,7 +14,7 @@
 from almondstair.clock import now_s
 from almondstair.core import zone_roles
 from almondstair.core.fleet import Fleet
-from almondstair.core.registered import Entry
+from almondstair.core.registered_entries import Entry
 from almondstair.gateway.following import Follower
 from almondstair.gateway.http_calls import HttpCaller
 from almondstair.gateway.mirror import Mirror
@@ -204,7 +204,7 @@
                     name, "", "", "east", "a1", cores=2.0, link_mbps=link_mbps
                 )
             )
-        first = zone_roles.in_turn(entries, zone="a1")[0]
+        first = zone_roles.ranked_entries(entries, zone="a1")[0]
         assert first.link_mbps == most, (names, first)
 
 
@@ -234,7 +234,7 @@
     )
     assert _ask(context, 0.0)
     [context.upstream] = context.fleet.upstreams()
-    assert context.upstream.cold(now_s=now_s())
+    assert context.upstream.is_cold(now_s=now_s())
     context.upstream.cold_until_s = now_s()
 
 
@@ -248,7 +248,7 @@
 
 @then("the upstream is not cold")
 def step_not_cold(context):
-    assert not context.upstream.cold(now_s=now_s())
+    assert not context.upstream.is_cold(now_s=now_s())
 
 
 @when(
--- a/features/steps/gateway_health_steps.py
+++ b/features/steps/gateway_health_steps.py
@@ -246,7 +246,7 @@
 def step_refuses_first(context, count):
     fleet = Fleet(own_name="e", own_region="r", zones={"z": "r"})
     record = UpstreamRecord("u", "s", "a:1", "z", "v", 4, False, 0.0)
-    fleet.take_upstream(record, now_s=0.0)
+    fleet.apply_upstream(record, now_s=0.0)
     [context.upstream] = fleet.upstreams()
     context.pool = mock.Mock()
     answers = [OSError("refused")] * count + [mock.Mock()] * 9
@@ -268,7 +268,7 @@
         context.reaching.look_after(context.upstream)
         assert await context.reaching.open(context.upstream) is None
         for _ in range(40):
-            context.paused.append(context.upstream.paused())
+            context.paused.append(context.upstream.is_paused())
             await asyncio.sleep(0.005)
 
     _with_short_pauses(find)
@@ -300,7 +300,7 @@
 
         def fail(*_, **__):
             context.pool.give_back.side_effect = None
-            upstream.note_unreachable()
+            upstream.record_unreachable()
             loop.call_soon(context.reaching.look_after, upstream)
 
         context.pool.give_back.side_effect = fail
@@ -313,4 +313,4 @@
 @then("a look reaches it again")
 def step_again(context):
     assert context.pool.connect.await_count == 2
-    assert not context.upstream.paused()
+    assert not context.upstream.is_paused()
--- a/features/steps/gateway_incarnations_steps.py
+++ b/features/steps/gateway_incarnations_steps.py
@@ -17,7 +17,7 @@
 from almondstair.addresses import address_problem
 from almondstair.clock import now_s
 from almondstair.core.fleet import Fleet
-from almondstair.core.known_places import KnownPlaces
+from almondstair.core.known_places import CachedLocations
 from almondstair.core.known_places import object_hash
 from almondstair.core.upstream_state import incarnation_hash
 from almondstair.gateway.following import Follower
@@ -97,23 +97,23 @@
     )
     first = _item(name, _registration(born), 101)
     _take(context, [configuration, first], listing=True)
-    [context.upstream] = context.fleet.takers("s")
+    [context.upstream] = context.fleet.eligible_upstreams("s")
 
 
 @given('it was slow, failed, was left alone, knew object "{key}" and drains')
 def step_had(context, key):
     upstream = context.upstream
     now = now_s()
-    upstream.note_run(run_s=3.0, expected_s=0.1, now_s=now)
-    upstream.note_answer(good=False, now_s=now)
-    upstream.note_unreachable()
-    context.fleet.others_loads.take({upstream.name_hash: 9}, own={})
-    context.places = KnownPlaces()
+    upstream.record_run(run_s=3.0, expected_s=0.1, now_s=now)
+    upstream.record_response(good=False, now_s=now)
+    upstream.record_unreachable()
+    context.fleet.peer_loads.update({upstream.name_hash: 9}, own={})
+    context.places = CachedLocations()
     context.object = object_hash(service="s", key=key)
-    context.places.note_sent(context.object, upstream.name_hash, now_s=now)
-    draining = _registration(upstream.record.born_ms, "draining")
+    context.places.record_sent(context.object, upstream.name_hash, now_s=now)
+    draining = _registration(upstream.record.started_ms, "draining")
     _take(context, [_item("i-1", draining, 111)])
-    assert not context.fleet.takers("s")
+    assert not context.fleet.eligible_upstreams("s")
 
 
 @when('a registration of "{name}" born at {born:d} comes')
@@ -162,26 +162,26 @@
 
 @when('the store is away, and its listing then has "{name}" born at {born:d}')
 def step_away(context, name, born):
-    context.fleet.note_trouble(now_s=now_s())
+    context.fleet.record_store_failure(now_s=now_s())
     step_listing(context, name, born)
 
 
 @when('"{name}" is found replaced, and its registration born at {born:d} comes')
 def step_found_replaced(context, name, born):
-    context.fleet.misdirected(context.upstream.record, now_s=now_s())
+    context.fleet.record_misdirected(context.upstream.record, now_s=now_s())
     step_comes(context, name, born)
 
 
 @then('"{name}" is born at {born:d}')
 def step_born(context, name, born):
-    [state] = context.fleet.takers("s")
+    [state] = context.fleet.eligible_upstreams("s")
     assert state.record.upstream_id == name, state.record
-    assert state.record.born_ms == born, state.record
+    assert state.record.started_ms == born, state.record
 
 
 @when('"{name}" says that it is cold for {left_s:d} s')
 def step_says_cold(context, name, left_s):
-    cold = _registration(context.upstream.record.born_ms)
+    cold = _registration(context.upstream.record.started_ms)
     cold["coldLeftS"] = left_s
     context.cold_item = _item(name, cold, context.revision + 1)
     _take(context, [context.cold_item])
@@ -189,10 +189,10 @@
 
 @when('that is over, and "{name}" says that it is not cold')
 def step_says_warm(context, name):
-    [state] = context.fleet.takers("s")
-    assert state.cold(now_s=now_s())
+    [state] = context.fleet.eligible_upstreams("s")
+    assert state.is_cold(now_s=now_s())
     state.cold_until_s = now_s()
-    step_comes(context, name, state.record.born_ms)
+    step_comes(context, name, state.record.started_ms)
 
 
 @when('a listing has "{name}" as it was when it was cold')
@@ -203,14 +203,14 @@
 
 @then('"{name}" is cold')
 def step_cold(context, name):
-    [state] = context.fleet.takers("s")
-    assert state.cold(now_s=now_s()), name
+    [state] = context.fleet.eligible_upstreams("s")
+    assert state.is_cold(now_s=now_s()), name
 
 
 @then('"{name}" is not cold')
 def step_not_cold(context, name):
-    [state] = context.fleet.takers("s")
-    assert not state.cold(now_s=now_s()), name
+    [state] = context.fleet.eligible_upstreams("s")
+    assert not state.is_cold(now_s=now_s()), name
 
 
 @then('"{name}" is not there')
@@ -226,15 +226,15 @@
 
 @then('"{name}" gets new work, is cold, and nothing else is known of it')
 def step_anew(context, name):
-    [state] = context.fleet.takers("s")
+    [state] = context.fleet.eligible_upstreams("s")
     now = now_s()
     assert state.record.upstream_id == name
-    assert state.cold(now_s=now + _COLD_S)
-    assert not state.paused()
+    assert state.is_cold(now_s=now + _COLD_S)
+    assert not state.is_paused()
     assert state.failure_share(now_s=now) == 0
     assert state.slowness(now_s=now) == 1
-    assert state.busy(now_s=now, peers_heard=False) == 0
-    known = context.places.at(context.object, now_s=now)
+    assert state.estimated_load(now_s=now, peer_loads_complete=False) == 0
+    known = context.places.upstreams_for(context.object, now_s=now)
     assert known and state.name_hash not in known, known
 
 
@@ -254,35 +254,35 @@
         fleet=context.fleet,
         pool=context.pool,
         suspects=mock.Mock(),
-        places=KnownPlaces(),
+        places=CachedLocations(),
         own_name="e1",
         own_zone="a1",
     )
     before = incarnation_hash(context.upstream.incarnation)
     sharing._drop_replaced([before])
-    context.fleet.others_loads.take({before: 50}, own={})
-    [state] = context.fleet.takers("s")
-    assert state.others == 0
+    context.fleet.peer_loads.update({before: 50}, own={})
+    [state] = context.fleet.eligible_upstreams("s")
+    assert state.peer_requests == 0
 
 
 @when('"{name}" cannot be reached, and takes a connection {later_s:g} s later')
 def step_unreachable(context, name, later_s):
-    [state] = context.fleet.takers("s")
+    [state] = context.fleet.eligible_upstreams("s")
     # Its coldness as a new one is over.
     context.then_s = now_s() + 100
-    assert not state.cold(now_s=context.then_s)
-    state.note_unreachable()
+    assert not state.is_cold(now_s=context.then_s)
+    state.record_unreachable()
     # It gets nothing, cold or not, until it takes a connection.
-    assert state.paused()
+    assert state.is_paused()
     context.then_s += later_s
-    context.fleet.note_reached(state, now_s=context.then_s)
+    context.fleet.record_reached(state, now_s=context.then_s)
 
 
 @then('"{name}" is taken for cold for {span_s:g} s from then')
 def step_taken_for_cold(context, name, span_s):
-    [state] = context.fleet.takers("s")
-    assert state.cold(now_s=context.then_s + span_s)
-    assert not state.cold(now_s=context.then_s + span_s + 1)
+    [state] = context.fleet.eligible_upstreams("s")
+    assert state.is_cold(now_s=context.then_s + span_s)
+    assert not state.is_cold(now_s=context.then_s + span_s + 1)
 
 
 # Registrations of another writer.
@@ -343,8 +343,8 @@
 @then("the upstreams are as before, and one line tells of the key")
 def step_as_before(context):
     found = {}
-    for state in context.fleet.takers("s"):
-        found[state.record.upstream_id] = state.record.born_ms
+    for state in context.fleet.eligible_upstreams("s"):
+        found[state.record.upstream_id] = state.record.started_ms
     assert found == {"i-1": 2000, "i-2": 1}, found
     assert sorted(context.told) == sorted(context.bad_keys), context.told
 
@@ -370,7 +370,7 @@
 def step_good_read(context):
     read = []
     for item in context.page.items:
-        read.append(documents.read_upstream(item.key, item.value))
+        read.append(documents.decode_upstream(item.key, item.value))
     assert read[0] is None
     assert read[1].upstream_id == "i-2"
 
@@ -433,7 +433,7 @@
 
 
 def _check_usable(context):
-    for state in context.fleet.takers("s"):
+    for state in context.fleet.eligible_upstreams("s"):
         record = state.record
         assert address_problem(record.address) is None, record
         assert record.slots >= 1, record
@@ -459,6 +459,6 @@
         }
         listener = {"hostname": "h", "ruleSet": [rule]}
         text = json.dumps({**_CONFIGURATION, "listeners": [listener]})
-        [route] = documents.read_configuration(text.encode()).routes
+        [route] = documents.decode_configuration(text.encode()).routes
         found[kind] = route.kind.idempotent
     assert found == {good: True, other: False}, found
--- a/features/steps/gateway_known_places_steps.py
+++ b/features/steps/gateway_known_places_steps.py
@@ -8,9 +8,9 @@
 
 from almondstair.clock import now_s
 from almondstair.core.fleet import Fleet
-from almondstair.core.known_places import KnownPlaces
+from almondstair.core.known_places import CachedLocations
 from almondstair.core.known_places import object_hash
-from almondstair.core.registered import Entry
+from almondstair.core.registered_entries import Entry
 from almondstair.core.upstream_state import UpstreamRecord
 from almondstair.core.upstream_state import incarnation_hash
 from almondstair.gateway.load_sharing import LoadSharing
@@ -22,7 +22,7 @@
 
 @when('the entry of "{zone}" sends object "o" to an upstream and both tell')
 def step_sends(context, zone):
-    context.sharing[zone]._places.note_sent(_OBJECT, _UPSTREAM, now_s=now_s())
+    context.sharing[zone]._places.record_sent(_OBJECT, _UPSTREAM, now_s=now_s())
     for _ in range(2):
         _exchange(context, now_s())
 
@@ -30,12 +30,12 @@
 @then('the entry of "{zone}" takes that upstream to know "o"')
 def step_takes(context, zone):
     context.places = context.sharing[zone]._places
-    assert context.places.at(_OBJECT, now_s=now_s()) == {_UPSTREAM}
+    assert context.places.upstreams_for(_OBJECT, now_s=now_s()) == {_UPSTREAM}
 
 
 @then("it does not tell it as a place that it found")
 def step_not_found(context):
-    assert not context.places.found_lately(now_s=now_s())
+    assert not context.places.locations_to_report(now_s=now_s())
 
 
 class _Wire:
@@ -53,12 +53,12 @@
 def _sharing(number):
     fleet = Fleet(own_name=f"e{number}", own_region="r", zones={"z": "r"})
     for other in range(2):
-        fleet.take_entry(_entry(other))
+        fleet.apply_entry(_entry(other))
     sharing = LoadSharing(
         fleet=fleet,
         pool=mock.Mock(),
-        suspects=mock.Mock(**{"fresh.return_value": []}),
-        places=KnownPlaces(),
+        suspects=mock.Mock(**{"recent_strikes.return_value": []}),
+        places=CachedLocations(),
         own_name=f"e{number}",
         own_zone="z",
     )
@@ -77,7 +77,7 @@
 @given("the reporter knows the places of {count:d} objects")
 def step_knows(context, count):
     for name in range(count):
-        context.reporter._places.note_sent(name, _UPSTREAM, now_s=now_s())
+        context.reporter._places.record_sent(name, _UPSTREAM, now_s=now_s())
 
 
 @when("the other entry is started again and tells its loads")
@@ -94,19 +94,19 @@
 
 @then("it knows the places of {count:d} objects")
 def step_knows_all(context, count):
-    places = context.started._places.all_places(now_s=now_s())
+    places = context.started._places.all_locations(now_s=now_s())
     assert len(places) == count, len(places)
 
 
 @when("an object is sent to an upstream each {pause_s:g} s for {span_s:g} s")
 def step_each(context, pause_s, span_s):
-    context.places = KnownPlaces()
+    context.places = CachedLocations()
     context.found = set()
     for step in range(round(span_s / pause_s)):
         context.now_s = 100.0 + step * pause_s
-        before = set(context.places.found_lately(now_s=context.now_s))
-        context.places.note_sent(_OBJECT, _UPSTREAM, now_s=context.now_s)
-        after = set(context.places.found_lately(now_s=context.now_s))
+        before = set(context.places.locations_to_report(now_s=context.now_s))
+        context.places.record_sent(_OBJECT, _UPSTREAM, now_s=context.now_s)
+        after = set(context.places.locations_to_report(now_s=context.now_s))
         if after - before:
             context.found.add(context.now_s)
 
@@ -119,20 +119,20 @@
 @then("half a second after the last time nothing is told")
 def step_nothing(context):
     last_s = max(context.found)
-    assert not context.places.found_lately(now_s=last_s + 0.51)
+    assert not context.places.locations_to_report(now_s=last_s + 0.51)
 
 
 @given('an entry that was told of object "o" at "{one}" and "{other}"')
 def step_was_told(context, one, other):
-    context.places = KnownPlaces()
+    context.places = CachedLocations()
     context.now_s = 100.0
     told = [(_OBJECT, incarnation_hash(name)) for name in (one, other)]
-    context.places.take(told, now_s=context.now_s)
+    context.places.apply_reported(told, now_s=context.now_s)
 
 
 @when('it sends "o" to "{name}"')
 def step_it_sends(context, name):
-    context.places.note_sent(
+    context.places.record_sent(
         _OBJECT, incarnation_hash(name), now_s=context.now_s
     )
 
@@ -141,12 +141,12 @@
 def step_later(context, span_s, name):
     context.now_s += span_s
     told = [(_OBJECT, incarnation_hash(name))]
-    context.places.take(told, now_s=context.now_s)
+    context.places.apply_reported(told, now_s=context.now_s)
 
 
 @then('it takes "{names}" to know "o"')
 def step_it_takes(context, names):
-    known = context.places.at(_OBJECT, now_s=context.now_s)
+    known = context.places.upstreams_for(_OBJECT, now_s=context.now_s)
     assert known == {incarnation_hash(name) for name in names.split()}, known
 
 
@@ -155,25 +155,25 @@
     context.fleet = Fleet(own_name="e", own_region="r", zones={"z": "r"})
     for each in ("u0", name):
         record = UpstreamRecord(each, "s", "a:1", "z", "v", 4, False, 0.0)
-        context.fleet.take_upstream(record, now_s=0.0)
+        context.fleet.apply_upstream(record, now_s=0.0)
     context.name = incarnation_hash(name)
-    assert context.fleet.may_take(context.name)
+    assert context.fleet.is_eligible(context.name)
 
 
 @when('"{name}" drains')
 def step_drains(context, name):
     record = UpstreamRecord(name, "s", "a:1", "z", "v", 4, True, 0.0)
-    context.fleet.take_upstream(record, now_s=0.0)
+    context.fleet.apply_upstream(record, now_s=0.0)
 
 
 @when('"{name}" cannot be reached')
 def step_unreached(context, name):
-    context.fleet.by_hash[incarnation_hash(name)].note_unreachable()
+    context.fleet.upstreams_by_hash[incarnation_hash(name)].record_unreachable()
 
 
 @when('"{name}" is evacuated')
 def step_evacuated(context, name):
-    context.fleet.evacuate("z", now_s=0.0)
+    context.fleet.start_evacuation("z", now_s=0.0)
 
 
 @when('"{name}" is not registered')
@@ -183,4 +183,4 @@
 
 @then('"o" is taken to be known nowhere')
 def step_nowhere(context):
-    assert not context.fleet.may_take(context.name)
+    assert not context.fleet.is_eligible(context.name)
--- a/features/steps/gateway_loads_steps.py
+++ b/features/steps/gateway_loads_steps.py
@@ -70,7 +70,7 @@
     for member in world.members.values():
         if member is asker:
             continue
-        if world.state(member, name).others != 1:
+        if world.state(member, name).peer_requests != 1:
             return False
     return True
 
@@ -129,7 +129,7 @@
 @then("every entry hears from all zones")
 def step_heard(context):
     for member in context.world.members.values():
-        assert member.fleet.peers_heard, member.name
+        assert member.fleet.peer_loads_complete, member.name
 
 
 @then(
--- a/features/steps/gateway_lookup_steps.py
+++ b/features/steps/gateway_lookup_steps.py
@@ -7,8 +7,8 @@
 from behave import then
 from behave import when
 
-from almondstair.core.look_ups import LookUps
-from almondstair.core.registered import Entry
+from almondstair.core.entry_directory import EntryDirectory
+from almondstair.core.registered_entries import Entry
 
 _CALLERS = [f"10.9.{number // 250}.{number % 250}" for number in range(2000)]
 
@@ -23,8 +23,8 @@
             context.vms.append(_vm(f"{zone}-large-{number}", zone, 2.15, 200))
         for number in range(small):
             context.vms.append(_vm(f"{zone}-small-{number}", zone, 0.43, 10))
-    context.look_ups = LookUps()
-    context.look_ups.take_entries(context.vms)
+    context.directory = EntryDirectory()
+    context.directory.set_entries(context.vms)
 
 
 def _vm(name, zone, cores, link_mbps):
@@ -33,7 +33,8 @@
 
 def _lists(context):
     return [
-        context.look_ups.named(region="r", caller=caller) for caller in _CALLERS
+        context.directory.addresses_for(region="r", caller=caller)
+        for caller in _CALLERS
     ]
 
 
@@ -67,7 +68,7 @@
 
 @then("a caller that asks again is told the same")
 def step_same(context):
-    context.look_ups.take_entries(context.vms)
+    context.directory.set_entries(context.vms)
     assert _lists(context) == context.lists
 
 
@@ -82,7 +83,7 @@
     context.lists = _lists(context)
     context.ended = next(vm for vm in context.vms if "small" in vm.name)
     left = [vm for vm in context.vms if vm != context.ended]
-    context.look_ups.take_entries(left)
+    context.directory.set_entries(left)
 
 
 @then("only lists that named it have changed, by one VM each")
