--- a/features/steps/gateway_placement_steps.py
+++ b/features/steps/gateway_placement_steps.py
@@ -11,12 +11,12 @@
 
 from almondstair.clock import now_s
 from almondstair.core.fleet import Fleet
-from almondstair.core.known_places import KnownPlaces
-from almondstair.core.others_loads import OthersLoads
+from almondstair.core.known_places import CachedLocations
+from almondstair.core.peer_loads import PeerLoads
 from almondstair.core.placement import PlacementOrders
 from almondstair.core.placement_plan import Plan
 from almondstair.core.placement_plan import Planner
-from almondstair.core.registered import Entry
+from almondstair.core.registered_entries import Entry
 from almondstair.core.routing import CallerLimits
 from almondstair.core.routing import RoutingConfiguration
 from almondstair.core.routing import ServiceRule
@@ -41,14 +41,14 @@
 def step_regions(context, regions, count, slots, keys):
     context.regions = [f"r{number}" for number in range(regions)]
     context.upstreams = []
-    context.loads = OthersLoads()
+    context.loads = PeerLoads()
     for region in context.regions:
         for number in range(count):
             record = UpstreamRecord(
                 f"{region}-{number}", "s", "a:1", region, "v", slots, False, 0.0
             )
             state = UpstreamState(
-                record=record, region=region, loads=context.loads
+                record=record, region=region, peer_loads=context.loads
             )
             context.upstreams.append(state)
     context.held = {state.incarnation: 0.0 for state in context.upstreams}
@@ -89,11 +89,11 @@
         context.held[upstream.incarnation] = held
     _tell(context)
     context.now_s += _TICK_S
-    context.planner.observe(
+    context.planner.update(
         services={"s": context.upstreams}, now_s=context.now_s
     )
     for orders in context.orders.values():
-        orders.take_plan(context.planner.plan)
+        orders.set_plan(context.planner.plan)
 
 
 def _tell(context):
@@ -102,7 +102,7 @@
     loads = {}
     for upstream, held in zip(context.upstreams, context.told[0], strict=True):
         loads[upstream.name_hash] = held
-    context.loads.take(loads, own={})
+    context.loads.update(loads, own={})
 
 
 def _run(context, asked, span_s):
@@ -233,11 +233,11 @@
             zones={first: "r", second: "r"},
         )
         for other in (first, second):
-            fleet.take_entry(_entry(other))
+            fleet.apply_entry(_entry(other))
         record = UpstreamRecord("u", "s", "a:1", first, "v", 4, False, 0.0)
-        fleet.take_upstream(record, now_s=0.0)
+        fleet.apply_upstream(record, now_s=0.0)
         service = ServiceRule("s", "/", 9, 0.0, 0.0)
-        fleet.take_configuration(
+        fleet.apply_configuration(
             RoutingConfiguration(
                 1, CallerLimits(1, 1, 1.0, 1.0), (), {"s": service}
             )
@@ -245,8 +245,8 @@
         sharing = LoadSharing(
             fleet=fleet,
             pool=mock.Mock(),
-            suspects=mock.Mock(**{"fresh.return_value": []}),
-            places=KnownPlaces(),
+            suspects=mock.Mock(**{"recent_strikes.return_value": []}),
+            places=CachedLocations(),
             own_name=f"e-{zone}",
             own_zone=zone,
         )
@@ -270,7 +270,7 @@
 @when('the entry of "{zone}" has a plan and both tell')
 def step_has_plan(context, zone):
     plan = Plan(weights={incarnation_hash("u"): 60})
-    context.sharing[zone]._planner.take(plan)
+    context.sharing[zone]._planner.set_plan(plan)
     for _ in range(2):
         _exchange(context, now_s())
 
@@ -298,19 +298,21 @@
 
 @given("a plan in which {count:d} upstreams have weights of their own")
 def step_large_plan(context, count):
-    told = OthersLoads()
+    told = PeerLoads()
     upstreams = []
     for number in range(count):
         record = UpstreamRecord(
             f"u{number}", "s", "a:1", "r", "v", 4, False, 0.0
         )
-        upstreams.append(UpstreamState(record=record, region="r", loads=told))
+        upstreams.append(
+            UpstreamState(record=record, region="r", peer_loads=told)
+        )
     planner = Planner()
     for step in range(8):
         # Half of them have a queue, the others have none.
         loads = {one.name_hash: 44 + 4 * step for one in upstreams[1::2]}
-        told.take(loads, own={})
-        planner.observe(services={"s": upstreams}, now_s=100.0 + step)
+        told.update(loads, own={})
+        planner.update(services={"s": upstreams}, now_s=100.0 + step)
     context.planner = planner
 
 
--- a/features/steps/gateway_waiting_steps.py
+++ b/features/steps/gateway_waiting_steps.py
@@ -8,7 +8,7 @@
 from behave import when
 
 from almondstair.core import entry_waits
-from almondstair.core.entry_waits import EntryWaits
+from almondstair.core.entry_waits import EntryQueue
 from emulator import documents
 from features.support import harness
 from features.support.mixed_load import Kind
@@ -69,18 +69,18 @@
     "{looks:d} times a second"
 )
 def step_bounded(context, count, most_bytes, looks):
-    waits = EntryWaits()
+    waits = EntryQueue()
     places = []
-    while waits.has_room(body_bytes=0):
-        places.append(waits.place(body_bytes=0))
+    while waits.has_capacity(body_bytes=0):
+        places.append(waits.hold_waiting(body_bytes=0))
         places[-1].__enter__()
-        assert len(places) / waits.look_s <= looks, len(places)
+        assert len(places) / waits.attempt_interval_s <= looks, len(places)
     assert len(places) == count
     for place in places:
         place.__exit__(None, None, None)
-    with waits.place(body_bytes=most_bytes):
-        assert not waits.has_room(body_bytes=1)
-    assert waits.has_room(body_bytes=most_bytes)
+    with waits.hold_waiting(body_bytes=most_bytes):
+        assert not waits.has_capacity(body_bytes=1)
+    assert waits.has_capacity(body_bytes=most_bytes)
 
 
 @then(
@@ -88,16 +88,19 @@
     "timely"
 )
 def step_hopeless(context, most_s):
-    def goes_on(aim_s, age_s, run_s):
-        return entry_waits.goes_on(
-            aim_s=aim_s, shortest_aim_s=0.25, age_s=age_s, run_s=run_s
+    def should_wait(aim_s, age_s, run_s):
+        return entry_waits.should_wait(
+            target_latency_s=aim_s,
+            shortest_target_s=0.25,
+            age_s=age_s,
+            run_s=run_s,
         )
 
-    assert goes_on(aim_s=30.0, age_s=most_s - 0.1, run_s=1.0)
-    assert not goes_on(aim_s=30.0, age_s=most_s, run_s=1.0)
-    assert goes_on(aim_s=1.0, age_s=0.4, run_s=0.5)
-    assert not goes_on(aim_s=1.0, age_s=0.6, run_s=0.5)
-    assert not goes_on(aim_s=0.4, age_s=0.0, run_s=0.1)
+    assert should_wait(aim_s=30.0, age_s=most_s - 0.1, run_s=1.0)
+    assert not should_wait(aim_s=30.0, age_s=most_s, run_s=1.0)
+    assert should_wait(aim_s=1.0, age_s=0.4, run_s=0.5)
+    assert not should_wait(aim_s=1.0, age_s=0.6, run_s=0.5)
+    assert not should_wait(aim_s=0.4, age_s=0.0, run_s=0.1)
 
 
 @given(
--- a/features/support/crashing_world.py
+++ b/features/support/crashing_world.py
@@ -9,13 +9,13 @@
 from typing import Any
 from unittest import mock
 
-from almondstair.core.cold_starts import ColdStarts
+from almondstair.core.cold_start_limiter import ColdStartLimiter
 from almondstair.core.crash_suspects import CrashSuspects
-from almondstair.core.crash_suspects import Standing
-from almondstair.core.known_places import KnownPlaces
-from almondstair.core.placing import Asked
-from almondstair.core.placing import Placing
-from almondstair.core.region_shares import RegionShares
+from almondstair.core.crash_suspects import CrashVerdict
+from almondstair.core.known_places import CachedLocations
+from almondstair.core.region_shares import RegionShareLimiter
+from almondstair.core.request_placer import PlacementRequest
+from almondstair.core.request_placer import RequestPlacer
 from almondstair.core.routing import Destination
 from almondstair.core.routing import Route
 from almondstair.core.routing import RouteKind
@@ -62,18 +62,18 @@
             hostname="h",
             prefix="/",
             kind=RouteKind.UNSAFE,
-            aim_s=1.0,
+            target_latency_s=1.0,
             timeout_s=DEADLINE_S,
             attempts=1,
             priority=1,
-            by_key=by_key,
+            key_affinity=by_key,
             destinations=(Destination("s", 1.0),),
             allowed_regions=(),
         )
         self._asked_count = 0
         self._callers_region = next(iter(self.members.values())).region
         self._words: dict[str, CrashWords] = {}
-        self._placings: dict[str, Placing] = {}
+        self._placings: dict[str, RequestPlacer] = {}
         for member in self.members.values():
             self._equip(member)
 
@@ -89,14 +89,16 @@
             sharing=member.sharing,
             own_name=name,
         )
-        self._placings[name] = Placing(
+        self._placings[name] = RequestPlacer(
             fleet=member.fleet,
             run_times=RunTimes(),
-            places=KnownPlaces(),
-            region_shares=RegionShares(
-                own_region=member.region, most_change=1.0
+            cached_locations=CachedLocations(),
+            region_limiter=RegionShareLimiter(
+                own_region=member.region, max_change=1.0
+            ),
+            cold_start_limiter=ColdStartLimiter(
+                own_name=name, rate_factor=1.0, slack=1.0
             ),
-            cold_starts=ColdStarts(own_name=name, over=1.0, slack=1.0),
             round_trips_s={},
         )
 
@@ -137,7 +139,7 @@
     def _ask(self, member: Member, answered: Any) -> None:
         words = self._words[member.name]
         standing = words.standing(REQUEST)
-        if standing in (Standing.UNSETTLED, Standing.REFUSED):
+        if standing in (CrashVerdict.PENDING, CrashVerdict.REFUSED):
             self.refused += 1
             answered()
             return
@@ -152,19 +154,19 @@
         way_s = self._way_s(member, upstream)
         self.later(way_s, lambda: self._arrive(member, upstream, answered))
 
-    def _asked(self, exposed: frozenset[int]) -> Asked:
+    def _asked(self, exposed: frozenset[int]) -> PlacementRequest:
         self._asked_count += 1
         key = "k"
-        if not self._route.by_key and not exposed:
+        if not self._route.key_affinity and not exposed:
             key = f"request {self._asked_count}"
-        return Asked(
+        return PlacementRequest(
             route=self._route,
             service="s",
             key=key,
             arrived_s=self.now_s,
-            ends_s=self.now_s + DEADLINE_S,
+            deadline_s=self.now_s + DEADLINE_S,
             tried=[],
-            exposed=exposed,
+            possibly_crashed=exposed,
         )
 
     def _way_s(self, member: Member, upstream: UpstreamState) -> float:
@@ -204,5 +206,5 @@
         self.later(ends_s - self.now_s, end)
 
     def _find_gone(self, member: Member, upstream: UpstreamState) -> None:
-        upstream.note_unreachable(now_s=self.now_s)
+        upstream.record_unreachable(now_s=self.now_s)
         self._words[member.name].note_gone(upstream)
--- a/features/support/mixed_load.py
+++ b/features/support/mixed_load.py
@@ -9,13 +9,13 @@
 from typing import NamedTuple
 
 from almondstair.core import entry_waits
-from almondstair.core.choosing import Wanted
-from almondstair.core.choosing import choose
-from almondstair.core.cold_starts import ColdStarts
+from almondstair.core.choosing import SelectionCriteria
+from almondstair.core.choosing import select_upstream
+from almondstair.core.cold_start_limiter import ColdStartLimiter
 from almondstair.core.routing import Destination
 from almondstair.core.routing import Route
 from almondstair.core.routing import RouteKind
-from almondstair.core.run_times import Expected
+from almondstair.core.run_times import ExpectedRunTimes
 from almondstair.core.upstream_state import UpstreamRecord
 from almondstair.core.upstream_state import UpstreamState
 
@@ -52,11 +52,11 @@
         hostname="h",
         prefix=f"/{kind.name}/",
         kind=RouteKind.SAFE,
-        aim_s=kind.aim_s,
+        target_latency_s=kind.aim_s,
         timeout_s=8.0,
         attempts=2,
         priority=2,
-        by_key=True,
+        key_affinity=True,
         destinations=(Destination("s", 1),),
         allowed_regions=(),
     )
@@ -83,7 +83,7 @@
         self._running = [[] for _ in range(upstreams)]
         self._held = []
         self._counts = {kind.name: [0, 0, 0, 0] for kind in kinds}
-        self._cold = ColdStarts(own_name="e", over=1.5, slack=5)
+        self._cold = ColdStartLimiter(own_name="e", rate_factor=1.5, slack=5)
 
     def play(self, *, span_s):
         """Returns the outcome of each kind by its name."""
@@ -93,7 +93,7 @@
             now_s = tick * _TICK_S
             self._end_runs(now_s)
             if now_s >= look_at_s:
-                look_at_s = now_s + entry_waits.LOOK_S
+                look_at_s = now_s + entry_waits.ATTEMPT_INTERVAL_S
                 self._look(now_s)
             for kind in self._kinds:
                 while numbers[kind.name] < kind.per_s * now_s:
@@ -118,9 +118,9 @@
             self._start_runs(index, now_s)
             return
         kind = request.kind
-        if self._waits and entry_waits.goes_on(
-            aim_s=kind.aim_s,
-            shortest_aim_s=self._shortest_s,
+        if self._waits and entry_waits.should_wait(
+            target_latency_s=kind.aim_s,
+            shortest_target_s=self._shortest_s,
             age_s=now_s - request.at_s,
             run_s=kind.run_s,
         ):
@@ -133,32 +133,38 @@
         age_s = now_s - request.at_s
         first = request.number % len(self._upstreams)
         order = self._upstreams[first:] + self._upstreams[:first]
-        most_queue_s = float("inf")
+        max_queue_s = float("inf")
         if self._waits:
-            most_queue_s = entry_waits.most_queue_s(
-                aim_s=kind.aim_s, shortest_aim_s=self._shortest_s, age_s=age_s
+            max_queue_s = entry_waits.max_queue_s(
+                target_latency_s=kind.aim_s,
+                shortest_target_s=self._shortest_s,
+                age_s=age_s,
             )
-        wanted = Wanted(
+        wanted = SelectionCriteria(
             route=_route(kind),
             service=None,
             tried=(),
-            warm_places=frozenset(
+            cached_upstreams=frozenset(
                 upstream.name_hash for upstream in self._upstreams
             ),
-            expected=Expected(known_s=kind.run_s, new_s=3 * kind.run_s),
-            service_s=self._service_s,
-            use=1.0,
-            aim_left_s=kind.aim_s - age_s,
-            left_s=8.0 - age_s,
+            run_times=ExpectedRunTimes(
+                cached_s=kind.run_s, uncached_s=3 * kind.run_s
+            ),
+            service_run_s=self._service_s,
+            utilisation=1.0,
+            target_left_s=kind.aim_s - age_s,
+            remaining_s=8.0 - age_s,
             round_trips_s={},
             entry_names=frozenset(("e",)),
             joined=True,
-            peers_heard=True,
-            barred_regions=frozenset(),
+            peer_loads_complete=True,
+            excluded_regions=frozenset(),
             now_s=now_s,
-            most_queue_s=most_queue_s,
+            max_queue_s=max_queue_s,
+        )
+        return select_upstream(
+            order=order, criteria=wanted, cold_start_limiter=self._cold
         )
-        return choose(order=order, wanted=wanted, cold_starts=self._cold)
 
     def _start_runs(self, index, now_s):
         slots = self._upstreams[index].record.slots
--- a/features/support/telling_world.py
+++ b/features/support/telling_world.py
@@ -14,9 +14,9 @@
 from unittest import mock
 
 from almondstair.core.fleet import Fleet
-from almondstair.core.known_places import KnownPlaces
+from almondstair.core.known_places import CachedLocations
 from almondstair.core.placement_plan import Plan
-from almondstair.core.registered import Entry
+from almondstair.core.registered_entries import Entry
 from almondstair.core.routing import CallerLimits
 from almondstair.core.routing import RoutingConfiguration
 from almondstair.core.routing import ServiceRule
@@ -134,19 +134,19 @@
             zones=dict(self._regions),
         )
         service = ServiceRule("s", "/", 9, 0.0, 0.0)
-        fleet.take_configuration(
+        fleet.apply_configuration(
             RoutingConfiguration(
                 1, CallerLimits(1, 1, 1.0, 1.0), (), {"s": service}
             )
         )
         for record in self._records:
-            fleet.take_upstream(record, now_s=0.0)
+            fleet.apply_upstream(record, now_s=0.0)
         for other in self._registered:
-            fleet.take_entry(other)
+            fleet.apply_entry(other)
         options: dict[str, Any] = {}
         if "link_mbps" in inspect.signature(LoadSharing).parameters:
             options["link_mbps"] = self._link_mbps
-            options["places"] = KnownPlaces()
+            options["places"] = CachedLocations()
         sharing = LoadSharing(
             fleet=fleet,
             pool=mock.Mock(),
@@ -164,7 +164,7 @@
     def make_suspects(self, name: str) -> Any:
         """Returns what an entry keeps of requests that crash upstreams."""
         del name
-        return mock.Mock(**{"fresh.return_value": []})
+        return mock.Mock(**{"recent_strikes.return_value": []})
 
     def forget_counts(self) -> None:
         """Begins to count what is sent."""
@@ -235,7 +235,7 @@
 
     def state(self, member: Member, name: str) -> Any:
         """Returns what an entry believes of an upstream."""
-        return member.fleet.by_hash[incarnation_hash(name)]
+        return member.fleet.upstreams_by_hash[incarnation_hash(name)]
 
     def pass_time(self, span_s: float) -> None:
         """Does all that happens in a span."""
@@ -263,5 +263,5 @@
         for number, name in enumerate(self.names):
             weights[incarnation_hash(name)] = 30 + number % 30
         plan = Plan(weights=weights)
-        self.first_reporter().sharing._planner.take(plan)
+        self.first_reporter().sharing._planner.set_plan(plan)
         return plan
