--- a/almondstair/control.py
+++ b/almondstair/control.py
@@ -1,4 +1,4 @@
-"""The control side of an entry: messages of peers, timers, the keepers."""
+"""Control side of an entry: peer messages, periodic tasks, state updates."""
 
 import asyncio
 from collections.abc import Coroutine, Sequence
@@ -39,7 +39,7 @@
 
 
 class ControlParts(NamedTuple):
-    """What the control side drives."""
+    """Holds the components that the control side updates."""
 
     own: EntryRow
     membership: Membership
@@ -55,17 +55,17 @@
 
 
 class Control:
-    """Feeds the core with what peers and the platform say."""
+    """Applies messages of peers and data of the platform to the core."""
 
     def __init__(
         self, *, parts: ControlParts, tick_s: float, refresh_s: float
     ) -> None:
-        """Prepares; `bind` gives it what was made after it.
+        """Stores the components; `bind` sets those that are created later.
 
         Args:
-          parts: what it drives.
-          tick_s: time between two looks at what has fallen due.
-          refresh_s: time between two looks at the VM list.
+          parts: the components to update.
+          tick_s: time between two runs of the periodic work.
+          refresh_s: time between two reads of the VM list.
         """
         self._parts = parts
         self._tick_s = tick_s
@@ -73,7 +73,7 @@
         self._tasks: list[asyncio.Task[None]] = []
         self._silent: frozenset[str] = frozenset()
         self._lost_regions: frozenset[str] = frozenset()
-        self._homes_seen: dict[str, str | None] = {}
+        self._logged_homes: dict[str, str | None] = {}
         self._leaving_upstreams: frozenset[str] = frozenset()
         self._peer_marks = PeerMarks()
         self._delays = MessageDelays()
@@ -93,7 +93,7 @@
         table: TableKeeper,
         configuration: ConfigurationKeeper,
     ) -> None:
-        """Takes the parts that call back into this one."""
+        """Sets the components that call back into this one."""
         self._heartbeats = heartbeats
         self._zone_loads = ZoneLoads(
             own=self._parts.own,
@@ -126,18 +126,18 @@
             except AlmondstairError as error:
                 log.event(log.Event.ROUND_FAILED, detail=str(error))
             except Exception as error:
-                # A fault in one round must not end all later ones: the entry
-                # would go on serving while its view of the others ages.
+                # An error in one round must not prevent later ones: the entry
+                # would keep serving with an outdated view of the others.
                 log.event(log.Event.REQUEST_BROKEN, error=error)
             await asyncio.sleep(interval_s)
 
     async def _tick(self) -> None:
         now_s = time.monotonic()
-        self._observe_own(now_s)
+        self._record_own_loads(now_s)
         self._zone_loads.observe(now_s=now_s)
-        self._note_silence(now_s)
-        self._note_regions(now_s)
-        self._note_links(now_s)
+        self._update_silent_entries(now_s)
+        self._update_lost_regions(now_s)
+        self._update_link_headroom(now_s)
         self._parts.shares.ask()
         self._parts.quarantine.expire(now_s=now_s)
         self._parts.keeper.advance_all()
@@ -152,10 +152,10 @@
         self._configuration.follow()
         await self._table.plan()
 
-    # What peers say.
+    # Messages from peers.
 
     def on_message(self, name: str, incarnation: int, message: object) -> None:
-        """Takes one message of a peer."""
+        """Handles one message of a peer."""
         if isinstance(message, Heartbeat):
             self._on_heartbeat(name, incarnation, message)
         elif isinstance(message, HomesReport):
@@ -173,14 +173,14 @@
         self, name: str, incarnation: int, heartbeat: Heartbeat
     ) -> None:
         self._exchange.follow_heartbeat(name=name, heartbeat=heartbeat)
-        self._note_peer_marks(name, incarnation, heartbeat)
-        counts = self._heartbeats.receive(
+        self._record_peer_marks(name, incarnation, heartbeat)
+        accepted = self._heartbeats.receive(
             name=name, incarnation=incarnation, heartbeat=heartbeat
         )
-        if not counts or heartbeat.detail is None:
+        if not accepted or heartbeat.detail is None:
             return
         now_s = time.monotonic()
-        self._note_return(name, now_s)
+        self._check_region_recovery(name, now_s)
         row = self._parts.membership.table.row(name=name)
         assert row is not None
         usual_s = self._delays.usual_arrival_s(
@@ -193,30 +193,31 @@
             marks=heartbeat.detail.marks, now_s=usual_s
         )
         for load in heartbeat.detail.loads:
-            self._observe(row, load, now_s)
+            self._record_load(row, load, now_s)
 
-    def take_strikes(self, word: StrikeWord) -> None:
-        """Takes strikes that another entry tells outside of its heartbeats."""
-        if self._parts.membership.table.row(name=word.entry) is None:
+    def take_strikes(self, report: StrikeWord) -> None:
+        """Applies strikes that another entry reports outside of heartbeats."""
+        if self._parts.membership.table.row(name=report.entry) is None:
             return
         usual_s = self._delays.usual_arrival_s(
-            sender=word.entry,
-            incarnation=word.incarnation,
-            sent_s=word.sent_s,
+            sender=report.entry,
+            incarnation=report.incarnation,
+            sent_s=report.sent_s,
             now_s=time.monotonic(),
         )
-        self._parts.quarantine.merge(marks=word.marks, now_s=usual_s)
+        self._parts.quarantine.merge(marks=report.marks, now_s=usual_s)
 
-    def _note_peer_marks(
+    def _record_peer_marks(
         self, name: str, incarnation: int, heartbeat: Heartbeat
     ) -> None:
-        """Takes a peer's word on leaving upstreams, whether it counts or not.
-
-        A heartbeat does not count while its sender is not in the table here;
-        the report of duties behind it does, since an entry that has just left
-        the table hands its duties over by it. What goes wrong without: a home
-        that has started while the VM list is out takes a duty from that report
-        and gives work to an upstream that its sender knows to be leaving.
+        """Records the leaving upstreams of any heartbeat, accepted or not.
+
+        A heartbeat is ignored while its sender is not in the table here. The
+        homes report that follows it is not, because an entry that has just
+        left the table hands its home roles over by it. If the marks were
+        ignored too, a home that started during an outage of the VM list would
+        take a role from that report and send work to an upstream that the
+        sender knows to be leaving.
         """
         if heartbeat.detail is None:
             return
@@ -227,10 +228,12 @@
             now_s=time.monotonic(),
         )
         if self._table.list_is_out:
-            # Before the homes' report that follows may bring a duty.
+            # The homes report that follows may transfer a home role.
             self.set_leaving()
 
-    def _observe(self, row: EntryRow, load: ServiceLoad, now_s: float) -> None:
+    def _record_load(
+        self, row: EntryRow, load: ServiceLoad, now_s: float
+    ) -> None:
         self._parts.steering.regions.observe(
             region=row.region,
             service=load.service,
@@ -262,15 +265,15 @@
     ) -> None:
         row = self._parts.membership.table.row(name=name)
         if row is None or row.incarnation != incarnation_text(incarnation):
-            # The word of an earlier process of that VM: its successor has not
+            # Sent by an earlier process of that VM; the current one has not
             # acknowledged anything.
             return
         self._parts.shares.heard_epoch(entry=name, epoch=message.epoch)
 
-    # What this entry says.
+    # Messages to peers.
 
     def companions(self, name: str) -> Sequence[NamedTuple]:
-        """Returns what goes to an entry together with a heartbeat."""
+        """Returns the messages that are sent along with a heartbeat."""
         row = self._parts.membership.table.row(name=name)
         if row is None:
             return ()
@@ -287,16 +290,16 @@
         return messages
 
     def own_detail(self) -> StatusDetail:
-        """Returns this entry's word on its upstreams."""
+        """Returns the status of this entry's upstreams."""
         now_s = time.monotonic()
         return StatusDetail(
             loads=self._own_loads(now_s),
-            leaving_upstreams=tuple(sorted(self._own_leaving(now_s))),
+            leaving_upstreams=tuple(sorted(self._own_leaving_upstreams(now_s))),
             marks=self._parts.quarantine.digest(now_s=now_s),
         )
 
     def loads(self) -> tuple[ServiceLoad, ...]:
-        """Returns the loads of this entry's services as last observed."""
+        """Returns the last recorded loads of this entry's services."""
         return self._loads
 
     def _own_loads(self, now_s: float) -> tuple[ServiceLoad, ...]:
@@ -307,9 +310,9 @@
                 loads.append(load._replace(age_ms=age_ms))
         return tuple(loads)
 
-    def _own_leaving(self, now_s: float) -> set[str]:
-        # The VM list's marks as known here, for entries that cannot read it.
-        names = self._listed_leaving()
+    def _own_leaving_upstreams(self, now_s: float) -> set[str]:
+        # Includes the marks of the VM list, for entries that cannot read it.
+        names = self._leaving_by_vm_list()
         configuration = self._configuration.configuration
         if configuration is not None:
             names &= set(configuration.upstreams)
@@ -318,10 +321,10 @@
                 names.add(row.name)
         return names
 
-    # What follows from it.
+    # Updates of the core.
 
     def on_table(self, table: EntryTable, from_platform: bool) -> None:
-        """Puts a newer entry table in force."""
+        """Applies a newer entry table."""
         now_s = time.monotonic()
         known = set(table.names())
         self._parts.homes.update_table(table=table, now_s=now_s)
@@ -334,14 +337,15 @@
                 self._delays.forget(sender=name)
                 self._parts.steering.regions.forget_source(source=name)
         self._peer_marks.forget(
-            known=_processes(table), since_s=self._table.list_described_s
+            known=_entry_incarnations(table),
+            since_s=self._table.list_described_s,
         )
         self._heartbeats.refresh_table(partners=self._partners(table))
         self._parts.keeper.advance_all()
         self._log_homes()
 
     def _partners(self, table: EntryTable) -> list[str]:
-        """Returns the entries that share a duty with this one."""
+        """Returns the entries that share an upstream as home or successor."""
         names = set()
         configuration = self._configuration.configuration
         if configuration is None:
@@ -363,14 +367,14 @@
             return
         for upstream in configuration.upstreams:
             home = self._parts.homes.home_of(upstream=upstream)
-            if self._homes_seen.get(upstream) == home:
+            if self._logged_homes.get(upstream) == home:
                 continue
-            self._homes_seen[upstream] = home
+            self._logged_homes[upstream] = home
             if self._parts.own.name == home:
                 log.event(log.Event.HOME_CHANGED, upstream=upstream, home=home)
 
     def on_configuration(self, configuration: Configuration) -> None:
-        """Tells the heartbeats of duties that a new configuration brings."""
+        """Updates leaving marks and heartbeat receivers."""
         self._parts.membership.mark_leaving(
             names=frozenset(configuration.marks.leaving)
         )
@@ -380,12 +384,12 @@
         self._log_homes()
 
     def set_leaving(self) -> None:
-        """Puts together which upstreams leave, over all sources.
+        """Merges the sets of leaving upstreams of all sources.
 
-        Each source keeps its mark until it takes it back itself; what another
-        one does not say undoes nothing.
+        A mark holds until its own source removes it. Its absence in another
+        source does not clear it.
         """
-        names = self._listed_leaving()
+        names = self._leaving_by_vm_list()
         configuration = self._configuration.configuration
         if configuration is not None:
             names.update(configuration.marks.leaving)
@@ -397,12 +401,13 @@
             log.event(log.Event.UPSTREAM_RETURNED, upstream=name)
         self._leaving_upstreams = leaving
 
-    def _listed_leaving(self) -> set[str]:
-        """Returns what leaves by the VM list, and by others while it is out.
+    def _leaving_by_vm_list(self) -> set[str]:
+        """Returns the upstreams that leave according to the VM list.
 
-        An entry that cannot read the list would send new work to an upstream
-        that others know to be leaving. It tells on what it was told: the one
-        that read it may have gone.
+        While the list is unavailable, this adds the marks that peers report;
+        otherwise this entry would send new work to upstreams that others know
+        to be leaving. It relays these marks because the entry that read the
+        list may be gone.
         """
         names = set(self._table.vms_leaving)
         if self._table.list_is_out:
@@ -410,10 +415,11 @@
             names |= self._peer_marks.names(since_s=since_s)
         return names
 
-    def _observe_own(self, now_s: float) -> None:
-        """Takes this entry's own load, for heartbeats and metrics as well.
+    def _record_own_loads(self, now_s: float) -> None:
+        """Records the loads of this entry's own services.
 
-        Each of them would go through all duties again.
+        Heartbeats and metrics reuse them; computing a load iterates over all
+        home roles.
         """
         configuration = self._configuration.configuration
         if configuration is None:
@@ -422,12 +428,12 @@
         for service in configuration.services:
             room = self._parts.keeper.slots.room(service=service, now_s=now_s)
             load = ServiceLoad(service, room.usable, room.free, 0)
-            self._observe(self._parts.own, load, now_s)
+            self._record_load(self._parts.own, load, now_s)
             loads.append(load)
         self._loads = tuple(loads)
         self._loads_s = now_s
 
-    def _note_silence(self, now_s: float) -> None:
+    def _update_silent_entries(self, now_s: float) -> None:
         silent = frozenset(self._parts.membership.silent(now_s=now_s))
         for name in silent - self._silent:
             log.event(log.Event.ENTRY_SILENT, entry=name)
@@ -435,17 +441,17 @@
             log.event(log.Event.ENTRY_HEARD, entry=name)
         self._silent = silent
 
-    def _note_return(self, name: str, now_s: float) -> None:
-        """Lets a lost region take work as soon as one of its entries does."""
+    def _check_region_recovery(self, name: str, now_s: float) -> None:
+        """Updates the lost regions when an entry of one is heard again."""
         row = self._parts.membership.table.row(name=name)
         if row is not None and row.region in self._lost_regions:
-            self._note_regions(now_s)
+            self._update_lost_regions(now_s)
 
     def note_live(self) -> None:
-        """Looks anew at who is live, as when this entry begins to take work."""
-        self._note_regions(time.monotonic())
+        """Updates the lost regions when this entry begins to accept work."""
+        self._update_lost_regions(time.monotonic())
 
-    def _note_regions(self, now_s: float) -> None:
+    def _update_lost_regions(self, now_s: float) -> None:
         configuration = self._configuration.configuration
         if configuration is None:
             return
@@ -459,7 +465,7 @@
             self._parts.steering.regions.region_back(region=region)
         self._lost_regions = lost
 
-    def _note_links(self, now_s: float) -> None:
+    def _update_link_headroom(self, now_s: float) -> None:
         for region in self._parts.pacers.regions():
             self._parts.steering.regions.observe_link(
                 availability_zone=self._parts.own.availability_zone,
@@ -470,8 +476,8 @@
             )
 
 
-def _processes(table: EntryTable) -> set[tuple[str, int]]:
-    found = set()
+def _entry_incarnations(table: EntryTable) -> set[tuple[str, int]]:
+    incarnations = set()
     for row in table.entries:
-        found.add((row.name, int(row.incarnation, 16)))
-    return found
+        incarnations.add((row.name, int(row.incarnation, 16)))
+    return incarnations
--- a/almondstair/daemon.py
+++ b/almondstair/daemon.py
@@ -1,4 +1,4 @@
-"""almondstaird: the daemon of an entry VM."""
+"""The almondstaird daemon, which runs an entry."""
 
 import argparse
 import asyncio
@@ -18,14 +18,14 @@
 from almondstair.errors import ErrorKind
 
 OBJECTS_PER_COLLECTION = 20_000
-DESCRIPTION = """Serves one entry of almondstair: look-ups, requests of callers
-and of other entries, operators. SIGTERM or SIGINT makes it leave without
-cutting off a request."""
+DESCRIPTION = """Runs one entry of almondstair: serves lookups, requests from
+callers and other entries, and operators. SIGTERM or SIGINT drains the requests
+in flight and stops it."""
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Reads the settings, makes the entry, runs it until it is told to stop."""
-    options = _parse(arguments)
+    """Reads the settings and runs the entry until a signal stops it."""
+    options = _parse_arguments(arguments)
     try:
         loaded = settings.load(options.settings)
         log.setup(
@@ -41,7 +41,7 @@
         sys.exit(ERROR_TABLE[ErrorKind.INTERNAL].exit_code)
 
 
-def _parse(arguments: Sequence[str] | None) -> argparse.Namespace:
+def _parse_arguments(arguments: Sequence[str] | None) -> argparse.Namespace:
     parser = argparse.ArgumentParser(
         prog="almondstaird", description=DESCRIPTION
     )
@@ -54,11 +54,11 @@
     return parser.parse_args(arguments)
 
 
-def _spare_collections() -> None:
-    """Makes the garbage collector look at young objects, and seldom.
+def _tune_garbage_collector() -> None:
+    """Makes garbage collections rare and exempts the objects that exist now.
 
-    By default it runs after every 700 new objects, a few requests' worth, and
-    then walks over the modules and tables that never go away.
+    By default a collection runs after 700 new objects, which is every few
+    requests, and also traverses modules and tables that are never freed.
     """
     gc.collect()
     gc.freeze()
@@ -68,11 +68,11 @@
 async def _run(loaded: settings.Loaded) -> None:
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     entry = Entry(loaded=loaded)
     await entry.start()
-    _spare_collections()
+    _tune_garbage_collector()
     await stopping.wait()
     await entry.stop()
 
--- a/almondstair/entry.py
+++ b/almondstair/entry.py
@@ -1,4 +1,4 @@
-"""One entry put together: the core, the sockets round it, start and stop."""
+"""Assembles an entry from the core and its sockets; starts and stops it."""
 
 import asyncio
 import secrets
@@ -70,38 +70,39 @@
 from almondstair.table_keeper import TableKeeper
 from almondstair.tracing import Tracing
 
-# How long the home's use of a reserve slot outlasts its successor's word, and
-# the longest work that may use one; see core/homes.py.
+# How long the home may use a reserve slot after the last report of its
+# successor, and the maximum deadline of work in one; see core/homes.py.
 RESERVE_T1_S = 1.0
 RESERVE_DEADLINE_S = 2.0
-# Clock drift, and the time an upstream takes to notice a closed connection.
+# Covers clock drift and the time an upstream needs to detect a closed
+# connection.
 SLOT_MARGIN_S = 0.25
-# Time in which a few announcements of requests that crashed an upstream go out
-# at once; see core/announcing.py.
+# Interval in which a few reports of strikes are sent without delay; see
+# core/announcing.py.
 STRIKE_INTERVAL_S = 0.02
 
 
-# Before the first configuration is in force.
+# Used until the first configuration is in force.
 NO_CONFIGURATION = Configuration(
     regions={}, services={}, upstreams={}, profiles={}
 )
 
 
 class Entry(CallHandler):
-    """One entry."""
+    """Runs one entry."""
 
     def __init__(self, *, loaded: Loaded) -> None:
-        """Puts the parts together; nothing listens yet.
+        """Creates the components; nothing listens yet.
 
         Args:
-          loaded: checked settings and the seed of the configuration.
+          loaded: validated settings and the initial configuration.
         """
         settings = loaded.settings
         self._settings = settings
         self._incarnation = secrets.randbits(63)
         self.own = _own_row(settings, self._incarnation)
-        self._announcing = Announcing(interval_s=STRIKE_INTERVAL_S)
-        self._platform_out = False
+        self._strike_schedule = Announcing(interval_s=STRIKE_INTERVAL_S)
+        self._platform_down = False
         self._timers: list[asyncio.Task[None]] = []
         self.metrics = Metrics(
             statsd_address=settings.metrics.statsd_address,
@@ -116,7 +117,7 @@
         self._make_core()
         self._make_platform()
         self._make_control()
-        self._make_serving()
+        self._make_call_router()
         self._make_listeners()
         self._joining = self._make_joining(loaded.configuration_text)
 
@@ -137,12 +138,12 @@
             book=book,
         )
         self._health = HealthTable()
-        self._standstill = Standstill()
+        self._loop_stall = Standstill()
         self.slots = SlotTable(
             homes=self.homes,
             book=book,
             health=self._health,
-            standstill=self._standstill,
+            standstill=self._loop_stall,
         )
         self._keeper = SlotKeeper(slots=self.slots)
         report_limit_s = timing.load_report_limit_ms / 1000
@@ -160,7 +161,7 @@
         self._service = EtcdService(
             url=platform.url,
             timeout_s=timeout_s,
-            on_outcome=self._note_platform,
+            on_outcome=self._on_platform_outcome,
         )
         self._vm_list = HttpVmList(
             url=platform.vm_list_url, timeout_s=timeout_s
@@ -173,15 +174,15 @@
             retention_s=platform.claim_retention_s,
         )
 
-    def _note_platform(self, failure: str) -> None:
-        """Logs the platform's going and coming back, and counts failures."""
+    def _on_platform_outcome(self, failure: str) -> None:
+        """Logs outages and recoveries of the platform and counts failures."""
         if failure:
             self.metrics.count(Metric.PLATFORM_ERRORS)
-        if failure and not self._platform_out:
+        if failure and not self._platform_down:
             log.event(log.Event.PLATFORM_DOWN, detail=failure)
-        if not failure and self._platform_out:
+        if not failure and self._platform_down:
             log.event(log.Event.PLATFORM_BACK)
-        self._platform_out = bool(failure)
+        self._platform_down = bool(failure)
 
     def _is_live(self, entry: str, incarnation: str) -> bool:
         row = self.membership.table.row(name=entry)
@@ -255,7 +256,7 @@
             interval_ms=settings.timing.heartbeat_interval_ms,
             silence_limit_ms=settings.timing.silence_limit_ms,
         )
-        self._strike_words = StrikeWords(
+        self._strike_exchange = StrikeWords(
             own=self.own,
             incarnation=self._incarnation,
             membership=self.membership,
@@ -295,15 +296,15 @@
     def _on_table(self, table: EntryTable, from_platform: bool) -> None:
         self._control.on_table(table, from_platform)
 
-    def _make_serving(self) -> None:
-        self._loop_watch = LoopWatch(
-            standstill=self._standstill, metrics=self.metrics
+    def _make_call_router(self) -> None:
+        self._loop_stall_monitor = LoopWatch(
+            standstill=self._loop_stall, metrics=self.metrics
         )
         core = Core(
             configuration=self.configuration,
             quarantine=self._quarantine,
             health=self._health,
-            on_strike=self._announce_strike,
+            on_strike=self._schedule_strike_report,
         )
         self.runner = Runner(
             core=core,
@@ -312,7 +313,7 @@
             sender=self._sender,
             metrics=self.metrics,
         )
-        self._serving = Serving(
+        self._call_router = Serving(
             parts=Parts(
                 own=self.own,
                 membership=self.membership,
@@ -324,8 +325,8 @@
                 sender=self._sender,
                 tracing=self._tracing,
                 metrics=self.metrics,
-                standstill=self._standstill,
-                strike_words=self._strike_words,
+                standstill=self._loop_stall,
+                strike_words=self._strike_exchange,
             )
         )
         self._lookups = Lookups(
@@ -334,30 +335,30 @@
             ttl_s=self._settings.timing.lookup_ttl_ms / 1000,
         )
 
-    def _announce_strike(self) -> None:
-        wait_s = self._announcing.wait_s(now_s=time.monotonic())
+    def _schedule_strike_report(self) -> None:
+        wait_s = self._strike_schedule.wait_s(now_s=time.monotonic())
         if wait_s is None:
             return
         if wait_s > 0:
-            IOLoop.current().call_later(wait_s, self._announce_planned)
+            IOLoop.current().call_later(wait_s, self._send_planned_strikes)
             return
-        self._tell_strikes()
+        self._send_strikes()
 
-    def _announce_planned(self) -> None:
-        self._announcing.planned_told(now_s=time.monotonic())
-        self._tell_strikes()
+    def _send_planned_strikes(self) -> None:
+        self._strike_schedule.planned_told(now_s=time.monotonic())
+        self._send_strikes()
 
-    def _tell_strikes(self) -> None:
+    def _send_strikes(self) -> None:
         marks = self._quarantine.digest(now_s=time.monotonic())
-        self._strike_words.tell(marks)
+        self._strike_exchange.tell(marks)
         self.heartbeats.announce()
 
     def _make_listeners(self) -> None:
         zone = self.own.availability_zone
-        self._caller_door = FrontDoor(
+        self._caller_listener = FrontDoor(
             handler=self, own_zone=zone, for_entries=False
         )
-        self._forward_door = FrontDoor(
+        self._forward_listener = FrontDoor(
             handler=self, own_zone=zone, for_entries=True
         )
         self._leaving = self._make_leaving()
@@ -403,20 +404,21 @@
                 homes=self.homes,
                 shares=self._shares,
                 claims=self._claims,
-                caller_door=self._caller_door,
-                forward_door=self._forward_door,
+                caller_door=self._caller_listener,
+                forward_door=self._forward_listener,
             ),
             serve_s=(timing.lookup_ttl_ms + timing.drain_margin_ms) / 1000,
             finish_s=timing.stop_limit_ms / 1000,
         )
 
-    # What the front doors ask.
+    # Calls from the listeners.
 
     def configuration(self) -> Configuration:
         """Returns the configuration in force.
 
         Raises:
-          AlmondstairError: `platform_unavailable` before the first.
+          AlmondstairError: `platform_unavailable` before the first one is in
+            force.
         """
         configuration = self.configuration_keeper.configuration
         if configuration is None:
@@ -427,8 +429,8 @@
         return configuration
 
     async def handle(self, call: Call) -> None:
-        """Answers a call."""
-        await self._serving.handle(call)
+        """Handles a call."""
+        await self._call_router.handle(call)
 
     def lookup(self, *, service: str, caller_ip: str) -> LookupBody:
         """Returns the entries that a caller may use."""
@@ -440,31 +442,35 @@
         )
 
     def leaving(self) -> bool:
-        """Whether connections are closed after their answer."""
+        """Returns whether connections are closed after their response."""
         return self.membership.leaving
 
     def refusing(self) -> bool:
-        """Whether new requests are refused."""
+        """Returns whether new requests are refused."""
         return self._leaving.refusing
 
     # Start.
 
     async def start(self) -> None:
-        """Listens, finds its peers and the configuration, registers.
+        """Listens, then joins the group in the background.
+
+        Joining finds the peers and the configuration and registers the entry.
 
         Raises:
           OSError: an address cannot be bound.
         """
         self._peers.start()
-        self._strike_words.start()
+        self._strike_exchange.start()
         self._operators.listen(self.own.operator_address)
-        self._forward_door.listen(self.own.forward_address)
-        self._caller_door.listen(self.own.caller_address)
+        self._forward_listener.listen(self.own.forward_address)
+        self._caller_listener.listen(self.own.caller_address)
         self.heartbeats.start()
         self._control.start()
         self._timers.append(asyncio.ensure_future(self._joining.run()))
         self._timers.append(asyncio.ensure_future(self._gauges.run()))
-        self._timers.append(asyncio.ensure_future(self._loop_watch.run()))
+        self._timers.append(
+            asyncio.ensure_future(self._loop_stall_monitor.run())
+        )
 
     def _on_configuration(self, configuration: Configuration) -> None:
         homed = homed_upstreams(configuration=configuration)
@@ -472,14 +478,14 @@
         self.slots.set_configuration(configuration=configuration)
         self.steering.configure(configuration=configuration)
         self._shares.configure(configuration=configuration)
-        self._serving.configure(configuration=configuration)
+        self._call_router.configure(configuration=configuration)
         self._lookups.configure(configuration=configuration)
         self._control.on_configuration(configuration)
 
     # Stop.
 
     async def stop(self) -> None:
-        """Leaves without cutting off a request."""
+        """Leaves the group, drains the requests in flight, then closes all."""
         log.event(log.Event.STOPPING, entry=self.own.name)
         await self._leaving.run()
         await self._close()
@@ -494,14 +500,14 @@
         for timer in self._timers:
             timer.cancel()
         await self._operators.close()
-        await self._caller_door.close()
-        await self._forward_door.close()
+        await self._caller_listener.close()
+        await self._forward_listener.close()
         self._claims.close()
         self._sender.close()
         self._service.close()
         self._vm_list.close()
         self._peers.stop()
-        self._strike_words.stop()
+        self._strike_exchange.stop()
         self._tracing.close()
 
 
--- a/almondstair/gauges.py
+++ b/almondstair/gauges.py
@@ -1,4 +1,4 @@
-"""Figures of an entry that are sent now and then, not as they arise."""
+"""Metrics of an entry that are sampled periodically."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -14,20 +14,20 @@
 from almondstair.peers import PeerCounts
 from almondstair.peers import Peers
 
-# Time between two sendings; a gauge that is older says little of the load.
+# Time between two samples; an older gauge says little about the load.
 METRICS_INTERVAL_S = 1.0
 
 
 class GaugedParts(NamedTuple):
-    """What the figures are of.
+    """Holds the sources of the metrics and their destination.
 
     Attributes:
-      metrics: where they go.
-      peers: traffic with other entries.
-      keeper: slots in use.
-      pacers: use of links.
-      configuration: version in force.
-      loads: returns the newest loads of the entry's own services.
+      metrics: receives the metrics.
+      peers: source of the traffic with other entries.
+      keeper: source of the slots in use.
+      pacers: source of the use of links.
+      configuration: source of the version in force.
+      loads: returns the latest loads of the entry's own services.
     """
 
     metrics: Metrics
@@ -39,41 +39,41 @@
 
 
 class Gauges:
-    """Sends the figures in each interval."""
+    """Samples and sends the metrics once per interval."""
 
     def __init__(self, *, parts: GaugedParts) -> None:
-        """Prepares.
+        """Stores the sources; nothing is sent before `run`.
 
         Args:
-          parts: what the figures are of.
+          parts: sources and destination of the metrics.
         """
         self._parts = parts
-        self._counted = parts.peers.counts
+        self._last_counts = parts.peers.counts
 
     async def run(self) -> None:
-        """Sends until it is cancelled."""
+        """Samples and sends until it is cancelled."""
         while True:
             await asyncio.sleep(METRICS_INTERVAL_S)
             self._count_peers()
-            self._gauge_slots()
-            self._gauge_links()
+            self._sample_slots()
+            self._sample_links()
             version = self._parts.configuration.version
             self._parts.metrics.gauge(Metric.CONFIGURATION_VERSION, version)
             self._parts.metrics.flush()
 
     def _count_peers(self) -> None:
         counts = self._parts.peers.counts
-        new = _difference(counts, self._counted)
-        self._counted = counts
+        added = _difference(counts, self._last_counts)
+        self._last_counts = counts
         metrics = self._parts.metrics
-        metrics.count(Metric.PEER_BYTES, "sent", by=new.sent_bytes)
-        metrics.count(Metric.PEER_BYTES, "received", by=new.received_bytes)
-        metrics.count(Metric.PEER_MESSAGES, "sent", by=new.sent_messages)
+        metrics.count(Metric.PEER_BYTES, "sent", by=added.sent_bytes)
+        metrics.count(Metric.PEER_BYTES, "received", by=added.received_bytes)
+        metrics.count(Metric.PEER_MESSAGES, "sent", by=added.sent_messages)
         metrics.count(
-            Metric.PEER_MESSAGES, "received", by=new.received_messages
+            Metric.PEER_MESSAGES, "received", by=added.received_messages
         )
 
-    def _gauge_slots(self) -> None:
+    def _sample_slots(self) -> None:
         metrics = self._parts.metrics
         busy = 0
         for row in self._parts.keeper.slots.status(now_s=time.monotonic()):
@@ -82,20 +82,20 @@
         for load in self._parts.loads():
             metrics.gauge(Metric.SLOTS_FREE, load.free_slots, load.service)
 
-    def _gauge_links(self) -> None:
+    def _sample_links(self) -> None:
         now_s = time.monotonic()
         for region in self._parts.pacers.regions():
-            for pacer, way in zip(
+            for pacer, direction in zip(
                 self._parts.pacers.pacers(region=region),
                 ("out", "in"),
                 strict=True,
             ):
                 used = pacer.share.status(now_s=now_s).used_bytes_per_s
                 self._parts.metrics.gauge(
-                    Metric.LINK_BYTES_PER_S, used, f"{region}.{way}"
+                    Metric.LINK_BYTES_PER_S, used, f"{region}.{direction}"
                 )
 
 
 def _difference(counts: PeerCounts, before: PeerCounts) -> PeerCounts:
     pairs = zip(counts, before, strict=True)
-    return PeerCounts(*(now - then for now, then in pairs))
+    return PeerCounts(*(later - earlier for later, earlier in pairs))
--- a/almondstair/heartbeats.py
+++ b/almondstair/heartbeats.py
@@ -1,4 +1,4 @@
-"""Sends and reads heartbeats: the timer round `core.heartbeats`."""
+"""Sends heartbeats on a timer and applies the ones received from peers."""
 
 from collections.abc import Callable, Iterable, Sequence
 from typing import NamedTuple
@@ -29,20 +29,25 @@
 from almondstair.peers import Peers
 
 
-class HeardDetail(NamedTuple):
-    """An entry's word on its upstreams and when it was heard."""
+class ReceivedDetail(NamedTuple):
+    """Holds the status that an entry reported and when it arrived.
+
+    Attributes:
+      detail: the status of its upstreams.
+      received_s: monotonic time of arrival in seconds.
+    """
 
     detail: StatusDetail
-    heard_s: float
+    received_s: float
 
 
 class Heartbeats:
-    """Sends this entry's heartbeats and keeps what the others say.
+    """Sends this entry's heartbeats and stores what the peers report.
 
     Attributes:
-      details: latest word of each entry that sends this one heartbeats, on its
-        upstreams.
-      digests: the availability zones beyond.
+      details: latest upstream status of each entry that sends heartbeats with
+        details to this one, by entry name.
+      digests: digests of the other availability zones.
     """
 
     def __init__(
@@ -58,19 +63,20 @@
         interval_ms: int,
         silence_limit_ms: int,
     ) -> None:
-        """Prepares; nothing is sent before `start`.
+        """Creates the timer; nothing is sent before `start`.
 
         Args:
           own: this entry.
-          membership: who is heard.
-          configuration: what is in force here.
-          peers: the sockets.
+          membership: which entries are known, alive or leaving.
+          configuration: the configuration in force on this entry.
+          peers: sockets to the other entries.
           clock: returns monotonic seconds.
-          own_detail: returns this entry's word on its upstreams.
-          companions: returns messages of other protocols that go to an entry
-            together with its heartbeat, in the same packet.
-          interval_ms: time between two rounds of sending.
-          silence_limit_ms: shortest age at which an entry counts as silent.
+          own_detail: returns the status of this entry's upstreams.
+          companions: returns messages of other protocols to piggyback on the
+            heartbeat to an entry, in the same packet.
+          interval_ms: time between two rounds of heartbeats.
+          silence_limit_ms: minimum age of the last heartbeat at which an entry
+            counts as silent.
         """
         self._own = own
         self._membership = membership
@@ -87,28 +93,29 @@
         self._zone_names: list[str] = []
         self._names_by_zone: dict[str, list[str]] = {}
         self._detail_names: frozenset[str] = frozenset()
-        self.details: dict[str, HeardDetail] = {}
+        self.details: dict[str, ReceivedDetail] = {}
         self.digests = DigestStore()
 
     def start(self) -> None:
-        """Starts to send on the current loop."""
+        """Starts the timer on the current loop."""
         self._timer.start()
 
     def stop(self) -> None:
-        """Sends nothing more."""
+        """Stops the timer."""
         self._timer.stop()
 
     def refresh_table(self, *, partners: Iterable[str] = ()) -> None:
-        """Works the receivers out anew; to be called with each new table.
+        """Recomputes the receivers; called with each new entry table.
 
         Args:
-          partners: entries that share a duty with this one.
+          partners: entries that are home or successor of an upstream together
+            with this one.
         """
         membership = self._membership
         self._peers.set_rows(membership.table.entries)
         self._fan_out.set_table(table=membership.table, partners=partners)
-        # A send opens a connection and is lost meanwhile; in a large group the
-        # next turn would come seconds later.
+        # The first send to a peer only opens the connection and is lost. In a
+        # large group the next heartbeat would follow seconds later.
         for name in self._fan_out.receiver_names:
             self._peers.connect(name)
         self._detail_names = self._fan_out.detail_names
@@ -127,10 +134,11 @@
                 del self.details[name]
 
     def announce(self, *, finished: bool = False) -> None:
-        """Sends to group and partners at once, as when this entry leaves.
+        """Sends a heartbeat to group and partners now, e.g. when leaving.
 
         Args:
-          finished: says that every duty is given up for good, from now on.
+          finished: reports, from now on, that this entry has released all its
+            home roles for good.
         """
         self._finished = self._finished or finished
         self._sequence += 1
@@ -139,22 +147,22 @@
             self._send(name, detail, None, ())
 
     def send_round(self) -> None:
-        """Sends the heartbeats that are due; called by the timer."""
+        """Sends the heartbeats that are due in this round."""
         now_s = self._clock()
         self._sequence += 1
-        sending = self._fan_out.tick()
+        targets = self._fan_out.tick()
         detail = self._own_detail()
         view = None
-        if sending.with_view:
+        if targets.with_view:
             view = self._view(now_s)
-        for name in sending.near:
+        for name in targets.near:
             digests: tuple[ZoneDigest, ...] = ()
-            if sending.with_view:
+            if targets.with_view:
                 digests = self.digests.next(count=DIGESTS_TO_NEAR, now_s=now_s)
             self._send(name, detail, view, digests)
-        for name in sending.partners:
+        for name in targets.partners:
             self._send(name, detail, None, ())
-        for name in sending.far:
+        for name in targets.far:
             digests = self._far_digests(now_s)
             self._send(name, far_detail(detail), None, digests)
 
@@ -178,9 +186,9 @@
         )
         self._peers.send(name, heartbeat, *self._companions(name))
 
-    def _zone_words(self, now_s: float) -> list[MemberWord]:
+    def _zone_statuses(self, now_s: float) -> list[MemberWord]:
         membership = self._membership
-        words = []
+        statuses = []
         for name in self._zone_names:
             version = self._configuration.version
             known = membership.last_heard(name=name)
@@ -189,13 +197,13 @@
             live = not membership.is_leaving(name=name)
             live = live and not membership.is_silent(name=name, now_s=now_s)
             age_s = membership.age_s(name=name, now_s=now_s)
-            words.append(MemberWord(name, live, age_s, version))
-        return words
+            statuses.append(MemberWord(name, live, age_s, version))
+        return statuses
 
     def _view(self, now_s: float) -> GroupView:
         return make_view(
             epoch=self._membership.table.epoch,
-            words=self._zone_words(now_s),
+            words=self._zone_statuses(now_s),
             configuration_version=self._highest_version(),
         )
 
@@ -208,7 +216,7 @@
         own = make_digest(
             availability_zone=self._own.availability_zone,
             epoch=self._membership.table.epoch,
-            words=self._zone_words(now_s),
+            words=self._zone_statuses(now_s),
             version=self._highest_version(),
             loads=self.zone_loads(now_s=now_s),
         )
@@ -216,7 +224,7 @@
         return (own,) + others
 
     def zone_loads(self, *, now_s: float) -> tuple[ServiceLoad, ...]:
-        """Returns the load by service over this zone's live entries."""
+        """Returns the load of this zone's live entries, summed by service."""
         loads: dict[str, ServiceLoad] = {}
         _add_loads(loads, self._own_detail().loads, 0)
         for name in self._zone_names:
@@ -225,52 +233,52 @@
                 continue
             if self._membership.is_silent(name=name, now_s=now_s):
                 continue
-            age_ms = int((now_s - heard.heard_s) * 1000)
+            age_ms = int((now_s - heard.received_s) * 1000)
             _add_loads(loads, heard.detail.loads, age_ms)
         return tuple(loads.values())
 
     def receive(
         self, *, name: str, incarnation: int, heartbeat: Heartbeat
     ) -> bool:
-        """Takes a heartbeat in.
+        """Applies a heartbeat from a peer.
 
         Args:
-          name: the sender.
-          incarnation: its process.
+          name: name of the sender.
+          incarnation: incarnation of the sender.
           heartbeat: the heartbeat.
 
         Returns:
-          Whether it counts; a late one or one of an entry that is not in the
-          table does not.
+          Whether it was accepted. A late heartbeat, or one of an entry that is
+          not in the table, is ignored.
         """
         now_s = self._clock()
         if not self._membership.holds(name=name):
             return False
         if not self._membership.heard(
-            _heard(name, incarnation, heartbeat, now_s)
+            _received_heartbeat(name, incarnation, heartbeat, now_s)
         ):
             return False
         if heartbeat.detail is not None and name in self._detail_names:
-            self.details[name] = HeardDetail(heartbeat.detail, now_s)
+            self.details[name] = ReceivedDetail(heartbeat.detail, now_s)
         if heartbeat.view is not None:
-            self._take_view(heartbeat.view, now_s)
+            self._apply_view(heartbeat.view, now_s)
         for digest in heartbeat.digests:
-            self._take_digest(digest, now_s)
+            self._apply_digest(digest, now_s)
         return True
 
-    def _take_view(self, view: GroupView, now_s: float) -> None:
+    def _apply_view(self, view: GroupView, now_s: float) -> None:
         if view.epoch != self._membership.table.epoch:
-            # Another table, another order of names: the bytes would be read
-            # as the word of the wrong entries.
+            # Names in another table have another order, so the statuses would
+            # be assigned to the wrong entries.
             return
-        for word in read_view(view=view, names=self._zone_names):
+        for status in read_view(view=view, names=self._zone_names):
             self._membership.heard_of(
-                name=word.name,
-                heard_s=now_s - word.age_s,
-                configuration_version=word.version,
+                name=status.name,
+                heard_s=now_s - status.age_s,
+                configuration_version=status.version,
             )
 
-    def _take_digest(self, digest: ZoneDigest, now_s: float) -> None:
+    def _apply_digest(self, digest: ZoneDigest, now_s: float) -> None:
         if digest.availability_zone == self._own.availability_zone:
             return
         if not self.digests.offer(digest=digest, now_s=now_s):
@@ -278,18 +286,18 @@
         if digest.epoch != self._membership.table.epoch:
             return
         names = self._names_by_zone.get(digest.availability_zone, [])
-        for word in read_digest(digest=digest, names=names):
-            if not word.live:
-                self._membership.not_live(name=word.name)
+        for status in read_digest(digest=digest, names=names):
+            if not status.live:
+                self._membership.not_live(name=status.name)
                 continue
             self._membership.heard_of(
-                name=word.name,
-                heard_s=now_s - word.age_s,
-                configuration_version=word.version,
+                name=status.name,
+                heard_s=now_s - status.age_s,
+                configuration_version=status.version,
             )
 
 
-def _heard(
+def _received_heartbeat(
     name: str, incarnation: int, heartbeat: Heartbeat, now_s: float
 ) -> Heard:
     return Heard(
--- a/almondstair/log.py
+++ b/almondstair/log.py
@@ -1,7 +1,7 @@
 """Structured logs: numbered events as JSON lines.
 
-Every event is listed in `Event`; docs/LOG-EVENTS.md is the catalogue for
-operators and a test keeps the two equal. Warnings say what to change.
+`Event` lists every event; docs/LOG-EVENTS.md documents them for operators, and
+a test compares the two. Warnings tell the operator what to change.
 """
 
 import enum
@@ -18,7 +18,7 @@
 
 
 class EventRule(NamedTuple):
-    """Number, level and text of a log event."""
+    """Holds the number, level and text of a log event."""
 
     number: int
     level: int
@@ -26,7 +26,7 @@
 
 
 class Event(enum.Enum):
-    """Every event that is logged."""
+    """Lists every log event; the member names are written to the log."""
 
     STARTED = EventRule(100, logging.INFO, "entry started")
     STOPPING = EventRule(101, logging.INFO, "entry is leaving")
@@ -37,19 +37,19 @@
         "requests were still in flight at the end of a stop; raise "
         "timing.stop_limit_ms",
     )
-    FATAL = EventRule(104, logging.CRITICAL, "entry cannot go on")
+    FATAL = EventRule(104, logging.CRITICAL, "entry cannot continue")
     LINES_LEFT_OUT = EventRule(
         105,
         logging.WARNING,
-        "log lines were left out: too many of one kind, or a slow reader",
+        "log lines were dropped: too many of one event, or a slow reader",
     )
     REQUEST_REFUSED = EventRule(200, logging.DEBUG, "request refused")
     REQUEST_FAILED = EventRule(201, logging.WARNING, "request failed")
-    REQUEST_BROKEN = EventRule(
-        202, logging.ERROR, "handling a request failed inside"
-    )
+    REQUEST_BROKEN = EventRule(202, logging.ERROR, "unexpected internal error")
     UPSTREAM_LOST = EventRule(
-        203, logging.WARNING, "upstream closed without a whole answer"
+        203,
+        logging.WARNING,
+        "upstream closed the connection before the response was complete",
     )
     UPSTREAM_UNREACHABLE = EventRule(
         204,
@@ -68,7 +68,7 @@
     RELEASE_LATE = EventRule(
         207,
         logging.WARNING,
-        "a request that did not run was refused before its key was free",
+        "a request that was not run was refused before its key was released",
     )
     PLATFORM_DOWN = EventRule(
         300,
@@ -79,7 +79,9 @@
         301, logging.INFO, "the platform's service answers again"
     )
     VM_LIST_STALE = EventRule(
-        302, logging.WARNING, "the VM list is not to be had; the last one holds"
+        302,
+        logging.WARNING,
+        "the VM list cannot be read; the last one stays in use",
     )
     ENTRY_TABLE_CHANGED = EventRule(310, logging.INFO, "entry table changed")
     ENTRY_SILENT = EventRule(
@@ -87,7 +89,9 @@
         logging.WARNING,
         "an entry of the table is silent; check its VM and the network",
     )
-    ENTRY_HEARD = EventRule(312, logging.INFO, "a silent entry is heard again")
+    ENTRY_HEARD = EventRule(
+        312, logging.INFO, "heartbeats of a silent entry arrive again"
+    )
     PEER_MESSAGE_BAD = EventRule(
         313, logging.WARNING, "a message from a peer could not be read"
     )
@@ -95,12 +99,12 @@
         314,
         logging.ERROR,
         "the platform's service holds an older entry table than the one in "
-        "force; nothing is changed until every entry is heard",
+        "force; nothing is changed until every entry sends heartbeats",
     )
     WORD_NOT_SENT = EventRule(
         315,
         logging.WARNING,
-        "a word on a crashing request could not be sent; heartbeats repeat it",
+        "a report of a crashing request was not sent; heartbeats repeat it",
     )
     CONFIGURATION_IN_FORCE = EventRule(
         320, logging.INFO, "configuration is in force"
@@ -121,7 +125,7 @@
     ROUND_FAILED = EventRule(
         324,
         logging.WARNING,
-        "a round of upkeep failed; the next one tries again",
+        "a maintenance round failed; the next one retries",
     )
     UPSTREAM_LEAVING = EventRule(330, logging.INFO, "upstream is leaving")
     UPSTREAM_RETURNED = EventRule(331, logging.INFO, "upstream is back")
@@ -140,22 +144,26 @@
     )
     REQUEST_ANSWERED = EventRule(410, logging.INFO, "request answered")
     TRY_FAILED = EventRule(
-        411, logging.WARNING, "an upstream gave no answer to pass on"
+        411,
+        logging.WARNING,
+        "an upstream returned no response that can be forwarded",
     )
     GATEWAY_REFUSED = EventRule(
         412, logging.INFO, "request refused; it was not run"
     )
     REQUEST_ABANDONED = EventRule(
-        413, logging.INFO, "the caller left before the answer"
+        413, logging.INFO, "the caller disconnected before the response"
     )
     ANSWER_WAITED = EventRule(
-        414, logging.INFO, "an answer waited for those before it"
+        414, logging.INFO, "a response waited for earlier responses"
+    )
+    STORE_LISTED = EventRule(
+        420, logging.INFO, "a full listing of the store was read"
     )
-    STORE_LISTED = EventRule(420, logging.INFO, "the store was listed whole")
     STORE_LOST = EventRule(
         421,
         logging.WARNING,
-        "the store does not answer; service goes on from what is known",
+        "the store does not answer; service continues with cached data",
     )
     STORE_BACK = EventRule(422, logging.INFO, "the store answers again")
     REGISTRATION_BAD = EventRule(
@@ -169,9 +177,11 @@
     )
     UPSTREAM_GONE = EventRule(431, logging.INFO, "an upstream is gone")
     EVACUATION_CHANGED = EventRule(
-        432, logging.INFO, "a zone is evacuated or taken back"
+        432, logging.INFO, "the evacuation of a zone started or ended"
+    )
+    ENTRY_CHANGED = EventRule(
+        433, logging.INFO, "an entry was added or removed"
     )
-    ENTRY_CHANGED = EventRule(433, logging.INFO, "an entry came or went")
     REGISTRATIONS_CHANGED = EventRule(
         434, logging.INFO, "many registrations changed at once"
     )
@@ -191,7 +201,7 @@
 
 
 def setup_output(*, level: str) -> None:
-    """Sends the log as JSON lines to standard output, without ever waiting.
+    """Sends the log as JSON lines to standard output without blocking.
 
     Args:
       level: name of the lowest level that is written.
@@ -200,21 +210,23 @@
 
 
 def take_untold() -> dict[str, int]:
-    """Writes what waits for a slow reader; returns lines left out, by event.
+    """Flushes pending lines and returns the dropped lines not yet reported.
 
-    Each line is counted once over all calls.
+    Returns:
+      The number of dropped lines by event name; each line is counted in one
+      call only.
     """
-    untold: dict[str, int] = {}
+    unreported: dict[str, int] = {}
     for handler in logger.handlers:
         if not isinstance(handler, BoundedHandler):
             continue
         handler.flush()
-        untold.update(handler.take_untold())
-    return untold
+        unreported.update(handler.take_untold())
+    return unreported
 
 
 def left_out() -> dict[str, int]:
-    """Returns how many lines were left out since the start, by event name."""
+    """Returns the number of dropped lines since start, by event name."""
     counts: dict[str, int] = {}
     for handler in logger.handlers:
         if isinstance(handler, BoundedHandler):
@@ -233,8 +245,8 @@
     logger.addHandler(handler)
     logger.setLevel(level)
     logger.propagate = False
-    # tornado reports each refused connection and malformed request; those
-    # reach the log as events of our own.
+    # tornado logs each refused connection and malformed request, which are
+    # logged here as events already.
     logging.getLogger("tornado").setLevel(logging.CRITICAL)
 
 
@@ -245,8 +257,8 @@
 
     Args:
       what: the event.
-      error: an exception whose traceback belongs to it.
-      **fields: what it concerns; names carry their unit.
+      error: exception whose traceback is logged.
+      **fields: details of the event; names end in their unit.
     """
     rule = what.value
     if not logger.isEnabledFor(rule.level):
--- a/almondstair/loop_watch.py
+++ b/almondstair/loop_watch.py
@@ -1,4 +1,4 @@
-"""Notes by how much turns of this process's loop are late."""
+"""Measures stalls of this process's event loop."""
 
 import asyncio
 import time
@@ -10,30 +10,30 @@
 
 
 class LoopWatch:
-    """Turns with the loop and counts how long it stood still."""
+    """Runs periodically on the event loop and counts its stall time."""
 
     def __init__(self, *, standstill: Standstill, metrics: Metrics) -> None:
-        """Makes a watch.
+        """Starts with no stall counted.
 
         Args:
-          standstill: told of each turn.
-          metrics: where whole milliseconds of standstill are counted.
+          standstill: receives the time of each tick.
+          metrics: receives the stall time in whole milliseconds.
         """
-        self._standstill = standstill
+        self._loop_stall = standstill
         self._metrics = metrics
         self._counted_ms = 0
 
     async def run(self) -> None:
-        """Turns until it is cancelled."""
+        """Records ticks until it is cancelled."""
         while True:
-            self._turn(now_s=time.monotonic())
+            self._tick(now_s=time.monotonic())
             await asyncio.sleep(TURN_S)
 
-    def _turn(self, *, now_s: float) -> None:
-        self._standstill.turned(now_s=now_s)
-        total_ms = int(self._standstill.total_s(now_s=now_s) * 1000)
-        # Counted at 0 too: a counter that is not sent looks like one that
-        # nobody keeps.
+    def _tick(self, *, now_s: float) -> None:
+        self._loop_stall.turned(now_s=now_s)
+        total_ms = int(self._loop_stall.total_s(now_s=now_s) * 1000)
+        # Also counted when 0, so that the counter is always sent and a missing
+        # one means that it is not recorded.
         self._metrics.count(
             Metric.STOOD_STILL_MS, by=total_ms - self._counted_ms
         )
--- a/almondstair/messages.py
+++ b/almondstair/messages.py
@@ -1,12 +1,12 @@
-"""The typed messages between entries and their encoding.
+"""Typed messages between entries and their encoding.
 
-A message on the wire is one frame: one byte for the tag and the fields as
-msgpack. The sender is not in it; the socket's identity names it once for each
-connection, which keeps heartbeats small.
+A message on the wire is one frame: one byte for the tag, then the fields as
+msgpack. It does not contain the sender, which the socket's identity names once
+per connection; this keeps heartbeats small.
 
-Other modules that own a protocol between entries add their message types by
-`register` under a tag reserved in `Tag`, so the list of tags stays closed and
-stands in one place.
+Modules that implement other protocols between entries add their message types
+with `register`, under a tag reserved in `Tag`, so that all tags are defined in
+one place.
 """
 
 import enum
@@ -26,15 +26,15 @@
 from almondstair.errors import ErrorKind
 
 # A frame holds at most one document of the platform (a megabyte) and its
-# metadata. A longer one is refused by the receiving socket.
+# metadata. The receiving socket rejects longer ones.
 FRAME_LIMIT_BYTES = 1_200_000
-# A document is at most this long once unpacked; without the limit a short
-# frame could unpack to more memory than the VM has.
+# Maximum length of a decompressed document. Without it, a short frame could
+# decompress to more memory than the VM has.
 TEXT_LIMIT_BYTES = 16_000_000
 
 
 class Tag(enum.IntEnum):
-    """Every kind of message between entries; numbers are never reused."""
+    """Tags of the messages between entries; numbers are never reused."""
 
     HEARTBEAT = 1
     TABLE_REQUEST = 2
@@ -45,26 +45,28 @@
     LOAN = 17
     HOMES_REPORT = 18
     LINK_EPOCH = 19
-    STRIKE_WORD = 20
+    STRIKE_REPORT = 20
 
 
 class Heartbeat(NamedTuple):
-    """What an entry says of itself, made for one receiver.
+    """Reports the status of an entry to one receiver.
 
-    The parts that are not always sent ride along rather than in messages of
-    their own, because a packet's headers cost as much as a heartbeat.
+    Optional parts are fields rather than separate messages, because the headers
+    of a packet cost as much as a heartbeat.
 
     Attributes:
       sequence: number of this heartbeat within the sender's incarnation.
-      epoch: epoch of the entry table that the sender acts on and so
+      epoch: epoch of the sender's entry table, which the heartbeat
         acknowledges.
       configuration_version: version that the sender has in force.
-      leaving: whether the sender takes no new work.
-      finished: whether the sender gave up every duty for good.
-      detail: the sender's upstreams.
-      view: whom the sender heard in its group, when the group is large.
-      digests: availability zones beyond the group.
-      sent_s: the sender's clock at sending; only differences tell anything.
+      leaving: whether the sender accepts no new work.
+      finished: whether the sender has released all its home roles for good.
+      detail: status of the sender's upstreams.
+      view: which members of its group the sender has heard from, if the group
+        is large.
+      digests: digests of other availability zones.
+      sent_s: send time on the sender's monotonic clock; only differences are
+        meaningful.
     """
 
     sequence: int
@@ -82,8 +84,9 @@
     """Asks a peer for its entry table.
 
     Attributes:
-      peer_address: where to send it: the asker may not be in the table yet.
-      epoch: epoch that the asker has.
+      peer_address: where to send the reply; the requester may not be in the
+        table yet.
+      epoch: epoch of the requester's table.
     """
 
     peer_address: str
@@ -91,7 +94,7 @@
 
 
 class TableDocument(NamedTuple):
-    """An entry table."""
+    """Carries an entry table."""
 
     table: EntryTable
 
@@ -100,8 +103,9 @@
     """Asks a peer for its configuration.
 
     Attributes:
-      peer_address: where to send it: the asker may not be in the table yet.
-      version: version that the asker has in force; 0 for none.
+      peer_address: where to send the reply; the requester may not be in the
+        table yet.
+      version: version in force on the requester; 0 for none.
     """
 
     peer_address: str
@@ -109,10 +113,10 @@
 
 
 class ConfigurationDocument(NamedTuple):
-    """A stored configuration, as the platform keeps it, compressed.
+    """Carries a stored configuration, compressed.
 
     Attributes:
-      packed: the encoded `StoredConfiguration`, by zlib.
+      packed: the encoded `StoredConfiguration`, compressed with zlib.
     """
 
     packed: bytes
@@ -122,7 +126,7 @@
     """Acknowledges an epoch of the entry table for every link of the sender.
 
     Attributes:
-      epoch: the sender uses no share of an older epoch any more.
+      epoch: the sender no longer uses shares of older epochs.
     """
 
     epoch: int
@@ -135,13 +139,15 @@
 
 
 def register(*, tag: Tag, message_type: type) -> None:
-    """Binds a tag to the one NamedTuple type that it stands for.
+    """Registers the NamedTuple type of a tag.
 
     Raises:
-      ValueError: if the tag or the type is already bound otherwise.
+      ValueError: the tag or the type is already registered differently.
     """
     if _types_by_tag.get(tag, message_type) is not message_type:
-        raise ValueError(f"tag {tag!r} is taken by {_types_by_tag[tag]}")
+        raise ValueError(
+            f"tag {tag!r} is already registered for {_types_by_tag[tag]}"
+        )
     if _tags_by_type.get(message_type, tag) != tag:
         raise ValueError(f"{message_type} already has a tag")
     _types_by_tag[tag] = message_type
@@ -150,51 +156,51 @@
 
 
 def encode(message: NamedTuple) -> bytes:
-    """Returns the frame of a message of a registered type."""
+    """Encodes a message of a registered type as a frame."""
     tag = _tags_by_type[type(message)]
     return bytes((tag,)) + _encoder.encode(message)
 
 
 def decode(frame: bytes) -> Any:
-    """Returns the message of a frame.
+    """Decodes the message in a frame.
 
     Raises:
-      AlmondstairError: BAD_REQUEST if the tag is not known or the fields do
-        not fit its type, as from an entry of another release.
+      AlmondstairError: BAD_REQUEST if the tag is unknown or the fields do not
+        match its type, e.g. from an entry of another release.
     """
     if not frame:
-        raise _unreadable("empty frame")
+        raise _decode_error("empty frame")
     decoder = _decoders.get(frame[0])
     if decoder is None:
-        raise _unreadable(f"unknown tag {frame[0]}")
+        raise _decode_error(f"unknown tag {frame[0]}")
     try:
         return decoder.decode(memoryview(frame)[1:])
     except msgspec.DecodeError as error:
-        raise _unreadable(f"tag {frame[0]}: {error}") from error
+        raise _decode_error(f"tag {frame[0]}: {error}") from error
 
 
 def pack(data: bytes) -> bytes:
-    """Returns data compressed, for documents."""
+    """Compresses a document."""
     return zlib.compress(data)
 
 
 def unpack(data: bytes) -> bytes:
-    """Returns data as it was before `pack`.
+    """Decompresses a document.
 
     Raises:
-      AlmondstairError: BAD_REQUEST if it is damaged or over the limit.
+      AlmondstairError: BAD_REQUEST if it is corrupt or over the limit.
     """
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        plain = unpacker.decompress(data, TEXT_LIMIT_BYTES)
+        plain = decompressor.decompress(data, TEXT_LIMIT_BYTES)
     except zlib.error as error:
-        raise _unreadable(f"document: {error}") from error
-    if not unpacker.eof:
-        raise _unreadable("document cut short or over the limit")
+        raise _decode_error(f"document: {error}") from error
+    if not decompressor.eof:
+        raise _decode_error("document truncated or over the limit")
     return plain
 
 
-def _unreadable(detail: str) -> AlmondstairError:
+def _decode_error(detail: str) -> AlmondstairError:
     return AlmondstairError(
         kind=ErrorKind.BAD_REQUEST, detail=f"message of a peer: {detail}"
     )
--- a/almondstair/metrics.py
+++ b/almondstair/metrics.py
@@ -1,6 +1,6 @@
-"""Metrics by statsd: counted here, sent in one batch a second.
+"""Metrics for statsd, collected here and sent in one batch per second.
 
-docs/METRICS.md lists every name; a test keeps the two equal.
+docs/METRICS.md lists every name; a test compares the two.
 """
 
 from collections import defaultdict
@@ -13,7 +13,7 @@
 
 
 class Metric(enum.StrEnum):
-    """Every metric's name below the prefix; `*` stands for a label."""
+    """Lists the metric names below the prefix; `*` is replaced by a label."""
 
     LOOKUPS = "lookups"
     REQUESTS = "requests.*"
@@ -33,13 +33,14 @@
 
 
 class Metrics:
-    """Counts, gauges and timings of one entry."""
+    """Collects counters, gauges and timings of one entry."""
 
     def __init__(self, *, statsd_address: str, prefix: str) -> None:
-        """Makes the collection.
+        """Creates the statsd client.
 
         Args:
-          statsd_address: `ip:port` of a statsd listener; empty sends nothing.
+          statsd_address: `ip:port` of a statsd listener; if empty, nothing
+            is sent.
           prefix: first part of every name.
         """
         self._client: StatsClient | None = None
@@ -59,22 +60,25 @@
         self._gauges[_name(metric, label)] = value
 
     def timing(self, metric: Metric, label: str, value_ms: float) -> None:
-        """Adds a timing in milliseconds; some are dropped under load."""
+        """Adds a timing in milliseconds.
+
+        Timings above `TIMINGS_PER_FLUSH` per flush are dropped.
+        """
         if self._client is None:
             return
         if len(self._timings) < TIMINGS_PER_FLUSH:
             self._timings.append((_name(metric, label), value_ms))
 
     def flush(self) -> None:
-        """Sends what has gathered."""
+        """Sends the collected metrics."""
         if self._client is None:
             self.counts.clear()
             return
         with self._client.pipeline() as pipe:
             for name, value in self.counts.items():
                 pipe.incr(name, value)
-            for name, level in self._gauges.items():
-                pipe.gauge(name, level)
+            for name, gauge_value in self._gauges.items():
+                pipe.gauge(name, gauge_value)
             for name, value_ms in self._timings:
                 pipe.timing(name, value_ms)
         self.counts.clear()
--- a/almondstair/operator_api.py
+++ b/almondstair/operator_api.py
@@ -1,7 +1,7 @@
-"""Bodies of the operators' HTTP API, as JSON objects.
+"""JSON bodies of the operators' HTTP API.
 
-Ages are seconds since the report came in; None means that there is no report,
-which is not the same as a good one.
+Ages are in seconds since the report arrived; None means that there is no
+report, so the state is unknown.
 """
 
 from typing import NotRequired, TypedDict
@@ -11,15 +11,15 @@
 
 
 class ConfigurationBody(TypedDict):
-    """Answer to `GET /v1/configuration`.
+    """Response to `GET /v1/configuration`.
 
     Attributes:
       version: version of the document.
-      edit_id: the edit that made it.
-      author: who made that edit.
-      edited_at: when, as an ISO 8601 time.
+      edit_id: id of the edit that created the version.
+      author: author of that edit.
+      edited_at: time of that edit in ISO 8601.
       text: the TOML document.
-      in_force: version in force on each entry, None where it is unknown.
+      in_force: version in force by entry name, None where it is unknown.
     """
 
     version: int
@@ -58,10 +58,10 @@
     """State of an edit.
 
     Attributes:
-      edit_id: the edit.
+      edit_id: id of the edit.
       state: `accepted` or `pending`.
-      version: version that the edit made.
-      lacking: entries on which it is not known to be in force.
+      version: version that the edit created.
+      lacking: entries on which that version is not known to be in force.
     """
 
     edit_id: str
@@ -80,22 +80,22 @@
 
 
 class HistoryBody(TypedDict):
-    """Answer to `GET /v1/configuration/history`, newest version first."""
+    """Response to `GET /v1/configuration/history`, newest version first."""
 
     versions: list[HistoryItem]
 
 
 class DrainBody(TypedDict):
-    """Answer to `GET /v1/drains/NAME`.
+    """Response to `GET /v1/drains/NAME`.
 
     Attributes:
       name: the upstream or entry.
       leaving: whether it is leaving.
-      in_flight: requests that still run there, None if unknown.
-      last_new_work_age_s: seconds since it was last given a request, None if
-        unknown or never.
-      home: the entry that knows what runs there, None if there is none.
-      home_address: that entry's operators' listener.
+      in_flight: requests still running there, None if unknown.
+      last_new_work_age_s: seconds since the last request was sent to it, None
+        if unknown or never.
+      home: the entry that tracks its requests, None if there is none.
+      home_address: address of that entry's operator listener.
     """
 
     name: str
@@ -107,7 +107,7 @@
 
 
 class EntryStatus(TypedDict):
-    """One entry in the status; `answers` is added by the one that asks."""
+    """One entry in the status; `answers` is added by the client."""
 
     name: str
     region: str
@@ -120,7 +120,7 @@
 
 
 class UpstreamStatus(TypedDict):
-    """One upstream in the status; `home` is the entry that feeds it."""
+    """One upstream in the status; `home` is the entry that dispatches to it."""
 
     name: str
     region: str
@@ -142,7 +142,7 @@
 
 
 class LinkStatus(TypedDict):
-    """One link in the status; `share_bytes_per_s` is this entry's part."""
+    """One link in the status; `share_bytes_per_s` is this entry's share."""
 
     availability_zone: str
     region: str
@@ -152,10 +152,10 @@
 
 
 class StatusBody(TypedDict):
-    """Answer to `GET /v1/status`: what one entry knows.
+    """Response to `GET /v1/status`: the state as one entry knows it.
 
     Attributes:
-      entry: name of the entry that answers.
+      entry: name of the responding entry.
       epoch: epoch of its entry table.
       entries: every entry of the table.
       upstreams: every upstream.
--- a/almondstair/operator_views.py
+++ b/almondstair/operator_views.py
@@ -1,4 +1,4 @@
-"""What operators see and do through one entry."""
+"""Implements the operators' API of one entry."""
 
 from collections.abc import Callable
 import time
@@ -27,10 +27,10 @@
 
 
 class ViewParts(NamedTuple):
-    """What the operators' pages read.
+    """Holds the components that the operators' API reads.
 
     Attributes:
-      running: returns how many requests this entry has under way.
+      running: returns the number of requests in flight on this entry.
     """
 
     own: EntryRow
@@ -47,10 +47,10 @@
 
 
 class OperatorViews(OperatorHandler):
-    """Answers the operators' listener of one entry."""
+    """Handles the operators' requests of one entry."""
 
     def __init__(self, *, parts: ViewParts) -> None:
-        """Reads from `parts`."""
+        """Stores the components to read."""
         self._parts = parts
 
     def _configuration(self) -> Configuration:
@@ -63,7 +63,7 @@
         return configuration
 
     def configuration_view(self) -> dict[str, Any]:
-        """Returns the configuration and where it is in force."""
+        """Returns the configuration and the version in force on each entry."""
         self._configuration()
         stored = self._parts.configuration.in_force
         assert stored is not None
@@ -80,7 +80,7 @@
         }
 
     def _versions(self) -> dict[str, int | None]:
-        """Returns the version of each entry, None where it is not known."""
+        """Returns the version by entry name, None where it is unknown."""
         membership = self._parts.membership
         now_s = time.monotonic()
         versions: dict[str, int | None] = {}
@@ -96,7 +96,7 @@
         return await self._parts.configuration.edit(request)
 
     async def mark(self, request: MarkRequest) -> EditAnswer:
-        """Marks a VM as leaving or back."""
+        """Sets or clears the leaving mark of an upstream or entry."""
         version, text = self._parts.configuration.marked(
             name=request.name, leaving=request.leaving
         )
@@ -109,11 +109,15 @@
         return await self._parts.configuration.edit(edit)
 
     async def edit_fate(self, edit_id: str) -> EditAnswer:
-        """Returns what is known of an edit."""
+        """Returns the state of an edit."""
         return await self._parts.configuration.fate(edit_id)
 
     def check(self, request: CheckRequest) -> dict[str, Any]:
-        """Checks a document; raises `configuration_invalid`."""
+        """Checks a document without storing it.
+
+        Raises:
+          AlmondstairError: `configuration_invalid`.
+        """
         configuration = read_configuration(request.text, "the document")
         return {
             "valid": True,
@@ -126,10 +130,10 @@
         return {"versions": await self._parts.configuration.history()}
 
     def drain(self, name: str) -> dict[str, Any]:
-        """Returns how far the drain of an upstream has come.
+        """Returns the progress of the drain of an upstream or entry.
 
-        Only the home of an upstream knows what runs there; other entries
-        say that they do not know.
+        Only the home of an upstream knows which requests run there; other
+        entries return None.
         """
         configuration = self._configuration()
         now_s = time.monotonic()
@@ -141,16 +145,18 @@
         if home == self._parts.own.name:
             in_flight = 0
             if row is not None:
-                # What a former home started runs too, until it surely ended.
+                # Includes work of former homes until it must have ended.
                 in_flight = row.in_flight + row.busy_elsewhere
-        last_s = self._parts.runner.last_new_work_s.get(name)
+        last_sent_s = self._parts.runner.last_new_work_s.get(name)
         return {
             "name": name,
             "home": home,
             "home_address": self._operator_address(home),
             "leaving": self._is_leaving(name),
             "in_flight": in_flight,
-            "last_new_work_age_s": None if last_s is None else now_s - last_s,
+            "last_new_work_age_s": None
+            if last_sent_s is None
+            else now_s - last_sent_s,
         }
 
     def _entry_drain(self, name: str) -> dict[str, Any]:
@@ -184,16 +190,16 @@
             return True
         if name in self._parts.table.vms_leaving:
             return True
-        return name in self._said_leaving()
+        return name in self._reported_leaving()
 
-    def _said_leaving(self) -> set[str]:
-        """Returns the upstreams whose homes heard them say that they leave."""
+    def _reported_leaving(self) -> set[str]:
+        """Returns the upstreams that announced leaving to their homes."""
         names: set[str] = set()
         for status in self._own_status().values():
             if status.leaving:
                 names.add(status.name)
-        for heard in self._parts.heartbeats.details.values():
-            names.update(heard.detail.leaving_upstreams)
+        for received in self._parts.heartbeats.details.values():
+            names.update(received.detail.leaving_upstreams)
         return names
 
     def _own_status(self) -> dict[str, UpstreamStatus]:
@@ -203,7 +209,7 @@
         return rows
 
     def status(self) -> dict[str, Any]:
-        """Returns what this entry knows of the whole system."""
+        """Returns the state of the whole system as this entry knows it."""
         return {
             "entry": self._parts.own.name,
             "epoch": self._parts.membership.table.epoch,
--- a/almondstair/operators.py
+++ b/almondstair/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP listener, which almondstairctl drives."""
+"""The operators' HTTP listener; its client is almondstairctl."""
 
 import abc
 from collections.abc import Awaitable
@@ -21,9 +21,9 @@
     """Body of an edit of the whole configuration.
 
     Attributes:
-      base_version: version that the operator read.
-      edit_id: id by which the edit's fate can be asked.
-      author: who edits.
+      base_version: version that the operator edited.
+      edit_id: id with which the state of the edit can be queried.
+      author: author of the edit.
       text: the new document as TOML.
     """
 
@@ -34,13 +34,13 @@
 
 
 class MarkRequest(NamedTuple):
-    """Body of a mark.
+    """Body of a request to set or clear a leaving mark.
 
     Attributes:
       name: upstream or entry.
-      leaving: whether it takes no new work from now on.
-      edit_id: id by which the edit's fate can be asked.
-      author: who marks.
+      leaving: whether it gets no new work from now on.
+      edit_id: id with which the state of the edit can be queried.
+      author: author of the edit.
     """
 
     name: str
@@ -50,21 +50,21 @@
 
 
 class CheckRequest(NamedTuple):
-    """Body of a check: a document as TOML."""
+    """Body of a check; `text` is a document as TOML."""
 
     text: str
 
 
 class EditAnswer(NamedTuple):
-    """What became of an edit.
+    """Holds the result of an edit.
 
     Attributes:
-      edit_id: its id.
-      state: fate in one word.
-      version: version that it made, or 0.
-      lacking: entries that do not have it in force yet.
-      changed: dotted keys that somebody else changed meanwhile.
-      error: the kind to answer with, None when it is accepted.
+      edit_id: id of the edit.
+      state: state of the edit as the API returns it.
+      version: version that the edit created, or 0.
+      lacking: entries on which that version is not in force yet.
+      changed: dotted keys that a concurrent edit changed.
+      error: the error to return, None if the edit is accepted.
     """
 
     edit_id: str
@@ -76,11 +76,11 @@
 
 
 class OperatorHandler(abc.ABC):
-    """What the operators' listener needs from the rest of an entry."""
+    """Interface between the operators' listener and the entry."""
 
     @abc.abstractmethod
     def configuration_view(self) -> dict[str, Any]:
-        """Returns the configuration and where it is in force."""
+        """Returns the configuration and the version in force on each entry."""
 
     @abc.abstractmethod
     async def edit(self, request: EditRequest) -> EditAnswer:
@@ -88,11 +88,11 @@
 
     @abc.abstractmethod
     async def mark(self, request: MarkRequest) -> EditAnswer:
-        """Marks a VM as leaving or back."""
+        """Sets or clears the leaving mark of an upstream or entry."""
 
     @abc.abstractmethod
     async def edit_fate(self, edit_id: str) -> EditAnswer:
-        """Returns what is known of an edit."""
+        """Returns the state of an edit."""
 
     @abc.abstractmethod
     def check(self, request: CheckRequest) -> dict[str, Any]:
@@ -100,24 +100,24 @@
 
     @abc.abstractmethod
     async def history(self) -> dict[str, Any]:
-        """Returns the last edits."""
+        """Returns the latest edits."""
 
     @abc.abstractmethod
     def drain(self, name: str) -> dict[str, Any]:
-        """Returns how far the drain of a VM has come."""
+        """Returns the progress of the drain of an upstream or entry."""
 
     @abc.abstractmethod
     def status(self) -> dict[str, Any]:
-        """Returns what this entry knows of the whole system."""
+        """Returns the state of the whole system as this entry knows it."""
 
 
 class _Handler(web.RequestHandler):
-    """Base of the operators' handlers: JSON in and out, problems as answers."""
+    """Base class of the handlers; reads and writes JSON, errors as problems."""
 
     def initialize(self, operators: OperatorHandler) -> None:
         self.operators = operators
 
-    def body(self, of_type: Any) -> Any:
+    def decode_body(self, body_type: Any) -> Any:
         try:
             return msgspec.json.decode(self.request.body, type=dict)
         except msgspec.DecodeError as error:
@@ -125,29 +125,29 @@
                 kind=ErrorKind.BAD_REQUEST, detail=f"the body: {error}"
             ) from error
 
-    def fields(self, of_type: Any) -> Any:
-        """Reads the body as JSON object into a NamedTuple.
+    def read_body(self, body_type: Any) -> Any:
+        """Converts the JSON object in the body to a NamedTuple.
 
         Raises:
           AlmondstairError: `bad_request`.
         """
-        given = self.body(of_type)
+        decoded = self.decode_body(body_type)
         values = []
-        for field in of_type._fields:
-            if field not in given:
+        for field in body_type._fields:
+            if field not in decoded:
                 raise AlmondstairError(
                     kind=ErrorKind.BAD_REQUEST,
                     detail=f"the body lacks {field!r}",
                 )
-            values.append(given[field])
+            values.append(decoded[field])
         try:
-            return msgspec.convert(values, of_type)
+            return msgspec.convert(values, body_type)
         except msgspec.ValidationError as error:
             raise AlmondstairError(
                 kind=ErrorKind.BAD_REQUEST, detail=f"the body: {error}"
             ) from error
 
-    def answer(
+    def send_json(
         self,
         content: dict[str, Any],
         *,
@@ -160,7 +160,7 @@
             self.set_problem_headers(error)
         self.finish(msgspec.json.encode(content))
 
-    def answer_edit(self, edit: EditAnswer) -> None:
+    def send_edit_result(self, edit: EditAnswer) -> None:
         content: dict[str, Any] = {}
         status = 200
         if edit.error is not None:
@@ -171,7 +171,7 @@
         content["version"] = edit.version
         content["lacking"] = list(edit.lacking)
         content["changed"] = list(edit.changed)
-        self.answer(content, status=status, error=edit.error)
+        self.send_json(content, status=status, error=edit.error)
 
     def set_problem_headers(self, error: AlmondstairError) -> None:
         self.set_header("Content-Type", PROBLEM_CONTENT_TYPE)
@@ -180,7 +180,7 @@
             self.set_header("Retry-After", str(seconds))
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answers exceptions; the one place from exception to answer."""
+        """Converts every exception to a problem document."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         if not isinstance(error, AlmondstairError):
             kind = ErrorKind.INTERNAL
@@ -201,48 +201,52 @@
         self.finish(msgspec.json.encode(problem))
 
     def log_exception(self, *args: Any) -> None:
-        """Leaves the log to `write_error`."""
+        """Does nothing; `write_error` logs unexpected exceptions."""
 
 
 class _Configuration(_Handler):
     def get(self) -> None:
-        self.answer(self.operators.configuration_view())
+        self.send_json(self.operators.configuration_view())
 
     async def post(self) -> None:
-        self.answer_edit(await self.operators.edit(self.fields(EditRequest)))
+        self.send_edit_result(
+            await self.operators.edit(self.read_body(EditRequest))
+        )
 
 
 class _Check(_Handler):
     def post(self) -> None:
-        self.answer(self.operators.check(self.fields(CheckRequest)))
+        self.send_json(self.operators.check(self.read_body(CheckRequest)))
 
 
 class _History(_Handler):
     async def get(self) -> None:
-        self.answer(await self.operators.history())
+        self.send_json(await self.operators.history())
 
 
 class _Edit(_Handler):
     async def get(self, edit_id: str) -> None:
-        self.answer_edit(await self.operators.edit_fate(edit_id))
+        self.send_edit_result(await self.operators.edit_fate(edit_id))
 
 
 class _Marks(_Handler):
     async def post(self) -> None:
-        self.answer_edit(await self.operators.mark(self.fields(MarkRequest)))
+        self.send_edit_result(
+            await self.operators.mark(self.read_body(MarkRequest))
+        )
 
 
 class _Drain(_Handler):
     def get(self, name: str) -> None:
-        self.answer(self.operators.drain(name))
+        self.send_json(self.operators.drain(name))
 
 
 class _Status(_Handler):
     def get(self) -> None:
-        self.answer(self.operators.status())
+        self.send_json(self.operators.status())
 
 
-class _Missing(_Handler):
+class _NotFound(_Handler):
     def prepare(self) -> Awaitable[None] | None:
         raise AlmondstairError(
             kind=ErrorKind.NOT_FOUND, detail=f"no page {self.request.path}"
@@ -250,10 +254,10 @@
 
 
 class OperatorServer:
-    """The operators' listener."""
+    """Listens for HTTP requests of operators."""
 
     def __init__(self, *, handler: OperatorHandler) -> None:
-        """Serves `handler`; nothing listens yet."""
+        """Sets up the routes to `handler`; nothing listens yet."""
         arguments = {"operators": handler}
         routes: list[Any] = [
             (r"/v1/configuration", _Configuration, arguments),
@@ -266,7 +270,7 @@
         ]
         application = web.Application(
             routes,
-            default_handler_class=_Missing,
+            default_handler_class=_NotFound,
             default_handler_args=arguments,
             log_function=lambda handler: None,
         )
@@ -275,11 +279,15 @@
         )
 
     def listen(self, address: str) -> None:
-        """Binds `ip:port`; raises OSError when it cannot."""
+        """Binds `ip:port`.
+
+        Raises:
+          OSError: the address cannot be bound.
+        """
         ip, _, port = address.rpartition(":")
         self._server.add_sockets(netutil.bind_sockets(int(port), address=ip))
 
     async def close(self) -> None:
-        """Stops listening and closes what is open."""
+        """Stops listening and closes all connections."""
         self._server.stop()
         await self._server.close_all_connections()
--- a/almondstair/peers.py
+++ b/almondstair/peers.py
@@ -1,13 +1,13 @@
 """Control messages between entries over pyzmq.
 
 Each entry binds one ROUTER socket, on which it only receives, and connects one
-DEALER socket to each peer that it sends to, on which it only sends. A message
-may be lost at any time; nothing here repeats one. What must arrive is asked
-for again by the protocol that needs it.
+DEALER socket to each peer that it sends to, on which it only sends. Messages
+may be lost and are not resent here; a protocol that needs delivery repeats its
+request.
 
-A peer that is dead, frozen or cut off must cost nothing: IMMEDIATE queues
-nothing without a connection, a small high-water mark bounds what a stalled
-connection holds, sends never block, LINGER 0 drops the rest on close.
+A dead, frozen or partitioned peer must not affect the others: IMMEDIATE queues
+nothing without a connection, a small high-water mark bounds the queue of a
+stalled connection, sends never block, and LINGER 0 drops the rest on close.
 """
 
 from collections.abc import Callable, Iterable
@@ -24,38 +24,39 @@
 
 SEND_QUEUE_MESSAGES = 32
 RECEIVE_QUEUE_MESSAGES = 256
-# Messages read in one turn of the loop, so that a flood does not hold it up.
-READ_AT_ONCE = 32
-RECONNECT_FIRST_MS = 100
-RECONNECT_LAST_MS = 2000
-# A connection whose other end vanished without a word (power, a cut link) holds
-# sent messages in the kernel, which would deliver them minutes later when the
-# link heals. Unacknowledged for this long, they end the connection instead.
-# ZeroMQ's own probes would do so too, but with a packet a second each way on
-# each connection they cost more than all heartbeats.
+# Messages read per iteration of the loop, so that a flood does not block it.
+MESSAGES_PER_READ = 32
+RECONNECT_MIN_MS = 100
+RECONNECT_MAX_MS = 2000
+# When the other end disappears without closing (power loss, broken link), the
+# kernel buffers sent messages and would deliver them minutes later when the
+# link recovers. Messages unacknowledged for this long end the connection.
+# ZeroMQ's own heartbeats would do so too, but at one packet per second in each
+# direction of each connection they cost more than all heartbeats of entries.
 UNACKNOWLEDGED_LIMIT_MS = 3000
-# The receiving end never sends, so only keep-alive shows it a vanished sender,
-# whose descriptor would otherwise stay open for ever.
+# The receiving end never sends, so only TCP keep-alive detects a lost sender,
+# whose descriptor would otherwise stay open forever.
 KEEPALIVE_IDLE_S = 60
 KEEPALIVE_INTERVAL_S = 10
 KEEPALIVE_COUNT = 3
 _IDENTITY_SEPARATOR = "/"
 
-UNREADABLE_INTERVAL_S = 60.0
+UNREADABLE_LOG_INTERVAL_S = 60.0
 
 MessageHandler = Callable[[str, int, Any], None]
 
 
 class PeerCounts(NamedTuple):
-    """Traffic of the socket since start, message bytes without TCP and IP.
+    """Counts traffic since start; bytes exclude TCP and IP headers.
 
     Attributes:
       sent_bytes: bytes handed to connections.
-      sent_messages: messages handed to connections; what goes together with
-        a heartbeat counts as one message with it.
+      sent_messages: messages handed to connections; a heartbeat and the
+        messages sent with it count as one.
       received_bytes: bytes received.
       received_messages: messages received, counted likewise.
-      dropped_messages: messages not sent, for want of a connection or room.
+      dropped_messages: messages not sent because there was no connection or its
+        queue was full.
       unreadable_messages: received messages that could not be decoded.
     """
 
@@ -68,7 +69,7 @@
 
 
 class Peers:
-    """Sends and receives control messages; one for each process."""
+    """Sends and receives control messages; one instance per process."""
 
     def __init__(
         self,
@@ -79,14 +80,14 @@
         peer_address: str,
         on_message: MessageHandler,
     ) -> None:
-        """Prepares the sockets; nothing is bound before `start`.
+        """Stores the parameters; nothing is bound before `start`.
 
         Args:
           context: shared pyzmq context.
           name: name of this entry.
           incarnation: random number of this process. It is part of the
-            identity, so that a restarted entry is never mistaken by a ROUTER
-            for the old connection of its name.
+            identity, so that a ROUTER never takes a restarted entry for the
+            old connection of the same name.
           peer_address: `ip:port` to bind.
           on_message: called with the sender's name, its incarnation and the
             message, on the loop.
@@ -99,36 +100,36 @@
         self._loop: IOLoop
         self._addresses: dict[str, str] = {}
         # By address: two sockets to one peer would share an identity, and its
-        # ROUTER drops all that comes over the second without a word.
-        self._links: dict[str, zmq.Socket[bytes]] = {}
+        # ROUTER silently drops everything that arrives over the second.
+        self._connections: dict[str, zmq.Socket[bytes]] = {}
         self._counts = PeerCounts()
-        self._unreadable_told_s = float("-inf")
+        self._unreadable_logged_s = float("-inf")
 
     @property
     def counts(self) -> PeerCounts:
-        """Traffic since start."""
+        """Returns the traffic since start."""
         return self._counts
 
     @property
     def connected_addresses(self) -> tuple[str, ...]:
-        """Addresses of the peers with an open socket."""
-        return tuple(self._links)
+        """Returns the addresses of the peers with an open socket."""
+        return tuple(self._connections)
 
     def start(self) -> None:
         """Binds the socket and receives on the current loop."""
         socket = self._context.socket(zmq.ROUTER)
         _set_options(socket)
         socket.set(zmq.RCVHWM, RECEIVE_QUEUE_MESSAGES)
-        # A peer that was cut off connects again under its identity before the
-        # old connection has timed out; without this it would stay unheard
-        # until then.
+        # After a partition a peer reconnects under its identity before the old
+        # connection has timed out; without handover its messages would be
+        # dropped until then.
         socket.set(zmq.ROUTER_HANDOVER, 1)
         socket.set(zmq.MAXMSGSIZE, messages.FRAME_LIMIT_BYTES)
         socket.bind(f"tcp://{self._peer_address}")
         self._socket = socket
         self._loop = IOLoop.current()
-        # Not a ZMQStream: it spends as much on a heartbeat as its reading does.
-        self._loop.add_handler(socket.fileno(), self._on_event, IOLoop.READ)
+        # Not a ZMQStream, which doubles the cost of reading a heartbeat.
+        self._loop.add_handler(socket.fileno(), self._on_readable, IOLoop.READ)
         self._loop.add_callback(self._read)
 
     def stop(self) -> None:
@@ -137,18 +138,18 @@
             self._loop.remove_handler(self._socket.fileno())
             self._socket.close(linger=0)
             self._socket = None
-        for address in tuple(self._links):
+        for address in tuple(self._connections):
             self._disconnect(address)
 
     def set_rows(self, rows: Iterable[EntryRow]) -> None:
-        """Takes the addresses of the entry table; the rest is disconnected."""
+        """Sets the addresses of the entry table and disconnects all others."""
         addresses = {}
         for row in rows:
             addresses[row.name] = row.peer_address
         self._addresses = addresses
-        kept = set(addresses.values())
-        for address in tuple(self._links):
-            if address not in kept:
+        current = set(addresses.values())
+        for address in tuple(self._connections):
+            if address not in current:
                 self._disconnect(address)
 
     def send(self, name: str, *parts: NamedTuple) -> bool:
@@ -156,11 +157,11 @@
 
         Args:
           name: name of the receiver.
-          *parts: messages of registered types. They go as the frames of one
-            packet and arrive in this order, or none of them does.
+          *parts: messages of registered types. They are the frames of one
+            packet and arrive in this order or not at all.
 
         Returns:
-          Whether a connection took them; they may still be lost on the way.
+          Whether a connection accepted them; they may still be lost in transit.
         """
         address = self._addresses.get(name)
         if address is None:
@@ -175,48 +176,53 @@
         return self._send_frames(address, [messages.encode(message)])
 
     def broadcast(self, message: NamedTuple) -> int:
-        """Sends to every entry of the table and returns how many took it."""
+        """Sends to every entry of the table.
+
+        Returns:
+          The number of connections that accepted the message.
+        """
         frames = [messages.encode(message)]
-        taken = 0
+        accepted = 0
         for address in self._addresses.values():
             if self._send_frames(address, frames):
-                taken += 1
-        return taken
+                accepted += 1
+        return accepted
 
     def connect(self, name: str) -> None:
-        """Opens the connection to an entry of the table ahead of need."""
+        """Opens the connection to an entry of the table before a send."""
         address = self._addresses.get(name)
         if address is not None:
-            self._link(address)
+            self._connection(address)
 
     def _disconnect(self, address: str) -> None:
-        link = self._links.pop(address, None)
-        if link is not None:
-            link.close(linger=0)
-
-    def _link(self, address: str) -> zmq.Socket[bytes]:
-        link = self._links.get(address)
-        if link is not None:
-            return link
+        connection = self._connections.pop(address, None)
+        if connection is not None:
+            connection.close(linger=0)
+
+    def _connection(self, address: str) -> zmq.Socket[bytes]:
+        connection = self._connections.get(address)
+        if connection is not None:
+            return connection
         socket = self._context.socket(zmq.DEALER)
         _set_options(socket)
         socket.set(zmq.IDENTITY, self._identity)
         socket.set(zmq.IMMEDIATE, 1)
         socket.set(zmq.SNDHWM, SEND_QUEUE_MESSAGES)
-        socket.set(zmq.RECONNECT_IVL, RECONNECT_FIRST_MS)
-        socket.set(zmq.RECONNECT_IVL_MAX, RECONNECT_LAST_MS)
+        socket.set(zmq.RECONNECT_IVL, RECONNECT_MIN_MS)
+        socket.set(zmq.RECONNECT_IVL_MAX, RECONNECT_MAX_MS)
         socket.connect(f"tcp://{address}")
-        self._links[address] = socket
+        self._connections[address] = socket
         return socket
 
     def _send_frames(self, address: str, frames: list[bytes]) -> bool:
         counts = self._counts
         try:
-            self._link(address).send_multipart(frames, zmq.NOBLOCK)
+            self._connection(address).send_multipart(frames, zmq.NOBLOCK)
         except zmq.ZMQError:
-            # No connection yet, or its queue is full: the peer is dead, slow
-            # or cut off. Waiting would stall every other peer. Out of file
-            # descriptors: the other peers must still get their messages.
+            # There is no connection yet, or its queue is full because the peer
+            # is dead, slow or partitioned; waiting would stall all other peers.
+            # When file descriptors run out, the other peers must still get
+            # their messages.
             self._counts = counts._replace(
                 dropped_messages=counts.dropped_messages + 1
             )
@@ -227,17 +233,18 @@
         )
         return True
 
-    def _on_event(self, descriptor: int, events: int) -> None:
+    def _on_readable(self, descriptor: int, events: int) -> None:
         del descriptor, events
         self._read()
 
     def _read(self) -> None:
-        """Reads what has arrived.
+        """Reads the messages that have arrived.
 
-        The descriptor tells of new messages only after all have been read, so
-        what is left over is read in the next turn of the loop.
+        The descriptor is edge-triggered: it becomes readable again only after
+        all messages have been read. The remaining ones are therefore read in
+        the next iteration of the loop.
         """
-        for _ in range(READ_AT_ONCE):
+        for _ in range(MESSAGES_PER_READ):
             if self._socket is None:
                 return
             try:
@@ -247,8 +254,8 @@
             try:
                 self._receive(frames)
             except Exception as error:
-                # A fault in one message must not end the reading: this entry
-                # would call every peer silent.
+                # An error in one message must not stop the reader: this entry
+                # would consider every peer silent.
                 log.event(log.Event.REQUEST_BROKEN, error=error)
         self._loop.add_callback(self._read)
 
@@ -264,15 +271,15 @@
             self._count_unreadable(error)
             return
         for frame in frames[1:]:
-            self._take(name, incarnation, frame)
+            self._handle_frame(name, incarnation, frame)
 
-    def _take(self, name: str, incarnation: int, frame: bytes) -> None:
+    def _handle_frame(self, name: str, incarnation: int, frame: bytes) -> None:
         try:
             message = messages.decode(frame)
             self._on_message(name, incarnation, message)
         except AlmondstairError as error:
-            # The message, or a document inside, is damaged or of another
-            # release; the frames beside it may be sound.
+            # The message or a document in it is corrupt or of another release;
+            # the other frames of the packet may be valid.
             self._count_unreadable(error)
 
     def _count_unreadable(self, error: Exception) -> None:
@@ -281,10 +288,10 @@
             unreadable_messages=counts.unreadable_messages + 1
         )
         now_s = time.monotonic()
-        if now_s - self._unreadable_told_s < UNREADABLE_INTERVAL_S:
+        if now_s - self._unreadable_logged_s < UNREADABLE_LOG_INTERVAL_S:
             return
-        # A peer of another release sends one several times a second.
-        self._unreadable_told_s = now_s
+        # A peer of another release sends such messages several times a second.
+        self._unreadable_logged_s = now_s
         log.event(
             log.Event.PEER_MESSAGE_BAD,
             detail=str(error),
--- a/almondstair/strike_words.py
+++ b/almondstair/strike_words.py
@@ -1,10 +1,11 @@
-"""Words on requests that crash upstreams, sent before their callers know.
-
-What goes wrong with heartbeats alone: they are given to the thread of the
-sockets, which a busy machine leaves waiting. The caller sends the request again
-meanwhile, through an entry that has not heard, and one more upstream ends. A
-datagram is with the kernel when the send returns, and an entry reads what has
-arrived before it decides on a request. Heartbeats repeat what is lost.
+"""Reports of requests that crash upstreams, sent as datagrams.
+
+A report must leave before the caller learns of the crash. Heartbeats alone are
+too slow: the socket's I/O thread sends them, and on a busy VM it may run late.
+Meanwhile the caller retries through an entry without the report, and another
+upstream crashes. A datagram is in the kernel when the send returns, and an
+entry reads pending datagrams before it decides on a request. Heartbeats repeat
+lost reports.
 """
 
 from collections.abc import Callable
@@ -22,20 +23,22 @@
 from almondstair.core.quarantine import Mark
 from almondstair.errors import AlmondstairError
 
-# Datagrams that are read at one time, and the longest one.
-READ_AT_ONCE = 256
+# Datagrams per read.
+DATAGRAMS_PER_READ = 256
+# Larger than any UDP datagram.
 DATAGRAM_BYTES = 65536
-# Least pause between two lines on datagrams that cannot be read.
-UNREADABLE_INTERVAL_S = 60.0
+# Minimum time between two log lines on datagrams that cannot be decoded.
+UNREADABLE_LOG_INTERVAL_S = 60.0
 
 
 class StrikeWord(NamedTuple):
-    """Marks of an entry, outside of its heartbeats.
+    """Reports strikes of an entry outside of its heartbeats.
 
     Attributes:
       entry: name of the sender.
-      incarnation: its process.
-      sent_s: the sender's clock at sending; only differences tell anything.
+      incarnation: incarnation of the sender.
+      sent_s: send time on the sender's monotonic clock; only differences are
+        meaningful.
       marks: strikes against requests.
     """
 
@@ -45,11 +48,11 @@
     marks: tuple[Mark, ...]
 
 
-messages.register(tag=messages.Tag.STRIKE_WORD, message_type=StrikeWord)
+messages.register(tag=messages.Tag.STRIKE_REPORT, message_type=StrikeWord)
 
 
 class StrikeWords:
-    """Sends strikes to every entry of the table, and reads theirs."""
+    """Sends strikes to every entry of the table and receives theirs."""
 
     def __init__(
         self,
@@ -59,20 +62,20 @@
         membership: Membership,
         on_word: Callable[[StrikeWord], None],
     ) -> None:
-        """Prepares the words; nothing is bound before `start`.
+        """Stores the parameters; nothing is bound before `start`.
 
         Args:
           own: row of this entry; its peer address is bound for datagrams too.
-          incarnation: number of this process.
-          membership: the other entries.
-          on_word: called with each word of another entry.
+          incarnation: incarnation of this process.
+          membership: the entry table, whose other entries are the receivers.
+          on_word: called with each report of another entry.
         """
         self._own = own
         self._incarnation = incarnation
         self._membership = membership
-        self._on_word = on_word
+        self._on_report = on_word
         self._socket: socket.socket | None = None
-        self._unreadable_told_s = -math.inf
+        self._unreadable_logged_s = -math.inf
 
     def start(self) -> None:
         """Binds the socket and reads on the current loop.
@@ -96,7 +99,7 @@
         self._socket = None
 
     def tell(self, marks: tuple[Mark, ...]) -> None:
-        """Sends marks to all other entries before it returns."""
+        """Sends strikes to all other entries before it returns."""
         if self._socket is None:
             return
         frame = messages.encode(
@@ -109,17 +112,17 @@
                 self._send(frame, row)
 
     def read_waiting(self) -> None:
-        """Takes the words that have arrived."""
+        """Reads the reports that have arrived."""
         if self._socket is None:
             return
-        for _ in range(READ_AT_ONCE):
+        for _ in range(DATAGRAMS_PER_READ):
             try:
                 frame = self._socket.recv(DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError:
-                # The kernel tells here that nobody listens where an earlier
-                # word went; its entry is down, and membership finds that out.
+                # The kernel reports that an earlier datagram found no listener.
+                # That entry is down, which membership detects by itself.
                 continue
             self._receive(frame)
 
@@ -134,17 +137,17 @@
 
     def _receive(self, frame: bytes) -> None:
         try:
-            word = messages.decode(frame)
+            report = messages.decode(frame)
         except AlmondstairError as error:
-            self._note_unreadable(error)
+            self._log_unreadable(error)
             return
-        if isinstance(word, StrikeWord) and word.entry != self._own.name:
-            self._on_word(word)
+        if isinstance(report, StrikeWord) and report.entry != self._own.name:
+            self._on_report(report)
 
-    def _note_unreadable(self, error: AlmondstairError) -> None:
+    def _log_unreadable(self, error: AlmondstairError) -> None:
         now_s = time.monotonic()
-        if now_s - self._unreadable_told_s >= UNREADABLE_INTERVAL_S:
-            self._unreadable_told_s = now_s
+        if now_s - self._unreadable_logged_s >= UNREADABLE_LOG_INTERVAL_S:
+            self._unreadable_logged_s = now_s
             log.event(log.Event.PEER_MESSAGE_BAD, detail=str(error))
 
     def _on_readable(self, descriptor: Any, events: int) -> None:
--- a/almondstair/tracing.py
+++ b/almondstair/tracing.py
@@ -1,4 +1,4 @@
-"""Traces: one span for each hop, joined by `traceparent`."""
+"""Tracing with one span per hop, linked by `traceparent`."""
 
 from collections.abc import Iterator, Sequence
 import contextlib
@@ -24,11 +24,11 @@
 _TRACEPARENT = "traceparent"
 
 
-class LineExporter(SpanExporter):
+class JsonLineExporter(SpanExporter):
     """Writes each span as one JSON line."""
 
     def __init__(self, *, stream: TextIO) -> None:
-        """Writes to `stream`, which stays the caller's to close."""
+        """Writes to `stream`; the caller closes it."""
         self._stream = stream
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
@@ -58,7 +58,7 @@
 
 
 class Tracing:
-    """Makes the spans of one entry."""
+    """Creates the spans of one entry."""
 
     def __init__(
         self,
@@ -73,9 +73,9 @@
         Args:
           exporter: `none`, `console` or `file`.
           file: path for `file`.
-          sample_fraction: part of the traces started here that is kept; a
-            caller that samples its own trace is always followed.
-          entry_name: stands in each span.
+          sample_fraction: fraction of the traces started here that is
+            sampled; the sampling decision of a parent is always followed.
+          entry_name: written to each span.
         """
         self.enabled = exporter != "none"
         self._propagator = TraceContextTextMapPropagator()
@@ -93,8 +93,8 @@
         if exporter == "console":
             self._stream = sys.stdout
         if self._stream is not None:
-            # A processor that batches would start a thread of its own.
-            line_exporter = LineExporter(stream=self._stream)
+            # A batching processor would start its own thread.
+            line_exporter = JsonLineExporter(stream=self._stream)
             provider.add_span_processor(SimpleSpanProcessor(line_exporter))
         self._tracer = provider.get_tracer(SERVICE_NAME)
 
@@ -106,12 +106,12 @@
         traceparent: str,
         kind: trace.SpanKind = trace.SpanKind.INTERNAL,
     ) -> Iterator[trace.Span]:
-        """Makes a span for one hop.
+        """Creates a span for one hop.
 
         Args:
           name: what the hop does.
           traceparent: W3C header of the parent, or empty.
-          kind: server for what arrives, client for what is sent on.
+          kind: server for received requests, client for forwarded ones.
         """
         if not self.enabled:
             yield trace.INVALID_SPAN
@@ -128,11 +128,11 @@
             span.end()
 
     def header(self, span: trace.Span, *, otherwise: str) -> str:
-        """Returns the `traceparent` to send on.
+        """Returns the `traceparent` header to forward.
 
         Args:
-          span: the hop that sends.
-          otherwise: what came in, passed on while tracing is off.
+          span: span of the sending hop.
+          otherwise: the received header, forwarded if tracing is off.
         """
         if not self.enabled:
             return otherwise
--- a/almondstair/zone_loads.py
+++ b/almondstair/zone_loads.py
@@ -1,4 +1,4 @@
-"""Takes the loads of availability zones whose entries are heard by digests."""
+"""Loads of availability zones that are reported by digests only."""
 
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.heartbeat_words import ServiceLoad
@@ -10,7 +10,7 @@
 
 
 class ZoneLoads:
-    """Gives what digests tell of far zones to steering and to the next hop."""
+    """Applies loads from digests of far zones to steering and entry choice."""
 
     def __init__(
         self,
@@ -21,40 +21,42 @@
         steering: Steering,
         hops: HopTable,
     ) -> None:
-        """Starts with no zone heard of.
+        """Starts without any zone.
 
         Args:
           own: this entry.
-          membership: who is live.
-          heartbeats: who speaks for itself, and the digests of the others.
-          steering: takes the loads of regions.
-          hops: takes the loads of entries.
+          membership: source of the live entries.
+          heartbeats: source of the digests, and of the entries that send their
+            own details.
+          steering: receives the loads of regions.
+          hops: receives the loads of entries.
         """
         self._own = own
         self._membership = membership
         self._heartbeats = heartbeats
         self._steering = steering
         self._hops = hops
-        self._far_sources: set[str] = set()
+        self._reported_zones: set[str] = set()
 
     def observe(self, *, now_s: float) -> None:
-        """Takes the load of far zones from their digests."""
-        known = set()
+        """Applies the loads of far zones from their latest digests."""
+        reported = set()
         for zone, rows in self._far_zones(now_s).items():
             digest = self._heartbeats.digests.get(
                 availability_zone=zone, now_s=now_s
             )
             if digest is None:
                 continue
-            known.add(zone)
+            reported.add(zone)
             for load in digest.loads:
                 aged = load._replace(age_ms=load.age_ms + digest.age_ms)
-                self._observe_zone(zone, rows, aged, now_s)
-        # Counted beside the words of its entries, or for ever after the last
-        # digest, a zone would have more free slots than there are.
-        for zone in self._far_sources - known:
+                self._record_zone_load(zone, rows, aged, now_s)
+        # If a zone were counted next to the reports of its own entries, or kept
+        # after its last digest, it would seem to have more free slots than it
+        # has.
+        for zone in self._reported_zones - reported:
             self._steering.regions.forget_source(source=zone)
-        self._far_sources = known
+        self._reported_zones = reported
 
     def _far_zones(self, now_s: float) -> dict[str, list[EntryRow]]:
         by_zone: dict[str, list[EntryRow]] = {}
@@ -69,7 +71,7 @@
             by_zone.pop(zone, None)
         return by_zone
 
-    def _observe_zone(
+    def _record_zone_load(
         self, zone: str, rows: list[EntryRow], load: ServiceLoad, now_s: float
     ) -> None:
         self._steering.regions.observe(
@@ -82,13 +84,13 @@
             now_s=now_s,
             limit_s=FAR_SILENCE_S,
         )
-        # Shared out to the last slot: rounded down, a zone with fewer free
-        # slots than entries would seem full.
-        each, left = divmod(load.free_slots, len(rows))
-        for place, row in enumerate(rows):
+        # The remainder is distributed too: if rounded down, a zone with fewer
+        # free slots than entries would seem full.
+        slots_per_entry, remainder = divmod(load.free_slots, len(rows))
+        for index, row in enumerate(rows):
             self._hops.heard(
                 entry=row.name,
                 service=load.service,
-                free_slots=each + (place < left),
+                free_slots=slots_per_entry + (index < remainder),
                 now_s=now_s,
             )
