--- a/almondstair/control.py
+++ b/almondstair/control.py
@@ -78,10 +78,10 @@
         self._peer_marks = PeerMarks()
         self._delays = MessageDelays()
         self._loads: tuple[ServiceLoad, ...] = ()
-        self._loads_s = float("-inf")
+        self._loads_recorded_s = float("-inf")
         self._heartbeats: Heartbeats
         self._zone_loads: ZoneLoads
-        self._exchange: DocumentExchange
+        self._document_exchange: DocumentExchange
         self._table: TableKeeper
         self._configuration: ConfigurationKeeper
 
@@ -102,7 +102,7 @@
             steering=self._parts.steering,
             hops=self._parts.hops,
         )
-        self._exchange = exchange
+        self._document_exchange = exchange
         self._table = table
         self._configuration = configuration
 
@@ -167,12 +167,12 @@
         elif isinstance(message, Loan):
             self._parts.shares.accept(message)
         else:
-            self._exchange.receive(message)
+            self._document_exchange.receive(message)
 
     def _on_heartbeat(
         self, name: str, incarnation: int, heartbeat: Heartbeat
     ) -> None:
-        self._exchange.follow_heartbeat(name=name, heartbeat=heartbeat)
+        self._document_exchange.follow_heartbeat(name=name, heartbeat=heartbeat)
         self._record_peer_marks(name, incarnation, heartbeat)
         accepted = self._heartbeats.receive(
             name=name, incarnation=incarnation, heartbeat=heartbeat
@@ -183,14 +183,14 @@
         self._check_region_recovery(name, now_s)
         row = self._parts.membership.table.row(name=name)
         assert row is not None
-        usual_s = self._delays.usual_arrival_s(
+        expected_arrival_s = self._delays.usual_arrival_s(
             sender=name,
             incarnation=incarnation,
             sent_s=heartbeat.sent_s,
             now_s=now_s,
         )
         self._parts.quarantine.merge(
-            marks=heartbeat.detail.marks, now_s=usual_s
+            marks=heartbeat.detail.marks, now_s=expected_arrival_s
         )
         for load in heartbeat.detail.loads:
             self._record_load(row, load, now_s)
@@ -199,13 +199,15 @@
         """Applies strikes that another entry reports outside of heartbeats."""
         if self._parts.membership.table.row(name=report.entry) is None:
             return
-        usual_s = self._delays.usual_arrival_s(
+        expected_arrival_s = self._delays.usual_arrival_s(
             sender=report.entry,
             incarnation=report.incarnation,
             sent_s=report.sent_s,
             now_s=time.monotonic(),
         )
-        self._parts.quarantine.merge(marks=report.marks, now_s=usual_s)
+        self._parts.quarantine.merge(
+            marks=report.marks, now_s=expected_arrival_s
+        )
 
     def _record_peer_marks(
         self, name: str, incarnation: int, heartbeat: Heartbeat
@@ -306,7 +308,7 @@
         loads = []
         for load in self._loads:
             if load.slots:
-                age_ms = int((now_s - self._loads_s) * 1000)
+                age_ms = int((now_s - self._loads_recorded_s) * 1000)
                 loads.append(load._replace(age_ms=age_ms))
         return tuple(loads)
 
@@ -426,12 +428,14 @@
             return
         loads = []
         for service in configuration.services:
-            room = self._parts.keeper.slots.room(service=service, now_s=now_s)
-            load = ServiceLoad(service, room.usable, room.free, 0)
+            capacity = self._parts.keeper.slots.room(
+                service=service, now_s=now_s
+            )
+            load = ServiceLoad(service, capacity.usable, capacity.free, 0)
             self._record_load(self._parts.own, load, now_s)
             loads.append(load)
         self._loads = tuple(loads)
-        self._loads_s = now_s
+        self._loads_recorded_s = now_s
 
     def _update_silent_entries(self, now_s: float) -> None:
         silent = frozenset(self._parts.membership.silent(now_s=now_s))
--- a/almondstair/entry.py
+++ b/almondstair/entry.py
@@ -101,7 +101,7 @@
         self._settings = settings
         self._incarnation = secrets.randbits(63)
         self.own = _own_row(settings, self._incarnation)
-        self._strike_schedule = Announcing(interval_s=STRIKE_INTERVAL_S)
+        self._strike_limiter = Announcing(interval_s=STRIKE_INTERVAL_S)
         self._platform_down = False
         self._timers: list[asyncio.Task[None]] = []
         self.metrics = Metrics(
@@ -127,7 +127,7 @@
             own=self.own, silence_limit_s=timing.silence_limit_ms / 1000
         )
         self.membership.joining = True
-        self._state = ConfigurationState()
+        self._configuration_state = ConfigurationState()
         book = SlotBook(margin_s=SLOT_MARGIN_S)
         self.homes = Homes(
             entry_name=self.own.name,
@@ -147,7 +147,7 @@
         )
         self._keeper = SlotKeeper(slots=self.slots)
         report_limit_s = timing.load_report_limit_ms / 1000
-        self._hops = HopTable(report_limit_s=report_limit_s)
+        self._entry_selector = HopTable(report_limit_s=report_limit_s)
         self.steering = Steering(
             configuration=NO_CONFIGURATION,
             limits=SteeringLimits(report_limit_s=report_limit_s),
@@ -202,7 +202,7 @@
             peer_address=self.own.peer_address,
             on_message=self._on_message,
         )
-        self._shares = LinkShares(
+        self._link_shares = LinkShares(
             own=self.own,
             incarnation=self._incarnation,
             pacers=self.pacers,
@@ -221,7 +221,7 @@
             on_table=self._on_table,
         )
         self.configuration_keeper = ConfigurationKeeper(
-            state=self._state,
+            state=self._configuration_state,
             membership=self.membership,
             store=ConfigurationStore(service=self._service),
             fresh_limit_s=settings.timing.silence_limit_ms / 1000,
@@ -233,9 +233,9 @@
             homes=self.homes,
             keeper=self._keeper,
             steering=self.steering,
-            hops=self._hops,
+            hops=self._entry_selector,
             quarantine=self._quarantine,
-            shares=self._shares,
+            shares=self._link_shares,
             pacers=self.pacers,
             prober=self._prober,
             metrics=self.metrics,
@@ -248,7 +248,7 @@
         self.heartbeats = Heartbeats(
             own=self.own,
             membership=self.membership,
-            configuration=self._state,
+            configuration=self._configuration_state,
             peers=self._peers,
             clock=time.monotonic,
             own_detail=self._control.own_detail,
@@ -262,11 +262,11 @@
             membership=self.membership,
             on_word=self._control.take_strikes,
         )
-        self._exchange = DocumentExchange(
+        self._document_exchange = DocumentExchange(
             peer_address=self.own.peer_address,
             peers=self._peers,
             membership=self.membership,
-            configuration=self._state,
+            configuration=self._configuration_state,
             on_table=lambda table: self.table_keeper.take(
                 table, from_platform=False
             ),
@@ -285,7 +285,7 @@
         )
         self._control.bind(
             heartbeats=self.heartbeats,
-            exchange=self._exchange,
+            exchange=self._document_exchange,
             table=self.table_keeper,
             configuration=self.configuration_keeper,
         )
@@ -318,7 +318,7 @@
                 own=self.own,
                 membership=self.membership,
                 steering=self.steering,
-                hops=self._hops,
+                hops=self._entry_selector,
                 quarantine=self._quarantine,
                 pacers=self.pacers,
                 runner=self.runner,
@@ -336,7 +336,7 @@
         )
 
     def _schedule_strike_report(self) -> None:
-        wait_s = self._strike_schedule.wait_s(now_s=time.monotonic())
+        wait_s = self._strike_limiter.wait_s(now_s=time.monotonic())
         if wait_s is None:
             return
         if wait_s > 0:
@@ -345,7 +345,7 @@
         self._send_strikes()
 
     def _send_planned_strikes(self) -> None:
-        self._strike_schedule.planned_told(now_s=time.monotonic())
+        self._strike_limiter.planned_told(now_s=time.monotonic())
         self._send_strikes()
 
     def _send_strikes(self) -> None:
@@ -386,8 +386,8 @@
                 heartbeats=self.heartbeats,
                 table_keeper=self.table_keeper,
                 configuration_keeper=self.configuration_keeper,
-                exchange=self._exchange,
-                shares=self._shares,
+                exchange=self._document_exchange,
+                shares=self._link_shares,
                 control=self._control,
             ),
             peer_addresses=tuple(self._settings.entry.peer_addresses),
@@ -402,7 +402,7 @@
                 heartbeats=self.heartbeats,
                 table_keeper=self.table_keeper,
                 homes=self.homes,
-                shares=self._shares,
+                shares=self._link_shares,
                 claims=self._claims,
                 caller_door=self._caller_listener,
                 forward_door=self._forward_listener,
@@ -477,7 +477,7 @@
         self.homes.set_upstreams(upstreams=homed)
         self.slots.set_configuration(configuration=configuration)
         self.steering.configure(configuration=configuration)
-        self._shares.configure(configuration=configuration)
+        self._link_shares.configure(configuration=configuration)
         self._call_router.configure(configuration=configuration)
         self._lookups.configure(configuration=configuration)
         self._control.on_configuration(configuration)
--- a/almondstair/gauges.py
+++ b/almondstair/gauges.py
@@ -47,7 +47,7 @@
         Args:
           parts: sources and destination of the metrics.
         """
-        self._parts = parts
+        self._sources = parts
         self._last_counts = parts.peers.counts
 
     async def run(self) -> None:
@@ -57,15 +57,15 @@
             self._count_peers()
             self._sample_slots()
             self._sample_links()
-            version = self._parts.configuration.version
-            self._parts.metrics.gauge(Metric.CONFIGURATION_VERSION, version)
-            self._parts.metrics.flush()
+            version = self._sources.configuration.version
+            self._sources.metrics.gauge(Metric.CONFIGURATION_VERSION, version)
+            self._sources.metrics.flush()
 
     def _count_peers(self) -> None:
-        counts = self._parts.peers.counts
+        counts = self._sources.peers.counts
         added = _difference(counts, self._last_counts)
         self._last_counts = counts
-        metrics = self._parts.metrics
+        metrics = self._sources.metrics
         metrics.count(Metric.PEER_BYTES, "sent", by=added.sent_bytes)
         metrics.count(Metric.PEER_BYTES, "received", by=added.received_bytes)
         metrics.count(Metric.PEER_MESSAGES, "sent", by=added.sent_messages)
@@ -74,24 +74,24 @@
         )
 
     def _sample_slots(self) -> None:
-        metrics = self._parts.metrics
+        metrics = self._sources.metrics
         busy = 0
-        for row in self._parts.keeper.slots.status(now_s=time.monotonic()):
+        for row in self._sources.keeper.slots.status(now_s=time.monotonic()):
             busy += row.in_flight
         metrics.gauge(Metric.SLOTS_BUSY, busy)
-        for load in self._parts.loads():
+        for load in self._sources.loads():
             metrics.gauge(Metric.SLOTS_FREE, load.free_slots, load.service)
 
     def _sample_links(self) -> None:
         now_s = time.monotonic()
-        for region in self._parts.pacers.regions():
+        for region in self._sources.pacers.regions():
             for pacer, direction in zip(
-                self._parts.pacers.pacers(region=region),
+                self._sources.pacers.pacers(region=region),
                 ("out", "in"),
                 strict=True,
             ):
                 used = pacer.share.status(now_s=now_s).used_bytes_per_s
-                self._parts.metrics.gauge(
+                self._sources.metrics.gauge(
                     Metric.LINK_BYTES_PER_S, used, f"{region}.{direction}"
                 )
 
--- a/almondstair/heartbeats.py
+++ b/almondstair/heartbeats.py
@@ -84,7 +84,7 @@
         self._peers = peers
         self._clock = clock
         self._own_detail = own_detail
-        self._companions = companions
+        self._piggybacked_messages = companions
         self._silence_limit_s = silence_limit_ms / 1000
         self._fan_out = FanOut(own=own, interval_s=interval_ms / 1000)
         self._timer = PeriodicCallback(self.send_round, interval_ms)
@@ -184,16 +184,16 @@
             digests=digests,
             sent_s=round(self._clock(), 4),
         )
-        self._peers.send(name, heartbeat, *self._companions(name))
+        self._peers.send(name, heartbeat, *self._piggybacked_messages(name))
 
     def _zone_statuses(self, now_s: float) -> list[MemberWord]:
         membership = self._membership
         statuses = []
         for name in self._zone_names:
             version = self._configuration.version
-            known = membership.last_heard(name=name)
+            latest = membership.last_heard(name=name)
             if name != self._own.name:
-                version = known.configuration_version if known else 0
+                version = latest.configuration_version if latest else 0
             live = not membership.is_leaving(name=name)
             live = live and not membership.is_silent(name=name, now_s=now_s)
             age_s = membership.age_s(name=name, now_s=now_s)
@@ -316,10 +316,10 @@
     sums: dict[str, ServiceLoad], loads: Iterable[ServiceLoad], age_ms: int
 ) -> None:
     for load in loads:
-        known = sums.get(load.service, ServiceLoad(load.service, 0, 0, 0))
+        total = sums.get(load.service, ServiceLoad(load.service, 0, 0, 0))
         sums[load.service] = ServiceLoad(
             service=load.service,
-            slots=known.slots + load.slots,
-            free_slots=known.free_slots + load.free_slots,
-            age_ms=max(known.age_ms, load.age_ms + age_ms),
+            slots=total.slots + load.slots,
+            free_slots=total.free_slots + load.free_slots,
+            age_ms=max(total.age_ms, load.age_ms + age_ms),
         )
--- a/almondstair/zone_loads.py
+++ b/almondstair/zone_loads.py
@@ -35,7 +35,7 @@
         self._membership = membership
         self._heartbeats = heartbeats
         self._steering = steering
-        self._hops = hops
+        self._entry_selector = hops
         self._reported_zones: set[str] = set()
 
     def observe(self, *, now_s: float) -> None:
@@ -88,7 +88,7 @@
         # free slots than entries would seem full.
         slots_per_entry, remainder = divmod(load.free_slots, len(rows))
         for index, row in enumerate(rows):
-            self._hops.heard(
+            self._entry_selector.heard(
                 entry=row.name,
                 service=load.service,
                 free_slots=slots_per_entry + (index < remainder),
