--- a/almondstair/operator_views.py
+++ b/almondstair/operator_views.py
@@ -133,7 +133,7 @@
         """Returns the progress of the drain of an upstream or entry.
 
         Only the home of an upstream knows which requests run there; other
-        entries return None.
+        entries return `in_flight` as None.
         """
         configuration = self._configuration()
         now_s = time.monotonic()
@@ -147,16 +147,14 @@
             if row is not None:
                 # Includes work of former homes until it must have ended.
                 in_flight = row.in_flight + row.busy_elsewhere
-        last_sent_s = self._parts.runner.last_new_work_s.get(name)
+        sent_s = self._parts.runner.last_new_work_s.get(name)
         return {
             "name": name,
             "home": home,
             "home_address": self._operator_address(home),
             "leaving": self._is_leaving(name),
             "in_flight": in_flight,
-            "last_new_work_age_s": None
-            if last_sent_s is None
-            else now_s - last_sent_s,
+            "last_new_work_age_s": None if sent_s is None else now_s - sent_s,
         }
 
     def _entry_drain(self, name: str) -> dict[str, Any]:
