--- a/almondstair/core/admission.py
+++ b/almondstair/core/admission.py
@@ -1,8 +1,8 @@
-"""Admission: which request may take which slot of which upstream.
+"""Admission of requests to the slots of upstreams.
 
-Slots are counted exactly by the home of each upstream, so an upstream never has
-more in flight than its slots. What an upstream reports of itself can only lower
-what is used, and only for a short time, since such reports lag or lie.
+The home of each upstream counts its slots exactly, so an upstream never has
+more requests in flight than slots. An upstream's own load report can only lower
+what is used, and only for a short time, since such reports lag or are wrong.
 """
 
 import math
@@ -35,31 +35,31 @@
     Priority.BATCH: 0.3,
 }
 SERVICE_TIME_WEIGHT = 0.1
-FIRST_SERVICE_TIME_S = 0.2
-LEAST_RETRY_MS = 100
-MOST_RETRY_MS = 30_000
+INITIAL_SERVICE_TIME_S = 0.2
+MIN_RETRY_MS = 100
+MAX_RETRY_MS = 30_000
 
 
-class _Room(NamedTuple):
-    """What one upstream can take now.
+class _Capacity(NamedTuple):
+    """Holds the slots of one upstream that this entry may use now.
 
     Attributes:
-      upstream: its name.
-      duty: what this entry may do at it.
+      upstream: name of the upstream.
+      rights: which of its slots the home protocol allows this entry.
       usable: slots that this entry may fill.
-      free: slots open to short work.
-      free_long: slots open to work too long for the reserve.
+      free: free slots for short work.
+      free_long: free slots for work too long for the reserve.
     """
 
     upstream: str
-    duty: Duty
+    rights: Duty
     usable: int
     free: int
     free_long: int
 
 
 class SlotTable:
-    """Slots of the upstreams that this entry is home or successor of."""
+    """Slots of the upstreams of which this entry is home or successor."""
 
     def __init__(
         self,
@@ -71,34 +71,34 @@
         health: HealthTable | None = None,
         standstill: Standstill | None = None,
     ) -> None:
-        """Makes a table without upstreams.
+        """Creates a table without upstreams.
 
         Args:
-          homes: what this entry may do at each upstream.
-          book: the same book that `homes` reads.
+          homes: decides which slots this entry may use at each upstream.
+          book: the requests in flight; the same object that `homes` reads.
           limits: constants of slow start.
-          kept_fraction: part of a service's slots that work of each priority
-            leaves to the ones above it.
-          health: what answers tell of each upstream, which goes before what
-            it reports of itself.
-          standstill: time for which this entry stood still.
+          kept_fraction: fraction of a service's slots that work of each
+            priority leaves free for higher priorities.
+          health: health of each upstream by its responses, which takes
+            precedence over its own reports.
+          standstill: measures for how long this entry's event loop stalled.
         """
         self.standstill = standstill or Standstill()
         self._health = health or HealthTable()
         self._homes = homes
-        self._book = book
+        self._tracker = book
         self._limits = limits
-        self._kept_fraction = kept_fraction or KEPT_FRACTION
+        self._held_back_fraction = kept_fraction or KEPT_FRACTION
         self._states: dict[str, UpstreamSlots] = {}
         self._by_service: dict[str, list[str]] = {}
         self._leaving: frozenset[str] = frozenset()
-        self._usual = UsualLatency()
-        self._turn = 0
-        self._turns: dict[str, int] = {}
+        self._baseline_latency = UsualLatency()
+        self._choices = 0
+        self._last_choice: dict[str, int] = {}
         self._service_time_s: dict[str, float] = {}
 
     def set_configuration(self, *, configuration: Configuration) -> None:
-        """Takes the upstreams of a configuration, keeping what is known."""
+        """Sets the upstreams, keeping the state of those already known."""
         states: dict[str, UpstreamSlots] = {}
         self._by_service = {}
         for name, upstream in configuration.upstreams.items():
@@ -112,17 +112,17 @@
         self._states = states
 
     def set_leaving(self, *, names: frozenset[str]) -> None:
-        """Takes the upstreams that operators or the VM list call leaving."""
+        """Sets the upstreams marked as leaving by operators or the VM list."""
         self._leaving = names
 
     def heard_upstream(
         self, *, upstream: str, report: UpstreamReport, now_s: float
     ) -> None:
-        """Takes an upstream's report of itself."""
+        """Records an upstream's load report."""
         state = self._states.get(upstream)
         if state is None:
             return
-        in_flight = len(self._book.running(upstream=upstream))
+        in_flight = len(self._tracker.running(upstream=upstream))
         state.take_report(report=report, in_flight=in_flight, now_s=now_s)
 
     def choose(
@@ -134,30 +134,35 @@
         now_s: float,
         avoid: frozenset[str] = frozenset(),
     ) -> Admission | Refusal:
-        """Takes a slot at the best upstream of a service.
+        """Acquires a slot at the best upstream of a service.
 
         Args:
-          service: the service.
-          priority: of the request's class.
-          deadline_s: when the request is given up.
-          now_s: the time.
+          service: name of the service.
+          priority: priority of the request's class.
+          deadline_s: monotonic deadline of the request, in seconds.
+          now_s: monotonic time in seconds.
           avoid: upstreams that this request must not go to.
+
+        Returns:
+          The slot, or a refusal with the reason and a time to retry.
         """
         is_long = deadline_s - now_s > self._homes.reserve_deadline_s
-        rooms = self._rooms(service=service, now_s=now_s)
-        best = self._best(rooms, is_long=is_long, avoid=avoid, now_s=now_s)
+        capacities = self._capacities(service=service, now_s=now_s)
+        best = self._best(capacities, is_long=is_long, avoid=avoid, now_s=now_s)
         if deadline_s <= now_s:
-            return Refusal(ErrorKind.DEADLINE_PASSED, LEAST_RETRY_MS)
-        if best is None or not self._may_take(best, rooms, priority):
+            return Refusal(ErrorKind.DEADLINE_PASSED, MIN_RETRY_MS)
+        if best is None or not self._leaves_held_back_slots(
+            best, capacities, priority
+        ):
             return self.refusal(service=service, now_s=now_s)
-        self._turn += 1
-        self._turns[best.upstream] = self._turn
-        ticket = self._book.start(
+        self._choices += 1
+        self._last_choice[best.upstream] = self._choices
+        ticket = self._tracker.start(
             upstream=best.upstream,
             service=service,
             now_s=now_s,
             deadline_s=deadline_s,
-            reserve=best.duty.reserve_only,
+            reserve=best.rights.reserve_only,
         )
         return Admission(
             ticket=ticket,
@@ -176,7 +181,7 @@
         deadline_s: float,
         now_s: float,
     ) -> Admission | Refusal:
-        """Takes a slot at one upstream, or says why not."""
+        """Acquires a slot at one upstream, or returns why it cannot."""
         others = set(self._by_service.get(service, []))
         others.discard(upstream)
         return self.choose(
@@ -189,49 +194,52 @@
 
     def _best(
         self,
-        rooms: list[_Room],
+        capacities: list[_Capacity],
         *,
         is_long: bool,
         avoid: frozenset[str],
         now_s: float,
-    ) -> _Room | None:
-        """Returns the upstream with most free slots, weighed by its answers.
+    ) -> _Capacity | None:
+        """Returns the upstream with the most free slots, weighted by health.
 
-        Equals take turns. Else the first by name would get all work at little
-        load, and the others would be cold when they are needed.
+        Among equals the least recently chosen wins. Otherwise the first by name
+        would get all work at low load, and the others would be cold when they
+        are needed.
         """
-        best: _Room | None = None
-        best_worth = 0.0
-        best_turn = 0
-        for room in rooms:
-            if room.upstream in avoid:
+        best: _Capacity | None = None
+        best_weight = 0.0
+        best_choice = 0
+        for capacity in capacities:
+            if capacity.upstream in avoid:
                 continue
-            free = room.free_long if is_long else room.free
+            free = capacity.free_long if is_long else capacity.free
             if not free:
                 continue
-            worth = free * self._health.factor(name=room.upstream, now_s=now_s)
-            turn = self._turns.get(room.upstream, 0)
-            if worth < best_worth:
+            weight = free * self._health.factor(
+                name=capacity.upstream, now_s=now_s
+            )
+            last_choice = self._last_choice.get(capacity.upstream, 0)
+            if weight < best_weight:
                 continue
-            if worth == best_worth and turn > best_turn:
+            if weight == best_weight and last_choice > best_choice:
                 continue
-            best = room
-            best_worth = worth
-            best_turn = turn
+            best = capacity
+            best_weight = weight
+            best_choice = last_choice
         return best
 
-    def _may_take(
-        self, best: _Room, rooms: list[_Room], priority: Priority
+    def _leaves_held_back_slots(
+        self, best: _Capacity, capacities: list[_Capacity], priority: Priority
     ) -> bool:
-        """Says whether a priority leaves enough to the ones above it."""
-        if best.duty.reserve_only:
+        """Returns whether enough slots remain for higher priorities."""
+        if best.rights.reserve_only:
             return True
         usable = 0
         free = 0
-        for room in rooms:
-            usable += room.usable
-            free += room.free
-        kept = math.ceil(self._kept_fraction[priority] * usable)
+        for capacity in capacities:
+            usable += capacity.usable
+            free += capacity.free
+        kept = math.ceil(self._held_back_fraction[priority] * usable)
         return free > max(0, min(kept, usable - 1))
 
     def release(
@@ -243,20 +251,22 @@
         connection_closed: bool = True,
         work: str = "",
     ) -> None:
-        """Gives a slot back.
+        """Releases a slot and records how the request ended.
 
         Args:
-          admission: what `admit` returned.
-          outcome: how it ended.
-          now_s: the time.
-          connection_closed: whether the upstream's work is surely over, by a
-            whole answer, a refusal or a closed connection. Otherwise the slot
-            stays taken until the deadline, since the upstream may still run
-            the request and the next one would be one too many.
-          work: kind of work, whose latency is compared with its like.
+          admission: the slot, as returned by `choose` or `admit`.
+          outcome: how the request ended.
+          now_s: monotonic time in seconds.
+          connection_closed: whether the upstream's work is certainly over,
+            because of a complete response, a refusal or a closed connection.
+            Otherwise the slot stays taken until the deadline, since the
+            upstream may still run the request and another one would exceed its
+            slots.
+          work: kind of work; its latency is compared with that of the same
+            kind.
         """
         if connection_closed:
-            self._book.end(ticket=admission.ticket)
+            self._tracker.end(ticket=admission.ticket)
         state = self._states.get(admission.upstream)
         if state is None or outcome is Outcome.CANCELLED:
             return
@@ -264,178 +274,189 @@
             state.ramp.refused(now_s=now_s)
             return
         latency_s = now_s - admission.admitted_s
-        ratio = self._usual.ratio(
+        ratio = self._baseline_latency.ratio(
             work=f"{admission.service}/{work}", latency_s=latency_s
         )
         still_s = self.standstill.total_s(now_s=now_s) - admission.still_s
         ratio = judged_ratio(ratio=ratio, latency_s=latency_s, still_s=still_s)
         state.ramp.answered(ratio=ratio, now_s=now_s)
-        self._note_service_time(service=admission.service, latency_s=latency_s)
+        self._update_service_time(
+            service=admission.service, latency_s=latency_s
+        )
 
     def still_mine(self, *, admission: Admission, now_s: float) -> bool:
-        """Says whether a request may still be running at its upstream.
+        """Returns whether a request may still use its slot.
 
-        To be asked just before and just after the first byte is written: an
-        entry that was frozen in between finds that its duty has moved, and
+        Call it right before and right after writing the first byte: an entry
+        that was frozen in between finds that the home role has moved, and
         closes the connection.
         """
-        if admission.ticket.until_s - self._book.margin_s <= now_s:
+        if admission.ticket.until_s - self._tracker.margin_s <= now_s:
             return False
-        duty = self._homes.duty(upstream=admission.upstream, now_s=now_s)
-        if duty.allowed_slots < 1:
+        rights = self._homes.duty(upstream=admission.upstream, now_s=now_s)
+        if rights.allowed_slots < 1:
             return False
-        if duty.reserve_only != admission.ticket.reserve:
-            return not duty.reserve_only
-        used = self._used(upstream=admission.upstream, duty=duty, now_s=now_s)
-        return used <= duty.allowed_slots
+        if rights.reserve_only != admission.ticket.reserve:
+            return not rights.reserve_only
+        used = self._used(
+            upstream=admission.upstream, rights=rights, now_s=now_s
+        )
+        return used <= rights.allowed_slots
 
     def room(self, *, service: str, now_s: float) -> ServiceRoom:
-        """Returns the slots of a service that this entry may fill."""
+        """Returns the usable and the free slots of a service."""
         usable = 0
         free = 0
-        for room in self._rooms(service=service, now_s=now_s):
-            usable += room.usable
-            free += room.free
+        for capacity in self._capacities(service=service, now_s=now_s):
+            usable += capacity.usable
+            free += capacity.free
         return ServiceRoom(usable, free)
 
     def free_slots(self, *, service: str, now_s: float) -> int:
-        """Returns the slots that interactive work could take now."""
+        """Returns how many slots interactive work could take now."""
         return self.room(service=service, now_s=now_s).free
 
     def usable_slots(self, *, service: str, now_s: float) -> int:
-        """Returns the slots of a service that this entry may fill."""
+        """Returns how many slots of a service this entry may fill."""
         return self.room(service=service, now_s=now_s).usable
 
     def service_time_s(self, *, service: str) -> float:
-        """Returns the measured mean time that a request holds a slot."""
-        return self._service_time_s.get(service, FIRST_SERVICE_TIME_S)
+        """Returns the mean time in seconds that a request holds a slot."""
+        return self._service_time_s.get(service, INITIAL_SERVICE_TIME_S)
 
     def refusal(
         self, *, service: str, now_s: float, waiting: int = 0
     ) -> Refusal:
-        """Returns the refusal of a request with a time to come back."""
+        """Returns the refusal of a request, with a time to retry."""
         usable = self.usable_slots(service=service, now_s=now_s)
         if usable < 1:
             return Refusal(
-                self._kind_without_slots(service=service),
-                self._bounded_ms(wait_s=self._wait_for_duty_s(now_s=now_s)),
+                self._error_without_slots(service=service),
+                self._retry_after_ms(
+                    wait_s=self._wait_for_slots_s(now_s=now_s)
+                ),
             )
         wait_s = self.service_time_s(service=service) * (waiting + 1) / usable
-        return Refusal(ErrorKind.NO_SLOT, self._bounded_ms(wait_s=wait_s))
+        return Refusal(ErrorKind.NO_SLOT, self._retry_after_ms(wait_s=wait_s))
 
     def status(self, *, now_s: float) -> tuple[UpstreamStatus, ...]:
-        """Returns the upstreams that this entry has a duty at."""
+        """Returns the upstreams at which this entry has slots or requests."""
         rows = []
-        for name in self._concerned():
+        for name in self._relevant_upstreams():
             state = self._states.get(name)
             if state is None:
                 continue
-            duty = self._homes.duty(upstream=name, now_s=now_s)
-            in_flight = len(self._book.running(upstream=name))
-            if duty.allowed_slots < 1 and in_flight == 0:
+            rights = self._homes.duty(upstream=name, now_s=now_s)
+            in_flight = len(self._tracker.running(upstream=name))
+            if rights.allowed_slots < 1 and in_flight == 0:
                 continue
             rows.append(
                 UpstreamStatus(
                     name=name,
-                    allowed_slots=duty.allowed_slots,
-                    usable_slots=self._opened(upstream=name, now_s=now_s),
+                    allowed_slots=rights.allowed_slots,
+                    usable_slots=self._slow_start_slots(
+                        upstream=name, now_s=now_s
+                    ),
                     in_flight=in_flight,
-                    busy_elsewhere=len(duty.busy_until_s),
+                    busy_elsewhere=len(rights.busy_until_s),
                     leaving=self._is_leaving(upstream=name),
                     report_age_s=state.report_age_s(now_s=now_s),
                 )
             )
         return tuple(rows)
 
-    def _concerned(self) -> list[str]:
-        """Returns the upstreams with a duty, or a request in flight, here."""
+    def _relevant_upstreams(self) -> list[str]:
+        """Returns upstreams of this entry's roles or requests in flight."""
         names = dict.fromkeys(self._homes.mine())
-        names.update(dict.fromkeys(self._book.upstreams()))
+        names.update(dict.fromkeys(self._tracker.upstreams()))
         return list(names)
 
     def _is_leaving(self, *, upstream: str) -> bool:
         return upstream in self._leaving or self._states[upstream].draining
 
-    def _rooms(self, *, service: str, now_s: float) -> list[_Room]:
-        """Returns what the upstreams of a service can take from here."""
-        rooms = []
+    def _capacities(self, *, service: str, now_s: float) -> list[_Capacity]:
+        """Returns the capacity of each upstream of a service for this entry."""
+        capacities = []
         for name in self._homes.mine():
             state = self._states.get(name)
             if state is None or service not in state.services:
                 continue
-            rooms.append(self._room(upstream=name, now_s=now_s))
-        return rooms
+            capacities.append(self._capacity(upstream=name, now_s=now_s))
+        return capacities
 
-    def _room(self, *, upstream: str, now_s: float) -> _Room:
-        self._book.expire(upstream=upstream, now_s=now_s)
-        duty = self._homes.duty(upstream=upstream, now_s=now_s)
-        limit = self._limit(upstream=upstream, duty=duty, now_s=now_s)
+    def _capacity(self, *, upstream: str, now_s: float) -> _Capacity:
+        self._tracker.expire(upstream=upstream, now_s=now_s)
+        rights = self._homes.duty(upstream=upstream, now_s=now_s)
+        limit = self._limit(upstream=upstream, rights=rights, now_s=now_s)
         if limit < 1:
-            return _Room(upstream, duty, 0, 0, 0)
-        used = self._used(upstream=upstream, duty=duty, now_s=now_s)
-        long_used = self._long_used(upstream=upstream, duty=duty, now_s=now_s)
+            return _Capacity(upstream, rights, 0, 0, 0)
+        used = self._used(upstream=upstream, rights=rights, now_s=now_s)
+        long_used = self._long_used(
+            upstream=upstream, rights=rights, now_s=now_s
+        )
         free = max(0, limit - used)
-        return _Room(
+        return _Capacity(
             upstream=upstream,
-            duty=duty,
-            usable=max(0, limit - len(duty.busy_until_s)),
+            rights=rights,
+            usable=max(0, limit - len(rights.busy_until_s)),
             free=free,
-            free_long=max(0, min(free, duty.long_slots - long_used)),
+            free_long=max(0, min(free, rights.long_slots - long_used)),
         )
 
-    def _limit(self, *, upstream: str, duty: Duty, now_s: float) -> int:
+    def _limit(self, *, upstream: str, rights: Duty, now_s: float) -> int:
         state = self._states.get(upstream)
-        if state is None or duty.allowed_slots < 1:
+        if state is None or rights.allowed_slots < 1:
             return 0
         if self._is_leaving(upstream=upstream):
             return 0
         usable = min(
-            self._opened(upstream=upstream, now_s=now_s),
+            self._slow_start_slots(upstream=upstream, now_s=now_s),
             self._health.usable_slots(
                 name=upstream, slots=state.slots, now_s=now_s
             ),
         )
-        if duty.reserve_only:
-            return min(usable, duty.allowed_slots)
-        # What others hold is counted as used, and is not cold start's matter.
-        usable += len(duty.busy_until_s)
-        return min(usable, duty.allowed_slots, state.reported(now_s=now_s))
-
-    def _opened(self, *, upstream: str, now_s: float) -> int:
+        if rights.reserve_only:
+            return min(usable, rights.allowed_slots)
+        # Slots held for other entries count as used, and slow start does not
+        # apply to them.
+        usable += len(rights.busy_until_s)
+        return min(usable, rights.allowed_slots, state.reported(now_s=now_s))
+
+    def _slow_start_slots(self, *, upstream: str, now_s: float) -> int:
         state = self._states[upstream]
         usual_s = 0.0
         for service in state.services:
             usual_s = max(usual_s, self.service_time_s(service=service))
         return state.opened(
-            running=self._book.running(upstream=upstream),
+            running=self._tracker.running(upstream=upstream),
             long_s=max(
                 self._limits.long_run_s, self._limits.slow_ratio * usual_s
             ),
             now_s=now_s,
         )
 
-    def _used(self, *, upstream: str, duty: Duty, now_s: float) -> int:
-        running = self._book.running(upstream=upstream)
-        if not duty.reserve_only:
-            return len(running) + len(duty.busy_until_s)
+    def _used(self, *, upstream: str, rights: Duty, now_s: float) -> int:
+        running = self._tracker.running(upstream=upstream)
+        if not rights.reserve_only:
+            return len(running) + len(rights.busy_until_s)
         used = 0
         for ticket in running:
             if ticket.reserve:
                 used += 1
         return used
 
-    def _long_used(self, *, upstream: str, duty: Duty, now_s: float) -> int:
+    def _long_used(self, *, upstream: str, rights: Duty, now_s: float) -> int:
         short_until_s = now_s + self._homes.reserve_deadline_s
         used = 0
-        for until_s in duty.busy_until_s:
+        for until_s in rights.busy_until_s:
             if until_s > short_until_s:
                 used += 1
-        for ticket in self._book.running(upstream=upstream):
-            if ticket.until_s - self._book.margin_s > short_until_s:
+        for ticket in self._tracker.running(upstream=upstream):
+            if ticket.until_s - self._tracker.margin_s > short_until_s:
                 used += 1
         return used
 
-    def _note_service_time(self, *, service: str, latency_s: float) -> None:
+    def _update_service_time(self, *, service: str, latency_s: float) -> None:
         known_s = self._service_time_s.get(service)
         if known_s is None:
             self._service_time_s[service] = latency_s
@@ -443,21 +464,21 @@
         known_s += SERVICE_TIME_WEIGHT * (latency_s - known_s)
         self._service_time_s[service] = known_s
 
-    def _kind_without_slots(self, *, service: str) -> ErrorKind:
+    def _error_without_slots(self, *, service: str) -> ErrorKind:
         for name in self._by_service.get(service, []):
             if not self._is_leaving(upstream=name):
                 return ErrorKind.NO_SLOT
         return ErrorKind.NO_UPSTREAM
 
-    def _wait_for_duty_s(self, *, now_s: float) -> float:
-        """Returns the time until the first slot held for others is free."""
-        soonest_s = now_s + FIRST_SERVICE_TIME_S * 5
+    def _wait_for_slots_s(self, *, now_s: float) -> float:
+        """Returns the seconds until a slot held for others comes free."""
+        soonest_s = now_s + INITIAL_SERVICE_TIME_S * 5
         for name in self._homes.mine():
-            duty = self._homes.duty(upstream=name, now_s=now_s)
-            for until_s in duty.busy_until_s:
+            rights = self._homes.duty(upstream=name, now_s=now_s)
+            for until_s in rights.busy_until_s:
                 soonest_s = min(soonest_s, until_s)
         return soonest_s - now_s
 
-    def _bounded_ms(self, *, wait_s: float) -> int:
+    def _retry_after_ms(self, *, wait_s: float) -> int:
         wait_ms = math.ceil(wait_s * 1000)
-        return max(LEAST_RETRY_MS, min(MOST_RETRY_MS, wait_ms))
+        return max(MIN_RETRY_MS, min(MAX_RETRY_MS, wait_ms))
--- /dev/null
+++ b/almondstair/core/peer_loads.py
@@ -0,0 +1,36 @@
+"""Requests of other entries at each upstream, as reported by all entries.
+
+Totals for hundreds of upstreams arrive several times per second and are only
+stored. The load of an upstream is computed on demand, since a request needs it
+for a few of them.
+"""
+
+from collections.abc import Mapping
+
+
+class PeerLoads:
+    """Holds the last total over all entries and this entry's part of it."""
+
+    def __init__(self) -> None:
+        """Starts without loads."""
+        self._total: Mapping[int, int] = {}
+        self._own: Mapping[int, int] = {}
+
+    def update(
+        self, total: Mapping[int, int], *, own: Mapping[int, int]
+    ) -> None:
+        """Replaces the total over all entries.
+
+        Args:
+          total: requests by the hash of the upstream's incarnation.
+          own: the part of them that this entry reported.
+        """
+        self._total = total
+        self._own = own
+
+    def requests_at(self, name: int) -> int:
+        """Returns the requests of other entries at the upstream of a hash."""
+        requests = self._total.get(name, 0)
+        if not requests:
+            return 0
+        return max(0, requests - self._own.get(name, 0))
--- a/almondstair/lookups.py
+++ b/almondstair/lookups.py
@@ -1,4 +1,4 @@
-"""Answers the callers' question which entries to use."""
+"""Look-ups: which entries a caller should use, in order of preference."""
 
 import time
 from typing import TypedDict
@@ -13,25 +13,25 @@
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 
-# Who is live is looked at anew this often, not for each of many look-ups.
-LIVE_LIMIT_S = 0.1
-START_RETRY_MS = 500
+# Interval at which the live entries are read again; not on every look-up.
+LIVE_REFRESH_S = 0.1
+STARTUP_RETRY_AFTER_MS = 500
 
 
 class EntryBody(TypedDict):
-    """One entry of an answer."""
+    """Holds one entry of a look-up response."""
 
     address: str
     availability_zone: str
 
 
 class LookupBody(TypedDict):
-    """Answer to a look-up.
+    """Holds the response to a look-up.
 
     Attributes:
-      service: the service asked for.
+      service: name of the requested service.
       entries: the entries to use, best first.
-      ttl_s: how long the caller may keep the answer, in seconds.
+      ttl_s: how long the caller may cache the response, in seconds.
     """
 
     service: str
@@ -45,23 +45,23 @@
     def __init__(
         self, *, membership: Membership, own: EntryRow, ttl_s: float
     ) -> None:
-        """Answers from what `membership` hears.
+        """Creates look-ups that are answered from `membership`.
 
         Args:
-          membership: who is an entry and who is heard.
+          membership: the entries and their heartbeats.
           own: this entry's row.
-          ttl_s: how long a caller may keep an answer.
+          ttl_s: how long a caller may cache a response, in seconds.
         """
         self._membership = membership
         self._own = own
         self._ttl_s = max(1, int(ttl_s))
         self._distances_ms: dict[str, float] = {}
-        self._live: tuple[EntryRow, ...] = ()
-        self._looked_s = float("-inf")
+        self._live_rows: tuple[EntryRow, ...] = ()
+        self._refreshed_s = float("-inf")
         self._table: LookupTable | None = None
 
     def configure(self, *, configuration: Configuration) -> None:
-        """Takes the distances of a configuration."""
+        """Applies the zone distances of a configuration."""
         self._distances_ms = zone_distances_ms(
             configuration=configuration,
             availability_zone=self._own.availability_zone,
@@ -75,13 +75,13 @@
 
         Raises:
           AlmondstairError: `unknown_service`, or `no_upstream` while no entry
-            is live, as when all of them start.
+            is live, for example while all of them start.
         """
         if service not in configuration.services:
             names = ", ".join(sorted(configuration.services))
             raise AlmondstairError(
                 kind=ErrorKind.UNKNOWN_SERVICE,
-                detail=f"there is no service {service!r}; there are: {names}",
+                detail=f"unknown service {service!r}; known services: {names}",
             )
         entries: list[EntryBody] = []
         block = caller_block(address=caller_ip)
@@ -95,25 +95,28 @@
         if not entries:
             raise AlmondstairError(
                 kind=ErrorKind.NO_UPSTREAM,
-                detail="no entry takes work yet",
-                retry_after_ms=START_RETRY_MS,
+                detail="no entry accepts work yet",
+                retry_after_ms=STARTUP_RETRY_AFTER_MS,
             )
         return LookupBody(service=service, entries=entries, ttl_s=self._ttl_s)
 
     def _current_table(self) -> LookupTable:
         now_s = time.monotonic()
-        if self._table is not None and now_s - self._looked_s < LIVE_LIMIT_S:
+        if (
+            self._table is not None
+            and now_s - self._refreshed_s < LIVE_REFRESH_S
+        ):
             return self._table
         live = self._membership.live(now_s=now_s)
-        self._looked_s = now_s
-        if self._table is None or live != self._live:
-            self._live = live
+        self._refreshed_s = now_s
+        if self._table is None or live != self._live_rows:
+            self._live_rows = live
             self._table = self._make_table()
         return self._table
 
     def _make_table(self) -> LookupTable:
         entries = []
-        for row in self._live:
+        for row in self._live_rows:
             entries.append(
                 LookupEntry(row.name, row.availability_zone, row.caller_address)
             )
--- a/almondstair/pacing.py
+++ b/almondstair/pacing.py
@@ -1,4 +1,4 @@
-"""Waits for the share of a link before bytes move over it."""
+"""Pacing of bytes over links, within this entry's shares."""
 
 import asyncio
 import heapq
@@ -12,79 +12,82 @@
 from almondstair.errors import ErrorKind
 from almondstair.http_client import RECEIVE_BUFFER_BYTES
 
-# A request that would wait longer for its link is refused at once.
-LONGEST_QUEUE_S = 1.0
-LONGEST_RETRY_S = 60.0
-LEAST_RETRY_MS = 100
-FIRST_WAIT_S = 0.001
-# Part of a link's cap that one connection should reach, whatever the distance.
+# A request that would queue longer for its link is refused at once.
+MAX_QUEUE_DELAY_S = 1.0
+MAX_RETRY_AFTER_S = 60.0
+MIN_RETRY_AFTER_MS = 100
+MIN_WAIT_S = 0.001
+# Fraction of a link's cap that one connection should reach at any distance.
 CONNECTION_FRACTION = 0.125
-MOST_WINDOW_BYTES = 1 << 20
-# What is read at once comes on top of what lies in the kernel.
+MAX_WINDOW_BYTES = 1 << 20
+# Bytes read at once, in addition to those in the kernel's buffer.
 READ_AHEAD_BYTES = 64 * 1024
-# How fast the expected size of an answer rises to larger ones; it falls at
-# once, so that little is paid for bytes that do not come.
-SIZE_WEIGHT = 0.2
-# Part of its share that an entry surely moves; see DEPTH_FRACTION of links.
-REACHED_FRACTION = 0.9
+# Smoothing factor of the expected response size for larger responses. It drops
+# at once for smaller ones, so that few bytes are reserved in vain.
+SIZE_SMOOTHING = 0.2
+# Fraction of its share that an entry achieves at least; see DEPTH_FRACTION in
+# core/links.py.
+ACHIEVED_FRACTION = 0.9
 
 
 def window_bytes(*, cap_bytes_per_s: int, latency_ms: float) -> int:
     """Returns the receive buffer of a connection over a link.
 
-    A connection moves one buffer in each round trip. With one size for all, a
-    region 55 ms away would get a few hundred kilobytes a second, and a long
-    statement would miss its deadline on an idle link.
+    A connection transfers one buffer per round trip. With the same size for all
+    links, a connection to a region 55 ms away would reach only a few hundred
+    kilobytes per second, and a large response would miss its deadline on an
+    idle link.
 
     Args:
       cap_bytes_per_s: cap of the link.
-      latency_ms: one way.
+      latency_ms: one-way latency of the link.
     """
     round_trip_s = 2 * latency_ms / 1000
-    wanted = int(cap_bytes_per_s * CONNECTION_FRACTION * round_trip_s)
-    return max(RECEIVE_BUFFER_BYTES, min(MOST_WINDOW_BYTES, wanted))
+    size_bytes = int(cap_bytes_per_s * CONNECTION_FRACTION * round_trip_s)
+    return max(RECEIVE_BUFFER_BYTES, min(MAX_WINDOW_BYTES, size_bytes))
 
 
-class _Waiting(NamedTuple):
-    """A piece in the queue, in the order in which pieces move."""
+class _QueuedChunk(NamedTuple):
+    """Holds a queued chunk; ordered by priority, deadline and arrival."""
 
     rank: int
     deadline_s: float
     number: int
     size_bytes: int
     future: "asyncio.Future[int]"
-    whole: bool
+    all_at_once: bool
 
 
 class LinkPacer:
-    """The queue before one link in one direction.
+    """Queues the chunks that wait for one direction of a link.
 
-    Pieces move by priority, then by the deadline of their request, then in
-    order. Without an order a stream of large pieces would take the tokens that
-    small ones wait for; and bodies that share a full link would all end late.
+    Chunks are sent by priority, then by the deadline of their request, then in
+    order of arrival. Otherwise a stream of large chunks would take the tokens
+    that small ones wait for, and all bodies that share a full link would miss
+    their deadlines.
     """
 
     def __init__(self, *, share: LinkShare) -> None:
-        """Paces by `share`."""
+        """Creates an empty queue that is paced by `share`."""
         self.share = share
-        self._queue: list[_Waiting] = []
+        self._queue: list[_QueuedChunk] = []
         self._queued_bytes = 0
         self._number = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._promised_bytes = dict.fromkeys(RANKS.values(), 0)
+        self._committed_bytes = dict.fromkeys(RANKS.values(), 0)
 
     async def move(
         self, size_bytes: int, priority: Priority, deadline_s: float
     ) -> int:
-        """Waits until bytes may move.
+        """Waits until at least part of a chunk may be sent.
 
         Args:
-          size_bytes: size of the piece.
-          priority: of the request's class.
-          deadline_s: of the request.
+          size_bytes: size of the chunk.
+          priority: priority of the request's class.
+          deadline_s: the request's deadline, in monotonic seconds.
 
         Returns:
-          How many of its bytes may move now; at least 1.
+          How many bytes of the chunk may be sent now; at least 1.
         """
         if not self._queue:
             part = self.share.take_part(
@@ -92,19 +95,22 @@
             )
             if part.size_bytes:
                 return part.size_bytes
-            self._wake_in(part.wait_s)
-        return await self._wait(size_bytes, priority, deadline_s, whole=False)
+            self._schedule_advance(part.wait_s)
+        return await self._wait(
+            size_bytes, priority, deadline_s, all_at_once=False
+        )
 
     async def pay_ahead(
         self, size_bytes: int, priority: Priority, deadline_s: float
     ) -> None:
-        """Waits until a piece is paid for that will move soon, as a whole.
+        """Waits until all of a chunk that is sent later is reserved.
 
-        Several that are paid for in turns would all be whole at one moment,
-        and what was paid for over a second would move in an instant.
+        Chunks are reserved one after another. If they were reserved in turns,
+        several would be complete at the same moment, and bytes reserved over a
+        second would be sent in an instant.
         """
-        self._wake_in(FIRST_WAIT_S)
-        await self._wait(size_bytes, priority, deadline_s, whole=True)
+        self._schedule_advance(MIN_WAIT_S)
+        await self._wait(size_bytes, priority, deadline_s, all_at_once=True)
 
     async def _wait(
         self,
@@ -112,68 +118,76 @@
         priority: Priority,
         deadline_s: float,
         *,
-        whole: bool,
+        all_at_once: bool,
     ) -> int:
         self._number += 1
         future = asyncio.get_running_loop().create_future()
-        waiting = _Waiting(
+        waiting = _QueuedChunk(
             RANKS[priority],
             deadline_s,
             self._number,
             size_bytes,
             future,
-            whole,
+            all_at_once,
         )
         heapq.heappush(self._queue, waiting)
         self._queued_bytes += size_bytes
         return await future
 
     def queue_s(self, *, now_s: float) -> float:
-        """Returns how long a new piece would wait, roughly."""
+        """Returns roughly how long a new chunk would queue, in seconds."""
         if not self._queued_bytes:
             return 0.0
-        rate = self._own_bytes_per_s(now_s)
+        rate = self._usable_bytes_per_s(now_s)
         if rate <= 0:
             return float("inf")
         return self._queued_bytes / rate
 
     def promise(self, *, size_bytes: int, priority: Priority) -> None:
-        """Counts bytes that an accepted request will move; negative: moved."""
-        self._promised_bytes[RANKS[priority]] += size_bytes
+        """Adds bytes that an accepted request will send.
+
+        Args:
+          size_bytes: size; negative for bytes that are sent or given up.
+          priority: priority of the request's class.
+        """
+        self._committed_bytes[RANKS[priority]] += size_bytes
 
     def carry_s(
         self, *, size_bytes: int, priority: Priority, now_s: float
     ) -> float:
-        """Returns how long a body takes behind all that goes before it."""
+        """Returns how long a body takes behind all bytes ahead, in seconds."""
         ahead_bytes = size_bytes
-        for rank, promised_bytes in self._promised_bytes.items():
+        for rank, committed_bytes in self._committed_bytes.items():
             if rank <= RANKS[priority]:
-                ahead_bytes += promised_bytes
+                ahead_bytes += committed_bytes
         status = self.share.status(now_s=now_s)
-        # What is lent comes back within a term once this entry is busy.
-        rate = max(status.allowance_bytes_per_s, self._own_bytes_per_s(now_s))
+        # Bytes lent to peers return within one loan term when this entry is
+        # busy.
+        rate = max(
+            status.allowance_bytes_per_s, self._usable_bytes_per_s(now_s)
+        )
         if rate <= 0:
             return float("inf")
-        return ahead_bytes / (rate * REACHED_FRACTION)
+        return ahead_bytes / (rate * ACHIEVED_FRACTION)
 
-    def _own_bytes_per_s(self, now_s: float) -> int:
+    def _usable_bytes_per_s(self, now_s: float) -> int:
         status = self.share.status(now_s=now_s)
         rate = status.allowance_bytes_per_s + status.borrowed_bytes_per_s
         return rate - status.lent_bytes_per_s
 
     def headroom(self, *, now_s: float) -> float:
-        """Returns the unused part of this entry's share, 0 to 1."""
-        own = self._own_bytes_per_s(now_s)
-        if own <= 0:
+        """Returns the unused fraction of this entry's share, 0 to 1."""
+        usable = self._usable_bytes_per_s(now_s)
+        if usable <= 0:
             return 0.0
         used = self.share.status(now_s=now_s).used_bytes_per_s
-        return max(0.0, 1.0 - used / own)
+        return max(0.0, 1.0 - used / usable)
 
-    def _wake_in(self, wait_s: float) -> None:
+    def _schedule_advance(self, wait_s: float) -> None:
         if self._timer is None:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(
-                max(wait_s, FIRST_WAIT_S), self._advance
+                max(wait_s, MIN_WAIT_S), self._advance
             )
 
     def _advance(self) -> None:
@@ -182,17 +196,17 @@
             waiting = self._queue[0]
             if waiting.future.done():
                 # Its request was cancelled.
-                self._drop_first()
+                self._pop_first()
                 continue
             part = self.share.take_part(
                 size_bytes=waiting.size_bytes, now_s=time.monotonic()
             )
             if not part.size_bytes:
-                self._wake_in(part.wait_s)
+                self._schedule_advance(part.wait_s)
                 return
-            self._drop_first()
+            self._pop_first()
             left_bytes = waiting.size_bytes - part.size_bytes
-            if waiting.whole and left_bytes:
+            if waiting.all_at_once and left_bytes:
                 self._queued_bytes += left_bytes
                 heapq.heappush(
                     self._queue, waiting._replace(size_bytes=left_bytes)
@@ -200,13 +214,17 @@
                 continue
             waiting.future.set_result(part.size_bytes)
 
-    def _drop_first(self) -> None:
+    def _pop_first(self) -> None:
         waiting = heapq.heappop(self._queue)
         self._queued_bytes -= waiting.size_bytes
 
 
 class Transfer:
-    """The bytes of one attempt over one link, both ways."""
+    """Paces the bytes of one attempt over one link, in both directions.
+
+    Attributes:
+      answer_bytes: bytes of the response read so far.
+    """
 
     def __init__(
         self,
@@ -217,50 +235,51 @@
         body_bytes: int,
         answer_bytes: int,
     ) -> None:
-        """Counts the body as promised until `end`.
+        """Commits the bytes of the body until `end`.
 
         Args:
-          pacers: outward and inward, or none where there is no link.
-          priority: of the request's class.
-          deadline_s: when it is given up.
+          pacers: outbound and inbound pacer, empty if there is no link.
+          priority: priority of the request's class.
+          deadline_s: the request's deadline, in monotonic seconds.
           body_bytes: size of the request's body, 0 if it is not known.
-          answer_bytes: what of the answer may cross before any of it is read.
+          answer_bytes: bytes of the response that may cross the link before
+            any of them is read.
         """
         self._pacers = pacers
         self._priority = priority
         self._deadline_s = deadline_s
-        self._promised_bytes = 0
-        self._paid_bytes = answer_bytes
+        self._committed_bytes = 0
+        self._reserved_bytes = answer_bytes
         self.answer_bytes = 0
         if pacers:
-            self._promise(body_bytes)
+            self._commit(body_bytes)
 
     async def start(self) -> None:
-        """Pays for the first bytes of the answer, before it is asked for.
+        """Reserves the first bytes of the response, before the request is sent.
 
-        They cross the link as soon as the other side writes them, and lie in
-        the buffers of this one. Paid for when they are read, many answers
-        that begin at once would take the link over its cap.
+        These bytes cross the link as soon as the peer writes them, and wait in
+        this side's buffers. If they were counted only when read, many responses
+        that begin at once would exceed the link's cap.
         """
-        if self._pacers and self._paid_bytes:
+        if self._pacers and self._reserved_bytes:
             await self._pacers[1].pay_ahead(
-                self._paid_bytes, self._priority, self._deadline_s
+                self._reserved_bytes, self._priority, self._deadline_s
             )
 
     async def request(self, size_bytes: int) -> int:
-        """Waits until bytes of the request may move; see `Pace`."""
+        """Waits until bytes of the request may be sent; see `Pace`."""
         if not self._pacers:
             return size_bytes
         moved_bytes = await self._pacers[0].move(
             size_bytes, self._priority, self._deadline_s
         )
-        self._promise(-min(moved_bytes, self._promised_bytes))
+        self._commit(-min(moved_bytes, self._committed_bytes))
         return moved_bytes
 
     async def answer(self, size_bytes: int) -> int:
-        """Waits until bytes of the answer may move; see `Pace`."""
-        moved_bytes = min(size_bytes, self._paid_bytes)
-        self._paid_bytes -= moved_bytes
+        """Waits until bytes of the response may be read; see `Pace`."""
+        moved_bytes = min(size_bytes, self._reserved_bytes)
+        self._reserved_bytes -= moved_bytes
         if not moved_bytes:
             moved_bytes = size_bytes
             if self._pacers:
@@ -271,32 +290,32 @@
         return moved_bytes
 
     def end(self) -> None:
-        """Takes back what was promised and did not move."""
-        self._promise(-self._promised_bytes)
+        """Withdraws committed bytes that were not sent."""
+        self._commit(-self._committed_bytes)
 
-    def _promise(self, size_bytes: int) -> None:
+    def _commit(self, size_bytes: int) -> None:
         if not size_bytes:
             return
-        self._promised_bytes += size_bytes
+        self._committed_bytes += size_bytes
         self._pacers[0].promise(size_bytes=size_bytes, priority=self._priority)
 
 
 class LinkPacers:
-    """The links from this entry's availability zone, both directions."""
+    """Holds the pacers of all links from this entry's availability zone."""
 
     def __init__(self) -> None:
-        """Starts without a link."""
-        self._out: dict[str, LinkPacer] = {}
-        self._in: dict[str, LinkPacer] = {}
+        """Creates pacers without a link."""
+        self._outbound: dict[str, LinkPacer] = {}
+        self._inbound: dict[str, LinkPacer] = {}
         self._windows: dict[str, int] = {}
-        self._answer_bytes: dict[str, float] = {}
+        self._response_bytes: dict[str, float] = {}
 
     def add(
         self, *, region: str, outward: LinkPacer, inward: LinkPacer
     ) -> None:
         """Adds the link to a region."""
-        self._out[region] = outward
-        self._in[region] = inward
+        self._outbound[region] = outward
+        self._inbound[region] = inward
 
     def set_window(self, *, region: str, size_bytes: int) -> None:
         """Sets the receive buffer of connections to a region."""
@@ -306,34 +325,34 @@
         """Returns the receive buffer of connections to a region."""
         return self._windows.get(region, RECEIVE_BUFFER_BYTES)
 
-    def _ahead_bytes(self, region: str, kind: str) -> int:
-        """Returns what of an answer may cross a link before any is read."""
+    def _unread_response_bytes(self, region: str, response_kind: str) -> int:
+        """Returns how much of a response may cross a link before it is read."""
         buffered = 2 * self.window_bytes(region=region) + READ_AHEAD_BYTES
-        expected = self._answer_bytes.get(kind, buffered)
+        expected = self._response_bytes.get(response_kind, buffered)
         return int(min(expected, buffered))
 
     def remove(self, *, region: str) -> None:
-        """Drops a link that is no longer configured."""
-        self._out.pop(region, None)
-        self._in.pop(region, None)
+        """Removes the link to a region."""
+        self._outbound.pop(region, None)
+        self._inbound.pop(region, None)
         self._windows.pop(region, None)
 
     def regions(self) -> tuple[str, ...]:
         """Returns the regions with a link."""
-        return tuple(self._out)
+        return tuple(self._outbound)
 
     def pacers(self, *, region: str) -> tuple[LinkPacer, ...]:
-        """Returns both directions of a link, none if there is no such link."""
-        if region not in self._out:
+        """Returns the outbound and inbound pacer, empty without a link."""
+        if region not in self._outbound:
             return ()
-        return self._out[region], self._in[region]
+        return self._outbound[region], self._inbound[region]
 
     def all(self) -> tuple[LinkPacer, ...]:
-        """Returns every direction of every link."""
-        return tuple(self._out.values()) + tuple(self._in.values())
+        """Returns the pacers of both directions of every link."""
+        return tuple(self._outbound.values()) + tuple(self._inbound.values())
 
     def headroom(self, *, region: str, now_s: float) -> float:
-        """Returns the smaller unused part of both directions, 0 to 1."""
+        """Returns the smaller unused fraction of both directions, 0 to 1."""
         smallest = 1.0
         for pacer in self.pacers(region=region):
             smallest = min(smallest, pacer.headroom(now_s=now_s))
@@ -348,30 +367,30 @@
         deadline_s: float,
         now_s: float,
     ) -> None:
-        """Refuses a request that its link could not carry in time.
+        """Refuses a request whose link cannot transfer it before its deadline.
 
         Args:
-          region: where the request goes.
-          priority: of its class.
-          body_bytes: size of its body, 0 if it is not known.
-          deadline_s: when it is given up.
-          now_s: monotonic time.
+          region: destination of the request.
+          priority: priority of the request's class.
+          body_bytes: size of the request's body, 0 if it is not known.
+          deadline_s: the request's deadline, in monotonic seconds.
+          now_s: monotonic time, in seconds.
 
         Raises:
           AlmondstairError: `link_full`.
         """
         left_s = deadline_s - now_s
-        limit_s = min(LONGEST_QUEUE_S, left_s)
+        limit_s = min(MAX_QUEUE_DELAY_S, left_s)
         pacers = self.pacers(region=region)
         for pacer in pacers:
             queue_s = pacer.queue_s(now_s=now_s)
-            # Without a queue the link is not what is in the way.
+            # Without a queue the link is not the bottleneck.
             if queue_s and queue_s > limit_s:
                 raise _link_full(region, queue_s, queue_s)
         if not pacers or not body_bytes:
             return
-        # Accepted, a body that ends after its deadline would take the link
-        # from others all that time and be for nothing.
+        # A body that cannot arrive before its deadline would occupy the link to
+        # no use.
         carry_s = pacers[0].carry_s(
             size_bytes=body_bytes, priority=priority, now_s=now_s
         )
@@ -387,38 +406,40 @@
         body_bytes: int,
         kind: str,
     ) -> Transfer:
-        """Returns what paces an attempt's bytes to and from a region.
+        """Returns the pacing of one attempt's bytes to and from a region.
 
         Args:
-          region: where the request goes.
-          priority: of its class.
-          deadline_s: when it is given up.
-          body_bytes: size of its body, 0 if it is not known.
-          kind: requests of one kind have answers of like size.
+          region: destination of the request.
+          priority: priority of the request's class.
+          deadline_s: the request's deadline, in monotonic seconds.
+          body_bytes: size of the request's body, 0 if it is not known.
+          kind: one kind of request has responses of similar size.
         """
         return Transfer(
             pacers=self.pacers(region=region),
             priority=priority,
             deadline_s=deadline_s,
             body_bytes=body_bytes,
-            answer_bytes=self._ahead_bytes(region, kind),
+            answer_bytes=self._unread_response_bytes(region, kind),
         )
 
     def note_answer(self, *, kind: str, size_bytes: int) -> None:
-        """Learns the size of the answers of a kind."""
-        known = self._answer_bytes.get(kind)
-        if known is None or size_bytes < known:
-            self._answer_bytes[kind] = size_bytes
+        """Updates the expected response size of a kind of request."""
+        expected = self._response_bytes.get(kind)
+        if expected is None or size_bytes < expected:
+            self._response_bytes[kind] = size_bytes
             return
-        self._answer_bytes[kind] += (size_bytes - known) * SIZE_WEIGHT
+        self._response_bytes[kind] += (size_bytes - expected) * SIZE_SMOOTHING
 
 
-def _link_full(region: str, work_s: float, retry_s: float) -> AlmondstairError:
-    if retry_s > LONGEST_RETRY_S:
-        # No share at all yet, or any more: a loan takes a moment.
-        retry_s = LONGEST_QUEUE_S
+def _link_full(
+    region: str, queued_s: float, retry_after_s: float
+) -> AlmondstairError:
+    if retry_after_s > MAX_RETRY_AFTER_S:
+        # Without a share the wait is unknown; a loan takes a moment.
+        retry_after_s = MAX_QUEUE_DELAY_S
     return AlmondstairError(
         kind=ErrorKind.LINK_FULL,
-        detail=f"the link to {region} has work for {work_s:.1f} s",
-        retry_after_ms=max(LEAST_RETRY_MS, int(retry_s * 1000)),
+        detail=f"the queue of the link to {region} takes {queued_s:.1f} s",
+        retry_after_ms=max(MIN_RETRY_AFTER_MS, int(retry_after_s * 1000)),
     )
--- a/almondstair/serving.py
+++ b/almondstair/serving.py
@@ -1,4 +1,4 @@
-"""Answers calls: steers each to a region, an entry and an upstream."""
+"""Handles calls: steers each to a region, an entry and an upstream."""
 
 import asyncio
 import random
@@ -37,13 +37,13 @@
 from almondstair.strike_words import StrikeWords
 from almondstair.tracing import Tracing
 
-MAX_TRIES = 3
-# Pause before another try of a request whose upstream was lost: the word of the
-# strike takes some milliseconds to the other entries. The caller's answer never
-# waits for it.
-STRIKE_SPREAD_S = 0.05
-# Certain refusals that another entry may not give.
-_ELSEWHERE = frozenset(
+MAX_ATTEMPTS = 3
+# Delay before the retry of a request whose upstream was lost: the report of the
+# strike takes some milliseconds to reach the other entries. A response to the
+# caller is not delayed by it.
+STRIKE_PROPAGATION_S = 0.05
+# Refusals of requests that did not run and that another entry may accept.
+_RETRY_ELSEWHERE = frozenset(
     (
         ErrorKind.NO_SLOT,
         ErrorKind.NO_UPSTREAM,
@@ -51,8 +51,8 @@
         ErrorKind.ENTRY_LOST,
     )
 )
-# Refusals that may come before anybody has looked the key up.
-_BEFORE_CLAIM = frozenset(
+# Refusals that may occur before the idempotency key is looked up.
+_BEFORE_KEY_LOOKUP = frozenset(
     (
         ErrorKind.NO_SLOT,
         ErrorKind.LINK_FULL,
@@ -70,30 +70,30 @@
         ErrorKind.NO_UPSTREAM,
     )
 )
-# Refusals that tell of the room in a region.
+# Refusals that show a lack of capacity in a region.
 _REGION_REFUSALS = frozenset((ErrorKind.NO_SLOT, ErrorKind.ENTRY_LEAVING))
-# Part of a class's deadline that a try must have had for its timeout to count
-# against the region. A caller that allows a few milliseconds would otherwise
-# make every region look dead to all other callers.
-_FAIR_TRY_FRACTION = 0.5
+# Fraction of the class's deadline that an attempt must last for its timeout to
+# count as a failure of the region. Otherwise a caller with a deadline of a few
+# milliseconds would make every region look failed to all other callers.
+_MIN_TIMEOUT_FRACTION = 0.5
 
 
 class Parts(NamedTuple):
-    """What serving is made of.
+    """Holds the components that call handling depends on.
 
     Attributes:
       own: this entry's row.
-      membership: who is an entry and who is heard.
+      membership: the entries and their heartbeats.
       steering: weights over regions.
       hops: free slots by entry.
       quarantine: requests that crashed upstreams.
       pacers: links from this availability zone.
       runner: runs calls at upstreams of this entry.
       sender: forwards calls to other entries.
-      tracing: makes spans.
-      metrics: counts.
-      standstill: time for which this entry stood still.
-      strike_words: words of other entries on crashing requests.
+      tracing: creates spans.
+      metrics: counters and timings.
+      standstill: time for which this process was stalled.
+      strike_words: other entries' reports of requests that crash upstreams.
     """
 
     own: EntryRow
@@ -110,31 +110,31 @@
     strike_words: StrikeWords
 
 
-class _Start(NamedTuple):
-    """When a try started, and how long this entry had stood still by then."""
+class _AttemptStart(NamedTuple):
+    """Holds an attempt's start time and the stall time up to it."""
 
-    at_s: float
-    still_s: float
+    started_s: float
+    stalled_s: float
 
 
 class _Hop(NamedTuple):
-    """Where a try goes: a region, and an entry of it."""
+    """Holds the destination of an attempt: a region and one of its entries."""
 
     region: str
     row: EntryRow
 
 
 class Serving:
-    """Answers the calls of one entry."""
+    """Routes the calls of one entry, with retries."""
 
     def __init__(self, *, parts: Parts) -> None:
-        """Makes it out of its parts."""
+        """Creates a router without a configuration."""
         self._parts = parts
         self._budgets: dict[str, RetryBudget] = {}
         self._configuration: Configuration | None = None
 
     def configure(self, *, configuration: Configuration) -> None:
-        """Takes the configuration in force."""
+        """Applies the configuration in force."""
         self._configuration = configuration
         for service in configuration.services:
             profile = configuration.services[service].profile
@@ -144,7 +144,7 @@
                 self._budgets[service] = RetryBudget(fraction=fraction)
 
     async def handle(self, call: Call) -> None:
-        """Answers a call, whole or with an error of the closed list."""
+        """Responds to a call, with an upstream's response or an error."""
         started_s = time.monotonic()
         name = "entry"
         if call.from_entry:
@@ -159,16 +159,18 @@
                     span, otherwise=call.traceparent
                 )
             )
-            error = await self._answer_in_time(call)
+            error = await self._answer_before_deadline(call)
             if error is not None:
                 span.set_attribute("error", str(error.kind))
-        self._count(call, error, started_s)
+        self._record_metrics(call, error, started_s)
 
-    async def _answer_in_time(self, call: Call) -> AlmondstairError | None:
+    async def _answer_before_deadline(
+        self, call: Call
+    ) -> AlmondstairError | None:
         error: AlmondstairError | None = None
         try:
             async with asyncio.timeout_at(call.head.deadline_s):
-                error = await self._answer(call)
+                error = await self._route(call)
         except TimeoutError:
             error = timeout_error(call.progress)
         except AlmondstairError as raised:
@@ -176,26 +178,30 @@
         if error is None:
             return None
         error = unknown_if_run(error, call=call)
-        # Closed before the answer is written: nothing dispatches it after.
+        # Marked as answered before the response is written, so that nothing
+        # dispatches the request any more.
         call.progress.answer()
-        error = await self._answer_repeat(call, error)
+        error = await self._replay_known_outcome(call, error)
         if error is not None:
             call.answer.problem(error)
         return error
 
-    async def _answer_repeat(
+    async def _replay_known_outcome(
         self, call: Call, error: AlmondstairError
     ) -> AlmondstairError | None:
-        """Answers a refused repeat with what is known of its key.
+        """Responds to a refused repeat with the recorded outcome of its key.
+
+        Suppose that a request with a key runs, its response is lost, and the
+        caller repeats it while every slot is taken. A refusal as "not run"
+        would make the caller send the request again under a new key, and it
+        would run twice. The key is therefore looked up before such a refusal.
 
-        What goes wrong without it: an approval runs and its answer is lost,
-        the caller repeats it, finds every slot taken and is told "not run".
-        It would take that for the fate of the approval and send it once more
-        under a new key. So the key is looked up before such an answer.
+        Returns:
+          None if the recorded response was sent, else the error to send.
         """
         if not call.head.key or call.from_entry:
             return error
-        if error.ran is not Ran.NO or error.kind not in _BEFORE_CLAIM:
+        if error.ran is not Ran.NO or error.kind not in _BEFORE_KEY_LOOKUP:
             return error
         try:
             async with asyncio.timeout_at(call.head.deadline_s):
@@ -203,11 +209,11 @@
                     return None
         except TimeoutError:
             return error
-        except AlmondstairError as known:
-            return known
+        except AlmondstairError as key_error:
+            return key_error
         return error
 
-    async def _answer(self, call: Call) -> AlmondstairError | None:
+    async def _route(self, call: Call) -> AlmondstairError | None:
         fingerprint = request_fingerprint(
             method=call.head.method,
             path=f"/{call.head.service}{call.head.path}",
@@ -217,9 +223,9 @@
         if call.alone and verdict is Verdict.CLEAR:
             verdict = Verdict.ALONE
         if call.from_entry:
-            work = Work(call, fingerprint, verdict, no_pace)
-            return await self._parts.runner.run(work)
-        return await self._steer(call, fingerprint, verdict)
+            job = Work(call, fingerprint, verdict, no_pace)
+            return await self._parts.runner.run(job)
+        return await self._route_with_retries(call, fingerprint, verdict)
 
     def _verdict(self, fingerprint: int) -> Verdict:
         self._parts.strike_words.read_waiting()
@@ -236,47 +242,47 @@
             )
         return verdict
 
-    async def _steer(
+    async def _route_with_retries(
         self, call: Call, fingerprint: int, verdict: Verdict
     ) -> AlmondstairError | None:
         budget = self._budgets[call.head.service]
         budget.first_try(now_s=time.monotonic())
         tried: frozenset[str] = frozenset()
-        error = self._without_region(call)
-        for _ in range(MAX_TRIES):
+        error = self._no_region_error(call)
+        for _ in range(MAX_ATTEMPTS):
             hop = self._next_hop(call, tried)
             if verdict is Verdict.ALONE:
                 hop = self._owner(call, fingerprint)
             if hop is None or hop.row.name in tried:
                 break
             tried = tried | {hop.row.name}
-            failed = await self._try(call, hop, fingerprint, verdict)
-            if failed is None:
+            attempt_error = await self._attempt(call, hop, fingerprint, verdict)
+            if attempt_error is None:
                 self._parts.quarantine.answered(fingerprint=fingerprint)
                 return None
-            error = failed
-            if not self._may_go_on(call, error, budget):
+            error = attempt_error
+            if not self._may_retry(call, error, budget):
                 break
             self._parts.metrics.count(Metric.RETRIES)
             call.answer.reset()
             verdict = self._verdict(fingerprint)
             if error.kind is ErrorKind.UPSTREAM_LOST:
-                # The strike was made at another entry and its word may still
-                # be on the way. Tried again like any other request, this one
-                # would take along what runs beside it.
+                # The report of the strike by the other entry may not have
+                # arrived yet. An ordinary retry could crash an upstream that
+                # runs other requests, so the retry runs isolated.
                 call = call._replace(alone=True)
-                await asyncio.sleep(STRIKE_SPREAD_S)
+                await asyncio.sleep(STRIKE_PROPAGATION_S)
                 verdict = self._verdict(fingerprint)
                 if verdict is Verdict.CLEAR:
                     verdict = Verdict.ALONE
-        return _spread(error)
+        return _jitter_retry_after(error)
 
-    def _without_region(self, call: Call) -> AlmondstairError:
-        """Returns what to answer when no region is tried at all.
+    def _no_region_error(self, call: Call) -> AlmondstairError:
+        """Returns the error for a call for which no region is tried.
 
-        Low priority is refused here while every region is full for it. Told
-        that there is no upstream, its callers would stay away for seconds in
-        which slots come free.
+        Low priority is refused here while every region is full for it. With
+        `no_upstream` its callers would stay away for seconds in which slots
+        become free.
         """
         weights = self._parts.steering.weights(
             service=call.head.service,
@@ -289,7 +295,7 @@
         return AlmondstairError(kind=ErrorKind.NO_UPSTREAM)
 
     def _next_hop(self, call: Call, tried: frozenset[str]) -> _Hop | None:
-        """Returns the best entry of the best region not tried yet."""
+        """Returns the best untried entry of the best region, None if none."""
         now_s = time.monotonic()
         regions = self._parts.steering.choose(
             service=call.head.service,
@@ -329,11 +335,11 @@
         )
         return None if row is None else _Hop(row.region, row)
 
-    async def _try(
+    async def _attempt(
         self, call: Call, hop: _Hop, fingerprint: int, verdict: Verdict
     ) -> AlmondstairError | None:
         service = call.head.service
-        start = self._start()
+        start = self._attempt_start()
         priority = call.head.request_class.priority
         pacers = self._parts.pacers
         pacers.check(
@@ -341,7 +347,7 @@
             priority=priority,
             body_bytes=call.body_bytes,
             deadline_s=call.head.deadline_s,
-            now_s=start.at_s,
+            now_s=start.started_s,
         )
         kind = f"{service}/{call.head.request_class.name}"
         transfer = pacers.transfer(
@@ -360,8 +366,8 @@
         try:
             await transfer.start()
             if hop.row.name == self._parts.own.name:
-                work = Work(call, fingerprint, verdict, transfer.request)
-                error = await self._run_here(work)
+                job = Work(call, fingerprint, verdict, transfer.request)
+                error = await self._run_locally(job)
             else:
                 self._parts.metrics.count(Metric.FORWARDS, hop.region)
                 error = await self._forward(call, hop, transfer.request)
@@ -370,18 +376,20 @@
         finally:
             transfer.end()
             self._parts.hops.returned(entry=hop.row.name, service=service)
-            self._tell_steering(call, hop, error, start)
+            self._report_to_steering(call, hop, error, start)
         return error
 
-    def _start(self) -> _Start:
-        return _Start(at_s=time.monotonic(), still_s=self._still_s())
+    def _attempt_start(self) -> _AttemptStart:
+        return _AttemptStart(
+            started_s=time.monotonic(), stalled_s=self._stalled_s()
+        )
 
-    def _still_s(self) -> float:
+    def _stalled_s(self) -> float:
         return self._parts.standstill.total_s(now_s=time.monotonic())
 
-    async def _run_here(self, work: Work) -> AlmondstairError | None:
+    async def _run_locally(self, job: Work) -> AlmondstairError | None:
         try:
-            return await self._parts.runner.run(work)
+            return await self._parts.runner.run(job)
         except AlmondstairError as error:
             return error
 
@@ -400,21 +408,21 @@
             await call.answer.complete()
         return None
 
-    def _tell_steering(
+    def _report_to_steering(
         self,
         call: Call,
         hop: _Hop,
         error: AlmondstairError | None,
-        start: _Start,
+        start: _AttemptStart,
     ) -> None:
         now_s = time.monotonic()
-        length_ms = (now_s - start.at_s) * 1000
+        duration_ms = (now_s - start.started_s) * 1000
         service = call.head.service
         request_class = call.head.request_class
         regions = self._parts.steering.regions
         if error is None and call.answer.status >= SERVER_ERROR:
-            # A whole answer to the caller, but no sign that the region works:
-            # one that fails everything quickly would look the least loaded.
+            # The caller gets this response, but the region counts as failed: a
+            # region that fails fast would otherwise look the least loaded.
             regions.failed(region=hop.region, service=service, now_s=now_s)
             return
         if error is None:
@@ -423,9 +431,9 @@
                 service=service,
                 priority=request_class.priority,
                 request_class=request_class.name,
-                latency_ms=length_ms,
+                latency_ms=duration_ms,
                 now_s=now_s,
-                still_ms=(self._still_s() - start.still_s) * 1000,
+                still_ms=(self._stalled_s() - start.stalled_s) * 1000,
             )
             return
         if error.kind is ErrorKind.NO_SLOT:
@@ -440,39 +448,39 @@
                 now_s=now_s,
             )
             return
-        fair_ms = request_class.deadline_ms * _FAIR_TRY_FRACTION
+        min_ms = request_class.deadline_ms * _MIN_TIMEOUT_FRACTION
         timed_out = error.kind is ErrorKind.UPSTREAM_TIMEOUT
-        too_short = timed_out and length_ms < fair_ms
+        too_short = timed_out and duration_ms < min_ms
         if error.kind in _FAILURES and not too_short:
             regions.failed(region=hop.region, service=service, now_s=now_s)
             return
         regions.returned(region=hop.region, service=service)
 
-    def _may_go_on(
+    def _may_retry(
         self, call: Call, error: AlmondstairError, budget: RetryBudget
     ) -> bool:
-        """Says whether a call may be tried once more.
+        """Returns whether a call may be retried.
 
-        Only what certainly did not run, or does no harm when it runs twice,
-        is tried again, and only within the budget: under overload every try
-        is refused, and without a budget each request would be sent on until
-        the system is busy with refusals.
+        A request is retried only if it certainly did not run or is idempotent,
+        and only within the retry budget. Under overload most attempts are
+        refused, and retries without a budget would saturate the system with
+        refusals.
         """
         if not call.answer.untouched or call.answer.caller_gone:
             return False
         if not call.body.replayable and call.body.consumed:
             return False
-        not_run = error.ran is Ran.NO and error.kind in _ELSEWHERE
-        harmless = call.head.request_class.idempotent and (
+        not_run = error.ran is Ran.NO and error.kind in _RETRY_ELSEWHERE
+        repeatable = call.head.request_class.idempotent and (
             error.kind in _FAILURES
         )
-        if not not_run and not harmless:
+        if not not_run and not repeatable:
             return False
         if error.kind is ErrorKind.UPSTREAM_TIMEOUT:
             return False
         return budget.may_retry(now_s=time.monotonic())
 
-    def _count(
+    def _record_metrics(
         self, call: Call, error: AlmondstairError | None, started_s: float
     ) -> None:
         metrics = self._parts.metrics
@@ -493,8 +501,8 @@
         metrics.timing(Metric.LATENCY_MS, label, latency_ms)
 
 
-def _spread(error: AlmondstairError) -> AlmondstairError:
-    """Spreads the times at which refused callers come back."""
+def _jitter_retry_after(error: AlmondstairError) -> AlmondstairError:
+    """Returns the error with jitter in the time to retry after."""
     if error.retry_after_ms is None:
         return error
     return AlmondstairError(
--- a/almondstair/settling.py
+++ b/almondstair/settling.py
@@ -1,4 +1,4 @@
-"""Brings outcomes of claims into the platform's service, behind the caller."""
+"""Writes outcomes of claims to the platform's service in the background."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,30 +8,31 @@
 from almondstair.core import ledger
 from almondstair.key_value import base
 
-# Outcomes that are kept while the service is out, and the bytes of their
-# answers; an eighth of the 128 MB that an entry may take.
-MAX_UNSETTLED = 10_000
+# Limits on the outcomes kept during an outage of the service and on their
+# response bodies; the bodies may take an eighth of an entry's 128 MB.
+MAX_PENDING = 10_000
 MAX_UNSETTLED_BODY_BYTES = 16 << 20
-# Outcomes in one round: what one call to the service carries.
-MAX_SETTLED_AT_ONCE = base.MAX_BATCH
-# Longest time for one write. Nobody waits for it, so it is long.
-SETTLE_TIMEOUT_S = 5.0
-# Pauses after rounds in which a write failed; each is twice the one before.
-RETRY_FIRST_S = 0.2
-RETRY_LAST_S = 5.0
-
-# Carries out a write: the write, whether it goes before others, and until when.
+# Outcomes in one round; one call to the service carries as many.
+MAX_WRITES_PER_ROUND = base.MAX_BATCH
+# Timeout of one write; long, since no caller waits for it.
+WRITE_TIMEOUT_S = 5.0
+# Exponential backoff after rounds in which a write failed.
+MIN_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 5.0
+
+# Performs a write. Arguments: the write, whether it is urgent, and its timeout
+# as a monotonic time in seconds.
 Write = Callable[
     [base.ConditionalWrite, bool, float], Awaitable[base.CasResult]
 ]
 
 
 class Settling:
-    """Keeps outcomes until the service has them.
+    """Buffers outcomes and writes them to the service in batches.
 
     Attributes:
-      dropped: outcomes given up for want of memory.
-      overtaken: outcomes whose key held somebody else's claim.
+      dropped: outcomes dropped because the memory limit was reached.
+      overtaken: outcomes whose key holds another claim.
     """
 
     def __init__(
@@ -41,94 +42,94 @@
         delay_s: float,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Starts with nothing to bring in.
+        """Creates a writer without pending outcomes.
 
         Args:
-          write: carries out a write at the service.
-          delay_s: how long outcomes are collected, so that several go in one
-            call; 0 for not at all.
-          now: monotonic clock of the loop.
+          write: performs a write at the service.
+          delay_s: how long outcomes are collected into one call, in seconds; 0
+            disables batching.
+          now: monotonic clock of the event loop, in seconds.
         """
         self._write = write
         self._delay_s = delay_s
         self._now = now
-        self._unsettled: dict[bytes, ledger.Settlement] = {}
+        self._pending: dict[bytes, ledger.Settlement] = {}
         self._outcomes: dict[str, ledger.ClaimRecord] = {}
-        self._body_bytes = 0
+        self._pending_body_bytes = 0
         self._task: asyncio.Task[None] | None = None
-        self._awaited: dict[bytes, asyncio.Event] = {}
-        self._hurry = asyncio.Event()
+        self._attempted: dict[bytes, asyncio.Event] = {}
+        self._flush_requested = asyncio.Event()
         self.dropped = 0
         self.overtaken = 0
 
     @property
     def unsettled(self) -> int:
-        """Outcomes that the service does not have yet."""
-        return len(self._unsettled)
+        """Number of outcomes that are not written to the service yet."""
+        return len(self._pending)
 
     def outcome(self, *, place: str) -> ledger.ClaimRecord | None:
-        """Returns the outcome of a key that is still on its way, if any."""
+        """Returns the pending outcome of a key, None if there is none."""
         return self._outcomes.get(place)
 
     def is_released(self, *, nonce: bytes) -> bool:
-        """Says whether a claim was given up and its release is on its way."""
-        settlement = self._unsettled.get(nonce)
-        if settlement is None:
+        """Returns whether the release of a claim is pending."""
+        recording = self._pending.get(nonce)
+        if recording is None:
             return False
-        return settlement.record.state is ledger.RecordState.RELEASED
+        return recording.record.state is ledger.RecordState.RELEASED
 
     def settle(
         self, *, place: str, record: ledger.ClaimRecord, mod_revision: int
     ) -> None:
-        """Brings an outcome in; returns at once.
+        """Queues an outcome to be written; returns at once.
 
         Args:
-          place: where the key's record is.
+          place: key of the record in the service.
           record: the record with its outcome.
-          mod_revision: revision that its write is conditional on.
+          mod_revision: revision that the write is conditional on.
         """
-        if len(self._unsettled) >= MAX_UNSETTLED:
-            # A long outage under load would otherwise take all memory.
+        if len(self._pending) >= MAX_PENDING:
+            # Bounds the memory in a long outage under load.
             self.dropped += 1
             return
-        size_bytes = _size_bytes(record) + self._body_bytes
+        size_bytes = _body_size_bytes(record) + self._pending_body_bytes
         if record.answer is not None and size_bytes > MAX_UNSETTLED_BODY_BYTES:
             record = record._replace(answer=record.answer._replace(body=None))
-        self._body_bytes += _size_bytes(record)
-        self._unsettled[record.nonce] = ledger.Settlement(
+        self._pending_body_bytes += _body_size_bytes(record)
+        self._pending[record.nonce] = ledger.Settlement(
             place=place, record=record, mod_revision=mod_revision
         )
         if record.state is not ledger.RecordState.RELEASED:
             self._outcomes[place] = record
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(
-                self._settle_all()
+                self._write_all()
             )
 
     async def until_tried(self, *, nonce: bytes, until_s: float) -> bool:
-        """Has an outcome written at once; waits for the answer or failure.
+        """Writes an outcome without delay and waits for the write's result.
 
         Returns:
-          Whether it was answered or has failed by `until_s`.
+          Whether the write succeeded or failed before `until_s`.
         """
-        if nonce not in self._unsettled:
+        if nonce not in self._pending:
             return True
-        tried = self._awaited.setdefault(nonce, asyncio.Event())
-        self._hurry.set()
+        attempted = self._attempted.setdefault(nonce, asyncio.Event())
+        self._flush_requested.set()
         try:
             async with asyncio.timeout_at(until_s):
-                await tried.wait()
+                await attempted.wait()
         except TimeoutError:
             return False
         finally:
-            self._awaited.pop(nonce, None)
+            self._attempted.pop(nonce, None)
         return True
 
     async def drain(self, *, timeout_s: float) -> bool:
-        """Waits until the service has every outcome.
+        """Waits until every outcome is written to the service.
 
         Returns:
-          Whether it has.
+          Whether all outcomes were written within the timeout, in seconds.
         """
         if self._task is None:
             return True
@@ -136,81 +137,81 @@
         return bool(done)
 
     def close(self) -> None:
-        """Stops bringing in outcomes."""
+        """Stops writing outcomes."""
         if self._task is not None:
             self._task.cancel()
 
-    async def _settle_all(self) -> None:
-        delay_s = RETRY_FIRST_S
+    async def _write_all(self) -> None:
+        backoff_s = MIN_BACKOFF_S
         try:
-            while self._unsettled:
-                if len(self._unsettled) < MAX_SETTLED_AT_ONCE:
-                    await self._collect()
-                if await self._settle_some():
-                    delay_s = RETRY_FIRST_S
+            while self._pending:
+                if len(self._pending) < MAX_WRITES_PER_ROUND:
+                    await self._wait_for_batch()
+                if await self._write_round():
+                    backoff_s = MIN_BACKOFF_S
                     continue
-                if delay_s == RETRY_FIRST_S:
+                if backoff_s == MIN_BACKOFF_S:
                     log.event(
                         log.Event.CLAIM_NOT_RECORDED,
-                        unsettled=len(self._unsettled),
+                        unsettled=len(self._pending),
                     )
-                await asyncio.sleep(delay_s)
-                delay_s = min(delay_s * 2, RETRY_LAST_S)
+                await asyncio.sleep(backoff_s)
+                backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
         finally:
             self._task = None
 
-    async def _collect(self) -> None:
-        """Lets outcomes come together, unless somebody waits for one."""
+    async def _wait_for_batch(self) -> None:
+        """Waits for the batching delay, or until a flush is requested."""
         try:
             async with asyncio.timeout(self._delay_s):
-                await self._hurry.wait()
+                await self._flush_requested.wait()
         except TimeoutError:
-            # The time to collect is over; the round begins.
+            # The batching delay is over.
             return
 
-    async def _settle_some(self) -> bool:
-        """Tries the oldest outcomes; returns whether none of them failed."""
-        self._hurry.clear()
-        settlements = []
-        for settlement in self._unsettled.values():
-            settlements.append(self._settle_one(settlement))
-            if len(settlements) == MAX_SETTLED_AT_ONCE:
+    async def _write_round(self) -> bool:
+        """Writes the oldest outcomes; returns whether every write succeeded."""
+        self._flush_requested.clear()
+        recordings = []
+        for recording in self._pending.values():
+            recordings.append(self._write_one(recording))
+            if len(recordings) == MAX_WRITES_PER_ROUND:
                 break
-        return all(await asyncio.gather(*settlements))
+        return all(await asyncio.gather(*recordings))
 
-    async def _settle_one(self, settlement: ledger.Settlement) -> bool:
-        until_s = self._now() + SETTLE_TIMEOUT_S
+    async def _write_one(self, recording: ledger.Settlement) -> bool:
+        until_s = self._now() + WRITE_TIMEOUT_S
         state = ledger.SettlementState.AGAIN
         while state is ledger.SettlementState.AGAIN:
             try:
-                write = settlement.write(lease_id=0)
-                urgent = settlement.record.nonce in self._awaited
+                write = recording.write(lease_id=0)
+                urgent = recording.record.nonce in self._attempted
                 result = await self._write(write, urgent, until_s)
             except base.PlatformError:
-                # Logged for all that wait, by the round.
-                self._note_tried(settlement)
+                # The caller logs failures once per round.
+                self._signal_attempt(recording)
                 return False
-            state = settlement.on_write(result)
+            state = recording.on_write(result)
         if state is ledger.SettlementState.OVERTAKEN:
             self.overtaken += 1
-        self._forget(settlement)
+        self._remove(recording)
         return True
 
-    def _note_tried(self, settlement: ledger.Settlement) -> None:
-        tried = self._awaited.get(settlement.record.nonce)
-        if tried is not None:
-            tried.set()
+    def _signal_attempt(self, recording: ledger.Settlement) -> None:
+        attempted = self._attempted.get(recording.record.nonce)
+        if attempted is not None:
+            attempted.set()
 
-    def _forget(self, settlement: ledger.Settlement) -> None:
-        self._note_tried(settlement)
-        record = settlement.record
-        del self._unsettled[record.nonce]
-        self._body_bytes -= _size_bytes(record)
+    def _remove(self, recording: ledger.Settlement) -> None:
+        self._signal_attempt(recording)
+        record = recording.record
+        del self._pending[record.nonce]
+        self._pending_body_bytes -= _body_size_bytes(record)
         if record.state is not ledger.RecordState.RELEASED:
-            del self._outcomes[settlement.place]
+            del self._outcomes[recording.place]
 
 
-def _size_bytes(record: ledger.ClaimRecord) -> int:
+def _body_size_bytes(record: ledger.ClaimRecord) -> int:
     if record.answer is None or record.answer.body is None:
         return 0
     return len(record.answer.body)
