--- a/almondstair/gateway/call_records.py
+++ b/almondstair/gateway/call_recorder.py
@@ -5,11 +5,11 @@
 from almondstair.core.choosing import Choice
 from almondstair.core.fleet import Fleet
 from almondstair.errors import AlmondstairError
-from almondstair.gateway.calls import AttemptResult
-from almondstair.gateway.calls import ForwardedCall
-from almondstair.gateway.incoming import CallerRequest
-from almondstair.gateway.incoming import ResponseWait
-from almondstair.gateway.measures import Measures
+from almondstair.gateway.caller_request import CallerRequest
+from almondstair.gateway.caller_request import ResponseWait
+from almondstair.gateway.forwarded_call import AttemptResult
+from almondstair.gateway.forwarded_call import ForwardedCall
+from almondstair.gateway.gateway_metrics import GatewayMetrics
 from almondstair.gateway.upstream_connection import UpstreamExchange
 from almondstair.platform import headers as names
 
@@ -17,7 +17,7 @@
 class CallRecorder:
     """Logs and counts calls, with the inputs of each routing decision."""
 
-    def __init__(self, *, fleet: Fleet, metrics: Measures) -> None:
+    def __init__(self, *, fleet: Fleet, metrics: GatewayMetrics) -> None:
         """Creates the recorder of one entry.
 
         Args:
--- a/almondstair/gateway/caller_connection.py
+++ b/almondstair/gateway/caller_connection.py
@@ -16,10 +16,10 @@
 from almondstair.core.routing import CallerLimits
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
-from almondstair.gateway.incoming import CallerRequest
-from almondstair.gateway.incoming import ResponseProgress
-from almondstair.gateway.incoming import ResponseWait
-from almondstair.gateway.incoming import ResponseWriter
+from almondstair.gateway.caller_request import CallerRequest
+from almondstair.gateway.caller_request import ResponseProgress
+from almondstair.gateway.caller_request import ResponseWait
+from almondstair.gateway.caller_request import ResponseWriter
 
 # Reading pauses while this many requests of a connection are in flight.
 MAX_PIPELINED_REQUESTS = 16
--- a/almondstair/gateway/incoming.py
+++ b/almondstair/gateway/caller_request.py
@@ -9,14 +9,14 @@
 from almondstair.clock import now_s
 from almondstair.errors import PROBLEM_CONTENT_TYPE
 from almondstair.errors import AlmondstairError
-from almondstair.gateway.http_wire import LAST_CHUNK
-from almondstair.gateway.http_wire import Headers
-from almondstair.gateway.http_wire import UpstreamResponseHead
-from almondstair.gateway.http_wire import encode_chunk
-from almondstair.gateway.http_wire import encode_head
-from almondstair.gateway.http_wire import encode_status_line
-from almondstair.gateway.http_wire import find_header
-from almondstair.gateway.http_wire import has_no_body
+from almondstair.gateway.http_encoding import LAST_CHUNK
+from almondstair.gateway.http_encoding import Headers
+from almondstair.gateway.http_encoding import UpstreamResponseHead
+from almondstair.gateway.http_encoding import encode_chunk
+from almondstair.gateway.http_encoding import encode_head
+from almondstair.gateway.http_encoding import encode_status_line
+from almondstair.gateway.http_encoding import find_header
+from almondstair.gateway.http_encoding import has_no_body
 from almondstair.gateway.upstream_connection import UpstreamResponseSink
 from almondstair.http_messages import problem_body
 
--- a/almondstair/gateway/upstream_pool.py
+++ b/almondstair/gateway/connection_pool.py
@@ -10,7 +10,7 @@
 NON_IDEMPOTENT_IDLE_SHARE = 0.5
 
 
-class UpstreamPool:
+class ConnectionPool:
     """Opens connections and keeps idle ones for later requests.
 
     Attributes:
@@ -25,9 +25,9 @@
         """
         self._id_header = id_header
         self._idle: dict[str, list[UpstreamConnection]] = {}
-        self.opened = 0
+        self.connections_opened = 0
 
-    def take_idle(
+    def acquire_idle(
         self, *, incarnation: str, repeatable: bool
     ) -> UpstreamConnection | None:
         """Returns an idle connection, None if there is no suitable one.
@@ -72,10 +72,10 @@
             _, connection = await loop.create_connection(
                 create_protocol, ip, int(port)
             )
-        self.opened += 1
+        self.connections_opened += 1
         return connection
 
-    def give_back(
+    def release(
         self, connection: UpstreamConnection, *, incarnation: str
     ) -> None:
         """Returns a connection to the pool if it is still usable."""
@@ -83,7 +83,7 @@
             return
         self._idle.setdefault(incarnation, []).append(connection)
 
-    def forget(self, *, incarnation: str) -> None:
+    def close_upstream(self, *, incarnation: str) -> None:
         """Closes the idle connections of an upstream that is gone."""
         for connection in self._idle.pop(incarnation, []):
             connection.close()
@@ -91,4 +91,4 @@
     def close(self) -> None:
         """Closes all idle connections."""
         for incarnation in list(self._idle):
-            self.forget(incarnation=incarnation)
+            self.close_upstream(incarnation=incarnation)
--- a/almondstair/gateway/crash_words.py
+++ b/almondstair/gateway/crash_reports.py
@@ -11,31 +11,35 @@
 from almondstair.core.crash_suspects import CrashVerdict
 from almondstair.core.crash_suspects import Strike
 from almondstair.core.upstream_state import UpstreamState
-from almondstair.gateway.load_sharing import LoadSharing
+from almondstair.gateway.load_exchange import LoadExchange
 from almondstair.gateway.peer_messages import LostRequest
 from almondstair.gateway.peer_messages import UpstreamGone
 
 _MS_PER_S = 1000
 
 
-class CrashWords:
+class CrashReports:
     """Sends this entry's suspicions to all other entries as they arise."""
 
     def __init__(
-        self, *, suspects: CrashSuspects, sharing: LoadSharing, own_name: str
+        self,
+        *,
+        suspects: CrashSuspects,
+        load_exchange: LoadExchange,
+        own_name: str,
     ) -> None:
         """Creates the reports of one entry.
 
         Args:
           suspects: holds the suspicions of this entry and of its peers.
-          sharing: exchanges messages with other entries.
+          load_exchange: exchanges messages with other entries.
           own_name: name of this entry.
         """
         self._suspects = suspects
-        self._sharing = sharing
+        self._load_exchange = load_exchange
         self._own_name = own_name
 
-    def note_lost(
+    def report_lost(
         self, request: int, upstream: UpstreamState, *, ran_s: float
     ) -> None:
         """Records and reports a connection that ended without a response.
@@ -49,39 +53,39 @@
         strike = Strike(request, upstream_hash)
         if self._suspects.record_lost(strike, ran_s=ran_s, now_s=now_s()):
             ran_ms = round(ran_s * _MS_PER_S)
-            self._sharing.send_all(
+            self._load_exchange.broadcast(
                 LostRequest(self._own_name, request, upstream_hash, ran_ms)
             )
 
-    def note_gone(self, upstream: UpstreamState) -> None:
+    def report_gone(self, upstream: UpstreamState) -> None:
         """Records a gone upstream and reports the requests lost there."""
         upstream_hash = upstream.name_hash
         suspected_requests = self._suspects.record_ended(
             upstream_hash, now_s=now_s()
         )
         if suspected_requests:
-            self._sharing.send_all(
+            self._load_exchange.broadcast(
                 UpstreamGone(self._own_name, upstream_hash, suspected_requests)
             )
 
-    def note_lives(self, upstream: UpstreamState) -> None:
+    def record_alive(self, upstream: UpstreamState) -> None:
         """Records that an upstream is alive after a lost response."""
         self._suspects.record_alive(upstream.name_hash)
 
-    def note_answered(self, request: int) -> None:
+    def record_response(self, request: int) -> None:
         """Records a complete response to a request."""
         self._suspects.record_response(request)
 
     def standing(self, request: int) -> CrashVerdict:
         """Returns a request's standing after reading pending reports."""
-        self._sharing.read_waiting()
+        self._load_exchange.read_pending()
         return self._suspects.verdict(request, now_s=now_s())
 
-    def exposed(self, request: int) -> frozenset[int]:
+    def possibly_crashed(self, request: int) -> frozenset[int]:
         """Returns hashes of the upstreams that a request may have crashed."""
         return self._suspects.possibly_crashed(request, now_s=now_s())
 
-    def exposed_now(self, request: int) -> frozenset[int]:
-        """Returns the same as `exposed` after reading pending reports."""
-        self._sharing.read_waiting()
-        return self.exposed(request)
+    def latest_possibly_crashed(self, request: int) -> frozenset[int]:
+        """Returns `possibly_crashed` after reading pending reports."""
+        self._load_exchange.read_pending()
+        return self.possibly_crashed(request)
--- a/almondstair/gateway/daemon.py
+++ b/almondstair/gateway/daemon.py
@@ -23,20 +23,20 @@
 from almondstair.core.shared_retry_budget import SharedRetryBudget
 from almondstair.errors import AlmondstairError
 from almondstair.gateway.caller_connection import CallerConnection
-from almondstair.gateway.crash_words import CrashWords
-from almondstair.gateway.following import Follower
-from almondstair.gateway.forwarding import Forwarder
-from almondstair.gateway.load_sharing import LoadSharing
-from almondstair.gateway.measures import Measures
-from almondstair.gateway.overview import OperatorReports
-from almondstair.gateway.pages import LOOKUP_TTL_S
-from almondstair.gateway.pages import PageData
-from almondstair.gateway.pages import Pages
-from almondstair.gateway.reaching import Reaching
-from almondstair.gateway.registering import Registration
-from almondstair.gateway.settings_watch import SettingsWatcher
-from almondstair.gateway.tries import UpstreamSender
-from almondstair.gateway.upstream_pool import UpstreamPool
+from almondstair.gateway.connection_pool import ConnectionPool
+from almondstair.gateway.crash_reports import CrashReports
+from almondstair.gateway.entry_registration import EntryRegistration
+from almondstair.gateway.forwarder import Forwarder
+from almondstair.gateway.gateway_metrics import GatewayMetrics
+from almondstair.gateway.http_pages import LOOKUP_TTL_S
+from almondstair.gateway.http_pages import PageData
+from almondstair.gateway.http_pages import Pages
+from almondstair.gateway.load_exchange import LoadExchange
+from almondstair.gateway.operator_reports import OperatorReports
+from almondstair.gateway.settings_watcher import SettingsWatcher
+from almondstair.gateway.store_sync import StoreSync
+from almondstair.gateway.upstream_connector import UpstreamConnector
+from almondstair.gateway.upstream_sender import UpstreamSender
 from almondstair.platform import boot
 from almondstair.platform import documents
 from almondstair.platform import headers
@@ -83,9 +83,9 @@
             own_region=settings.region,
             zones=settings.zones,
         )
-        self._pool = UpstreamPool(id_header=headers.REQUEST_ID)
+        self._pool = ConnectionPool(id_header=headers.REQUEST_ID)
         self._client = KvClient(address=settings.store.address)
-        self._follower = Follower(
+        self._follower = StoreSync(
             client=self._client,
             fleet=self._fleet,
             pool=self._pool,
@@ -95,21 +95,21 @@
         )
         self._lookups = EntryDirectory()
         self._entries_version = -1
-        self._metrics = Measures()
+        self._metrics = GatewayMetrics()
         self._cached_locations = CachedLocations()
         suspects = CrashSuspects()
-        self._load_exchange = LoadSharing(
+        self._load_exchange = LoadExchange(
             fleet=self._fleet,
             pool=self._pool,
             suspects=suspects,
-            places=self._cached_locations,
+            cached_locations=self._cached_locations,
             own_name=settings.entry_name,
             own_zone=settings.availability_zone,
             link_mbps=settings.means.link_mbps,
         )
-        self._crash_reports = CrashWords(
+        self._crash_reports = CrashReports(
             suspects=suspects,
-            sharing=self._load_exchange,
+            load_exchange=self._load_exchange,
             own_name=settings.entry_name,
         )
         self._create_forwarder()
@@ -145,10 +145,10 @@
             rate_factor=bounds.cold_over,
             slack=bounds.cold_slack,
         )
-        self._connector = Reaching(
+        self._connector = UpstreamConnector(
             fleet=self._fleet,
             pool=self._pool,
-            suspects=self._crash_reports,
+            crash_reports=self._crash_reports,
             own_region=settings.region,
             regions=settings.zones.values(),
         )
@@ -178,9 +178,9 @@
             metrics=self._metrics,
         )
 
-    def _create_registration(self) -> Registration:
+    def _create_registration(self) -> EntryRegistration:
         settings = self._settings
-        return Registration(
+        return EntryRegistration(
             client=self._client,
             fleet=self._fleet,
             name=settings.entry_name,
@@ -304,7 +304,7 @@
         )
         if settings.zones != before.zones:
             self._fleet.set_zones(settings.zones)
-            self._connector.know_regions(settings.zones.values())
+            self._connector.add_regions(settings.zones.values())
         if settings.seeds != before.seeds:
             self._follower.set_seeds(_other_seeds(settings))
         if settings.store.address != before.store.address:
@@ -325,7 +325,7 @@
         for connection in list(self._connections):
             connection.drain()
         self._tasks["registration"].cancel()
-        await self._registration.end()
+        await self._registration.withdraw()
         await self._drain(began_s)
         await self._close()
         log.event(log.Event.GATEWAY_STOPPED, cut=len(self._forwarder.in_flight))
--- a/almondstair/gateway/registering.py
+++ b/almondstair/gateway/entry_registration.py
@@ -24,7 +24,7 @@
 RETRY_PAUSES_S = (0.1, 0.3, 0.9)
 
 
-class Registration:
+class EntryRegistration:
     """Keeps this entry's key in the store under a lease."""
 
     def __init__(
@@ -57,14 +57,14 @@
         failed = 0
         while True:
             try:
-                await self._renew()
+                await self._register_or_renew()
                 failed = 0
             except AlmondstairError as error:
                 failed += 1
                 log.event(log.Event.REGISTRATION_LATE, detail=error.detail)
             await asyncio.sleep(_pause_s(failed))
 
-    async def _renew(self) -> None:
+    async def _register_or_renew(self) -> None:
         began_s = now_s()
         anew = not self._lease or not await self._client.renew_lease(
             self._lease
@@ -83,7 +83,7 @@
             valid_until_s=began_s + self._ttl_s, created=anew, now_s=now_s()
         )
 
-    async def end(self) -> None:
+    async def withdraw(self) -> None:
         """Ends the lease at a planned stop, which removes the registration."""
         if not self._lease:
             return
--- a/almondstair/gateway/calls.py
+++ b/almondstair/gateway/forwarded_call.py
@@ -7,11 +7,11 @@
 from almondstair.core.crash_suspects import fingerprint
 from almondstair.core.request_placer import PlacementRequest
 from almondstair.core.routing import Route
-from almondstair.gateway.http_wire import Headers
-from almondstair.gateway.http_wire import UpstreamResponseHead
-from almondstair.gateway.http_wire import encode_head
-from almondstair.gateway.http_wire import forwarded_headers
-from almondstair.gateway.incoming import CallerRequest
+from almondstair.gateway.caller_request import CallerRequest
+from almondstair.gateway.http_encoding import Headers
+from almondstair.gateway.http_encoding import UpstreamResponseHead
+from almondstair.gateway.http_encoding import encode_head
+from almondstair.gateway.http_encoding import forwarded_headers
 from almondstair.gateway.upstream_connection import UpstreamExchange
 from almondstair.platform import headers as names
 
--- a/almondstair/gateway/forwarding.py
+++ b/almondstair/gateway/forwarder.py
@@ -16,20 +16,20 @@
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 from almondstair.errors import Ran
-from almondstair.gateway.call_records import CallRecorder
+from almondstair.gateway.call_recorder import CallRecorder
 from almondstair.gateway.caller_connection import RequestHandler
-from almondstair.gateway.calls import AttemptResult
-from almondstair.gateway.calls import AttemptVerdict
-from almondstair.gateway.calls import ForwardedCall
-from almondstair.gateway.calls import caller_response_head
-from almondstair.gateway.crash_words import CrashWords
-from almondstair.gateway.incoming import MAX_BUFFERED_BODY_BYTES
-from almondstair.gateway.incoming import CallerRequest
-from almondstair.gateway.incoming import ResponseWait
-from almondstair.gateway.measures import Measures
-from almondstair.gateway.tries import UpstreamSender
+from almondstair.gateway.caller_request import MAX_BUFFERED_BODY_BYTES
+from almondstair.gateway.caller_request import CallerRequest
+from almondstair.gateway.caller_request import ResponseWait
+from almondstair.gateway.crash_reports import CrashReports
+from almondstair.gateway.forwarded_call import AttemptResult
+from almondstair.gateway.forwarded_call import AttemptVerdict
+from almondstair.gateway.forwarded_call import ForwardedCall
+from almondstair.gateway.forwarded_call import caller_response_head
+from almondstair.gateway.gateway_metrics import GatewayMetrics
 from almondstair.gateway.upstream_connection import ExchangeEnd
 from almondstair.gateway.upstream_connection import UpstreamExchange
+from almondstair.gateway.upstream_sender import UpstreamSender
 
 # Limits on callers' requests before the first configuration.
 DEFAULT_LIMITS = CallerLimits(
@@ -64,8 +64,8 @@
         sender: UpstreamSender,
         retry_budget: SharedRetryBudget,
         placer: RequestPlacer,
-        crash_reports: CrashWords,
-        metrics: Measures,
+        crash_reports: CrashReports,
+        metrics: GatewayMetrics,
     ) -> None:
         """Creates a forwarder.
 
@@ -236,7 +236,7 @@
         standing = self._crash_reports.standing(request)
         if standing in (CrashVerdict.PENDING, CrashVerdict.REFUSED):
             raise self._quarantine_error(call, standing)
-        call.possibly_crashed = self._crash_reports.exposed(request)
+        call.possibly_crashed = self._crash_reports.possibly_crashed(request)
         placed = self._placer.place(call.placement_request(), now_s=now_s())
         if placed.pending:
             raise self._quarantine_error(call, CrashVerdict.PENDING)
--- a/almondstair/gateway/measures.py
+++ b/almondstair/gateway/gateway_metrics.py
@@ -25,7 +25,7 @@
 )
 
 
-class Measures:
+class GatewayMetrics:
     """Holds the counters, gauges and histograms of a gateway."""
 
     def __init__(self) -> None:
--- a/almondstair/gateway/load_sharing.py
+++ b/almondstair/gateway/load_exchange.py
@@ -36,15 +36,15 @@
 from almondstair.core.report_schedule import ReportSchedule
 from almondstair.core.report_schedule import UpstreamLoads
 from almondstair.gateway import peer_messages
+from almondstair.gateway.connection_pool import ConnectionPool
 from almondstair.gateway.peer_messages import CachedObjects
 from almondstair.gateway.peer_messages import LostRequest
 from almondstair.gateway.peer_messages import Message
-from almondstair.gateway.peer_messages import Own
-from almondstair.gateway.peer_messages import PlanTold
-from almondstair.gateway.peer_messages import Total
+from almondstair.gateway.peer_messages import OwnLoads
+from almondstair.gateway.peer_messages import PlanUpdate
+from almondstair.gateway.peer_messages import TotalLoads
 from almondstair.gateway.peer_messages import UpstreamGone
 from almondstair.gateway.peer_messages import ZoneLoadSum
-from almondstair.gateway.upstream_pool import UpstreamPool
 
 # Reports of an entry expire after three missed heartbeats.
 PEER_TIMEOUT_S = 3 * report_schedule.HEARTBEAT_S
@@ -90,16 +90,16 @@
     return total
 
 
-class LoadSharing(asyncio.DatagramProtocol):
+class LoadExchange(asyncio.DatagramProtocol):
     """Sends this entry's loads to its zone's reporter, or acts as reporter."""
 
     def __init__(
         self,
         *,
         fleet: Fleet,
-        pool: UpstreamPool,
+        pool: ConnectionPool,
         suspects: CrashSuspects,
-        places: CachedLocations,
+        cached_locations: CachedLocations,
         own_name: str,
         own_zone: str,
         link_mbps: float = 0.0,
@@ -110,7 +110,7 @@
           fleet: the view of the fleet; gets the loads of other entries.
           pool: connections to upstreams; those of replaced ones are closed.
           suspects: requests that may crash upstreams.
-          places: cached objects of upstreams.
+          cached_locations: cached objects of upstreams.
           own_name: name of this entry.
           own_zone: its availability zone.
           link_mbps: bandwidth of its VM's link in Mbit/s, 0 if unknown.
@@ -118,7 +118,7 @@
         self._fleet = fleet
         self._pool = pool
         self._suspects = suspects
-        self._places = places
+        self._cached_locations = cached_locations
         self._own_name = own_name
         self._own_zone = own_zone
         self._transport: asyncio.DatagramTransport | None = None
@@ -156,7 +156,7 @@
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, sock=self._socket)
 
-    def read_waiting(self) -> None:
+    def read_pending(self) -> None:
         """Applies all messages that have arrived.
 
         The event loop reads one message per iteration, so a request that was
@@ -200,13 +200,15 @@
 
     def _apply_message(self, message: Message, now: float) -> None:
         self._last_heard_s[message.entry] = now
-        if isinstance(message, PlanTold):
+        if isinstance(message, PlanUpdate):
             self._apply_plan(message)
             return
         if isinstance(message, LostRequest | UpstreamGone):
             self._apply_crash_report(message, now)
             return
-        self._places.apply_reported(message.places, now_s=now)
+        self._cached_locations.apply_reported(
+            message.cached_locations, now_s=now
+        )
         if isinstance(message, CachedObjects):
             return
         report = ReceivedReport(
@@ -214,12 +216,12 @@
             entry=message.entry,
             loads=message.loads,
             replaced=message.replaced,
-            cached_locations=message.places,
+            cached_locations=message.cached_locations,
         )
-        self._drop_replaced(message.replaced)
+        self._forget_replaced(message.replaced)
         for strike in message.strikes:
             self._suspects.add_strike(Strike(*strike), now_s=now)
-        if isinstance(message, Own):
+        if isinstance(message, OwnLoads):
             if message.entry not in self._member_reports:
                 self._send_cached_objects(message.entry, now)
             self._member_reports[message.entry] = report
@@ -253,12 +255,12 @@
         entry = self._fleet.entries.get(name)
         if entry is None:
             return
-        locations = self._places.all_locations(now_s=now)
+        locations = self._cached_locations.all_locations(now_s=now)
         for begin in range(0, len(locations), MAX_CACHED_OBJECTS):
             part = locations[begin : begin + MAX_CACHED_OBJECTS]
             self._send(CachedObjects(self._own_name, part), [entry])
 
-    def _apply_plan(self, message: PlanTold) -> None:
+    def _apply_plan(self, message: PlanUpdate) -> None:
         """Applies a plan unless another zone's reporter has precedence.
 
         Otherwise a reporter that is partitioned from the first zone would make
@@ -273,7 +275,7 @@
         """Returns the zone whose reporter makes the plan, the first by name."""
         return min([self._own_zone, *self._zone_reports])
 
-    def _drop_replaced(self, names: list[int]) -> None:
+    def _forget_replaced(self, names: list[int]) -> None:
         """Forgets replaced upstreams, as reported, without a request to each.
 
         Args:
@@ -283,7 +285,7 @@
             incarnation = self._fleet.record_replaced(upstream_hash)
             if not incarnation:
                 continue
-            self._pool.forget(incarnation=incarnation)
+            self._pool.close_upstream(incarnation=incarnation)
             log.event(log.Event.UPSTREAM_GONE, upstream=incarnation, told=True)
 
     # Sending.
@@ -291,7 +293,7 @@
     async def run(self) -> None:
         """Sends due reports until it is cancelled."""
         while True:
-            members = self._in_turn(self._own_zone)
+            members = self._ordered_entries(self._own_zone)
             await asyncio.sleep(report_schedule.report_interval_s(len(members)))
             self._tick(now_s())
 
@@ -310,7 +312,7 @@
         )
 
     def _reporter(self, now: float) -> Entry | None:
-        candidates = self._in_turn(self._own_zone)
+        candidates = self._ordered_entries(self._own_zone)
 
         def alive(entry: Entry) -> bool:
             # A newly registered entry has had no time to report.
@@ -325,7 +327,7 @@
         upstreams = self._fleet.upstreams_by_hash.items()
         return {name: one.in_flight for name, one in upstreams if one.in_flight}
 
-    def _in_turn(self, zone: str) -> list[Entry]:
+    def _ordered_entries(self, zone: str) -> list[Entry]:
         """Returns a zone's entries in the order in which they act."""
         if self._entries_version != self._fleet.entries_version:
             self._entries_version = self._fleet.entries_version
@@ -339,13 +341,15 @@
             self._own_loads(),
             self._fleet.recently_replaced(now_s=now),
             self._fresh_strikes(now),
-            self._places.locations_to_report(now_s=now)[:MAX_CACHED_OBJECTS],
+            self._cached_locations.locations_to_report(now_s=now)[
+                :MAX_CACHED_OBJECTS
+            ],
         )
         if not self._own_schedule.is_due(report, now_s=now):
             return
         self._own_schedule.record_sent(report, now_s=now)
         self._reported_loads = report.loads
-        self._send(Own(self._own_name, *report), [reporter])
+        self._send(OwnLoads(self._own_name, *report), [reporter])
 
     def _fresh_strikes(self, now: float) -> list[tuple[int, int]]:
         fresh = self._suspects.recent_strikes(now_s=now, for_s=STRIKE_REPORT_S)
@@ -369,7 +373,7 @@
             self._total_at_s = now
         replaced = set(self._fleet.recently_replaced(now_s=now))
         cached_locations = dict.fromkeys(
-            self._places.locations_to_report(now_s=now)
+            self._cached_locations.locations_to_report(now_s=now)
         )
         for member in self._member_reports.values():
             replaced.update(member.replaced)
@@ -403,10 +407,10 @@
         message = ZoneLoadSum(
             entry=self._own_name,
             zone=self._own_zone,
-            loads=_cut(report.loads),
+            loads=_limit_upstreams(report.loads),
             replaced=report.replaced,
             strikes=report.strikes,
-            places=report.locations,
+            cached_locations=report.locations,
         )
         self._send(message, self._other_reporters())
 
@@ -417,19 +421,19 @@
             if not self._link_share.has_capacity(now_s=now):
                 return
         self._total_schedule.record_sent(report, now_s=now)
-        message = Total(
+        message = TotalLoads(
             entry=self._own_name,
             complete=self._all_zones_reported(),
-            loads=_cut(report.loads),
+            loads=_limit_upstreams(report.loads),
             replaced=report.replaced,
             strikes=report.strikes,
-            places=report.locations,
+            cached_locations=report.locations,
         )
         self._send_to_zone(message, now)
 
     def _send_to_zone(self, message: Message, now: float) -> None:
-        self._plan_sent_last = isinstance(message, PlanTold)
-        sent_bytes = self._send(message, self._in_turn(self._own_zone))
+        self._plan_sent_last = isinstance(message, PlanUpdate)
+        sent_bytes = self._send(message, self._ordered_entries(self._own_zone))
         self._link_share.record_sent(sent_bytes, now_s=now)
 
     def _update_plan(self, now: float) -> None:
@@ -457,7 +461,7 @@
         self._published_plan = plan
         self._plan_published_at_s = now
         first = self._planning_zone()
-        message = PlanTold(entry=self._own_name, zone=first, plan=plan)
+        message = PlanUpdate(entry=self._own_name, zone=first, plan=plan)
         self._send_to_zone(message, now)
         if first == self._own_zone:
             self._send(message, self._other_reporters())
@@ -469,7 +473,7 @@
         return True
 
     def _other_zones(self) -> list[str]:
-        self._in_turn(self._own_zone)
+        self._ordered_entries(self._own_zone)
         return [
             zone for zone in self._entries_by_zone if zone != self._own_zone
         ]
@@ -479,14 +483,14 @@
         reporters: dict[str, Entry] = {}
         entries = self._fleet.entries
         for zone in self._other_zones():
-            first = self._in_turn(zone)[0]
+            first = self._ordered_entries(zone)[0]
             reporters[first.name] = first
             report = self._zone_reports.get(zone)
             if report is not None and report.entry in entries:
                 reporters[report.entry] = entries[report.entry]
         return list(reporters.values())
 
-    def send_all(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """Sends a message to all other entries before it returns."""
         self._send(message, self._fleet.entries.values())
 
@@ -504,7 +508,7 @@
         return sent_bytes
 
 
-def _cut(loads: UpstreamLoads) -> UpstreamLoads:
+def _limit_upstreams(loads: UpstreamLoads) -> UpstreamLoads:
     """Returns the busiest upstreams, as many as fit a message."""
     if len(loads) <= MAX_UPSTREAMS:
         return loads
--- a/almondstair/gateway/mirror.py
+++ b/almondstair/gateway/mirror.py
@@ -72,7 +72,7 @@
     """
 
     source: str
-    number: int
+    last_number: int
     revision: int
     age_s: float
     listing: bool
@@ -137,7 +137,7 @@
                 items.append(change.item)
         return MirrorPage(
             source=self._source,
-            number=self._number,
+            last_number=self._number,
             revision=revision,
             age_s=age_s,
             listing=listing,
--- a/almondstair/gateway/overview.py
+++ b/almondstair/gateway/operator_reports.py
@@ -6,9 +6,9 @@
 from almondstair.clock import now_s
 from almondstair.core.fleet import Fleet
 from almondstair.core.upstream_state import UpstreamState
-from almondstair.gateway.following import Follower
-from almondstair.gateway.measures import Measures
-from almondstair.gateway.upstream_pool import UpstreamPool
+from almondstair.gateway.connection_pool import ConnectionPool
+from almondstair.gateway.gateway_metrics import GatewayMetrics
+from almondstair.gateway.store_sync import StoreSync
 from almondstair.platform.kv import KvClient
 
 # A greater age means that the load was never reported.
@@ -23,10 +23,10 @@
         *,
         entry_name: str,
         fleet: Fleet,
-        pool: UpstreamPool,
+        pool: ConnectionPool,
         client: KvClient,
-        follower: Follower,
-        metrics: Measures,
+        follower: StoreSync,
+        metrics: GatewayMetrics,
         in_flight: Sized,
     ) -> None:
         """Creates the overview of one entry.
@@ -53,8 +53,8 @@
         measures = self._metrics
         now = now_s()
         table = self._fleet.table
-        measures.connections.set(self._pool.opened)
-        measures.store_age_s.set(now - self._follower.heard_at_s)
+        measures.connections.set(self._pool.connections_opened)
+        measures.store_age_s.set(now - self._follower.as_of_s)
         measures.configuration_version.set(table.version if table else 0)
         measures.entries.set(len(self._fleet.entries))
         measures.requests_in_flight.set(len(self._in_flight))
@@ -90,7 +90,7 @@
             "leaving": leaving,
             "configuration_version": table.version if table else None,
             "store_revision": self._follower.revision,
-            "store_age_s": round(now - self._follower.heard_at_s, 2),
+            "store_age_s": round(now - self._follower.as_of_s, 2),
             "peers_heard": self._fleet.peer_loads_complete,
             "evacuated": sorted(self._fleet.evacuated),
             "evacuated_for_s": {
@@ -119,7 +119,7 @@
         return {
             "entry": self._entry_name,
             "version": found.version,
-            "store_age_s": round(now - self._follower.heard_at_s, 2),
+            "store_age_s": round(now - self._follower.as_of_s, 2),
             "text": found.text().decode("utf-8", "replace"),
             "versions": versions,
         }
--- a/almondstair/gateway/peer_messages.py
+++ b/almondstair/gateway/peer_messages.py
@@ -7,28 +7,28 @@
 from almondstair.core.report_schedule import UpstreamLoads
 
 
-class Own(msgspec.Struct, array_like=True, tag=0):
-    """One entry's loads, sent to its zone's reporter; see `Total`."""
+class OwnLoads(msgspec.Struct, array_like=True, tag=0):
+    """One entry's loads, sent to its zone's reporter; see `TotalLoads`."""
 
     entry: str
     loads: UpstreamLoads
     replaced: list[int]
     strikes: list[tuple[int, int]]
-    places: list[CachedLocation] = []
+    cached_locations: list[CachedLocation] = []
 
 
 class ZoneLoadSum(msgspec.Struct, array_like=True, tag=1):
-    """The sum of a zone's loads, sent to other reporters; see `Total`."""
+    """The sum of a zone's loads, sent to other reporters; see `TotalLoads`."""
 
     entry: str
     zone: str
     loads: UpstreamLoads
     replaced: list[int]
     strikes: list[tuple[int, int]]
-    places: list[CachedLocation] = []
+    cached_locations: list[CachedLocation] = []
 
 
-class Total(msgspec.Struct, array_like=True, tag=2):
+class TotalLoads(msgspec.Struct, array_like=True, tag=2):
     """The total of all zones' loads, sent by a reporter to its zone.
 
     Attributes:
@@ -46,10 +46,10 @@
     loads: UpstreamLoads
     replaced: list[int]
     strikes: list[tuple[int, int]]
-    places: list[CachedLocation] = []
+    cached_locations: list[CachedLocation] = []
 
 
-class PlanTold(msgspec.Struct, array_like=True, tag=3):
+class PlanUpdate(msgspec.Struct, array_like=True, tag=3):
     """The plan in force, sent to other reporters and by them to their zones.
 
     Attributes:
@@ -67,7 +67,7 @@
     """All cached objects and their upstreams, sent to a new entry."""
 
     entry: str
-    places: list[CachedLocation]
+    cached_locations: list[CachedLocation]
 
 
 class LostRequest(msgspec.Struct, array_like=True, tag=5):
@@ -101,10 +101,10 @@
 
 
 Message = (
-    Own
+    OwnLoads
     | ZoneLoadSum
-    | Total
-    | PlanTold
+    | TotalLoads
+    | PlanUpdate
     | CachedObjects
     | LostRequest
     | UpstreamGone
--- a/almondstair/gateway/registrations.py
+++ b/almondstair/gateway/registrations.py
@@ -8,9 +8,9 @@
 from almondstair.core.fleet import Fleet
 from almondstair.core.registered_entries import Entry
 from almondstair.core.upstream_state import UpstreamRecord
-from almondstair.gateway.change_lines import ChangeLog
+from almondstair.gateway.change_log import ChangeLog
+from almondstair.gateway.connection_pool import ConnectionPool
 from almondstair.gateway.mirror import Mirror
-from almondstair.gateway.upstream_pool import UpstreamPool
 from almondstair.platform import documents
 from almondstair.platform.kv import Item
 
@@ -30,7 +30,7 @@
     """
 
     def __init__(
-        self, *, fleet: Fleet, pool: UpstreamPool, mirror: Mirror
+        self, *, fleet: Fleet, pool: ConnectionPool, mirror: Mirror
     ) -> None:
         """Creates the registrations that one entry knows.
 
@@ -69,7 +69,7 @@
             record = record._replace(cold_left_s=0.0)
         result = self._fleet.apply_upstream(record, now_s=now_s())
         if result.replaced_incarnation:
-            self._pool.forget(incarnation=result.replaced_incarnation)
+            self._pool.close_upstream(incarnation=result.replaced_incarnation)
             self.change_log.write(
                 log.Event.UPSTREAM_GONE,
                 group=record.service,
@@ -111,7 +111,7 @@
           revision: the store's revision of its removal.
         """
         self._revisions.pop(record.upstream_id, None)
-        self._pool.forget(incarnation=record.incarnation)
+        self._pool.close_upstream(incarnation=record.incarnation)
         key = documents.UPSTREAM_PREFIX + record.upstream_id
         self._mirror.remove(key, revision)
         self.change_log.write(
--- a/almondstair/gateway/http_calls.py
+++ b/almondstair/gateway/simple_http_client.py
@@ -3,8 +3,8 @@
 import asyncio
 from collections.abc import Callable
 
+from almondstair.gateway.connection_pool import ConnectionPool
 from almondstair.gateway.upstream_connection import ExchangeEnd
-from almondstair.gateway.upstream_pool import UpstreamPool
 
 # A round trip to the farthest region takes 0.11 s. A lost SYN packet is resent
 # only after 1 s, so after a partition a new attempt is faster.
@@ -15,13 +15,13 @@
 _POOL_KEY = "calls"
 
 
-class HttpCaller:
+class SimpleHttpClient:
     """Sends requests to one address."""
 
     def __init__(self, *, address: str) -> None:
         """Creates a client of `ip:port`."""
         self.address = address
-        self._pool = UpstreamPool(id_header=b"")
+        self._pool = ConnectionPool(id_header=b"")
 
     def close(self) -> None:
         """Closes all connections."""
@@ -67,7 +67,7 @@
     async def _exchange(
         self, message: bytes, on_progress: Callable[[], None]
     ) -> tuple[int, bytes]:
-        connection = self._pool.take_idle(
+        connection = self._pool.acquire_idle(
             incarnation=_POOL_KEY, repeatable=True
         )
         if connection is None:
@@ -81,5 +81,5 @@
             connection.on_progress = None
         if result.end is not ExchangeEnd.COMPLETE or result.head is None:
             raise OSError(f"response was {result.end.value}")
-        self._pool.give_back(connection, incarnation=_POOL_KEY)
+        self._pool.release(connection, incarnation=_POOL_KEY)
         return result.head.status, result.body
--- a/almondstair/gateway/sources.py
+++ b/almondstair/gateway/sources.py
@@ -9,8 +9,8 @@
 
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
-from almondstair.gateway.http_calls import HttpCaller
 from almondstair.gateway.mirror import MirrorPage
+from almondstair.gateway.simple_http_client import SimpleHttpClient
 from almondstair.platform.kv import Item
 from almondstair.platform.kv import KvClient
 
@@ -104,7 +104,7 @@
     def __init__(self, *, address: str) -> None:
         """Creates the source of a peer at `ip:port`."""
         self.address = address
-        self._caller = HttpCaller(address=address)
+        self._caller = SimpleHttpClient(address=address)
         self._mirror = ""
         self._number = 0
 
@@ -116,7 +116,7 @@
         """Fetches what the mirror has and this entry lacks."""
         query = {"source": self._mirror, "after": self._number}
         path = "/changes?" + parse.urlencode(query)
-        page = await self._ask(path)
+        page = await self._fetch_page(path)
         if page.revision < after:
             # Older than this entry's data: applying it would restore what was
             # removed since.
@@ -126,7 +126,7 @@
             )
         items = self._items(page)
         self._mirror = page.source
-        self._number = page.number
+        self._number = page.last_number
         return Batch(
             items=items,
             listing=page.listing,
@@ -154,7 +154,7 @@
             )
         return items
 
-    async def _ask(self, path: str) -> MirrorPage:
+    async def _fetch_page(self, path: str) -> MirrorPage:
         try:
             status, body = await self._caller.call(
                 method="GET", path=path, timeout_s=PEER_TIMEOUT_S
--- a/almondstair/gateway/following.py
+++ b/almondstair/gateway/store_sync.py
@@ -11,6 +11,7 @@
 from almondstair.core.registered_entries import Entry
 from almondstair.errors import AlmondstairError
 from almondstair.gateway.configuration_history import ConfigurationHistory
+from almondstair.gateway.connection_pool import ConnectionPool
 from almondstair.gateway.mirror import Mirror
 from almondstair.gateway.mirror import MirrorPage
 from almondstair.gateway.registrations import Registrations
@@ -18,7 +19,6 @@
 from almondstair.gateway.sources import PeerSource
 from almondstair.gateway.sources import Source
 from almondstair.gateway.sources import StoreSource
-from almondstair.gateway.upstream_pool import UpstreamPool
 from almondstair.platform import documents
 from almondstair.platform.kv import Item
 from almondstair.platform.kv import KvClient
@@ -48,7 +48,7 @@
 EXPIRY_INTERVAL_S = 0.25
 
 
-class Follower:
+class StoreSync:
     """Polls the store or peers for changes and applies them.
 
     Attributes:
@@ -62,7 +62,7 @@
         *,
         client: KvClient,
         fleet: Fleet,
-        pool: UpstreamPool,
+        pool: ConnectionPool,
         own_name: str,
         own_zone: str,
         seeds: Sequence[str],
@@ -91,7 +91,7 @@
         self._registrations = Registrations(
             fleet=fleet, pool=pool, mirror=self._mirror
         )
-        self.heard_at_s = 0.0
+        self.as_of_s = 0.0
         self.revision = 0
 
     def set_seeds(self, seeds: Sequence[str]) -> None:
@@ -109,7 +109,7 @@
         """Polls until it is cancelled."""
         backoff_s = FIRST_BACKOFF_S
         while True:
-            if await self._round():
+            if await self._poll():
                 backoff_s = FIRST_BACKOFF_S
                 await asyncio.sleep(
                     POLL_INTERVAL_S * (0.9 + 0.2 * random.random())
@@ -138,12 +138,12 @@
             source=source,
             after=after,
             revision=self.revision,
-            age_s=now_s() - self.heard_at_s,
+            age_s=now_s() - self.as_of_s,
         )
 
     # Polling.
 
-    async def _round(self) -> bool:
+    async def _poll(self) -> bool:
         """Polls the sources in turn; returns whether one gave fresh data."""
         failure: AlmondstairError | None = None
         for source in self._sources():
@@ -156,7 +156,7 @@
                 continue
             # An entry without any data accepts old data too.
             fresh = batch.age_s <= MAX_PEER_AGE_S or not self._fleet.ready
-            self._take(batch, fresh=fresh)
+            self._apply_batch(batch, fresh=fresh)
             if fresh:
                 return True
         self._record_loss(failure)
@@ -222,7 +222,7 @@
             log.Event.STORE_LOST,
             detail=error.detail if error else "the data of every peer is old",
             revision=self.revision,
-            age_s=round(now_s() - self.heard_at_s, 2),
+            age_s=round(now_s() - self.as_of_s, 2),
         )
 
     def _record_return(self, batch: Batch) -> None:
@@ -240,7 +240,7 @@
         log.event(
             log.Event.STORE_BACK,
             revision=batch.revision,
-            silent_s=round(now - self.heard_at_s, 2),
+            silent_s=round(now - self.as_of_s, 2),
             written_to=written_to,
             from_store=batch.from_store,
         )
@@ -257,7 +257,7 @@
 
     # Applying changes.
 
-    def _take(self, batch: Batch, *, fresh: bool) -> None:
+    def _apply_batch(self, batch: Batch, *, fresh: bool) -> None:
         """Applies a batch, which is newer than the current view.
 
         Old data is applied as well before the next source is polled. The source
@@ -286,8 +286,8 @@
             )
         lines.end(revision=batch.revision)
         self.revision = batch.revision
-        self.heard_at_s = max(self.heard_at_s, now_s() - batch.age_s)
-        self._fleet.as_of_s = self.heard_at_s
+        self.as_of_s = max(self.as_of_s, now_s() - batch.age_s)
+        self._fleet.as_of_s = self.as_of_s
 
     def _drop_unlisted(self, keys: set[str], revision: int) -> None:
         self._registrations.drop_unlisted_upstreams(keys, revision=revision)
--- a/almondstair/gateway/upstream_connection.py
+++ b/almondstair/gateway/upstream_connection.py
@@ -16,12 +16,12 @@
 from almondstair.body import BodyAbortedError
 from almondstair.body import RequestBody
 from almondstair.clock import now_s
-from almondstair.gateway.http_wire import LAST_CHUNK
-from almondstair.gateway.http_wire import Headers
-from almondstair.gateway.http_wire import UpstreamResponseHead
-from almondstair.gateway.http_wire import encode_chunk
-from almondstair.gateway.http_wire import find_header
-from almondstair.gateway.http_wire import has_no_body
+from almondstair.gateway.http_encoding import LAST_CHUNK
+from almondstair.gateway.http_encoding import Headers
+from almondstair.gateway.http_encoding import UpstreamResponseHead
+from almondstair.gateway.http_encoding import encode_chunk
+from almondstair.gateway.http_encoding import find_header
+from almondstair.gateway.http_encoding import has_no_body
 
 # Responses up to this size are buffered until they are complete, so that the
 # request can be retried if one is truncated or invalid; longer ones stream.
--- a/almondstair/gateway/reaching.py
+++ b/almondstair/gateway/upstream_connector.py
@@ -8,9 +8,9 @@
 from almondstair.clock import now_s
 from almondstair.core.fleet import Fleet
 from almondstair.core.upstream_state import UpstreamState
-from almondstair.gateway.crash_words import CrashWords
+from almondstair.gateway.connection_pool import ConnectionPool
+from almondstair.gateway.crash_reports import CrashReports
 from almondstair.gateway.upstream_connection import UpstreamConnection
-from almondstair.gateway.upstream_pool import UpstreamPool
 
 # A round trip between the farthest regions takes 0.11 s; an upstream that needs
 # more than twice that to accept a connection is unreachable.
@@ -22,21 +22,21 @@
 # Pause after a lost response before the upstream is probed, and how long after
 # the loss it must keep the probe's connection to count as alive: a crashing
 # upstream may still accept connections for a moment.
-FIRST_CHECK_S = 0.005
+LOSS_PROBE_PAUSE_S = 0.005
 ALIVE_AFTER_S = 0.025
 # How long after a lost response the probe's connection is watched.
-LOOK_AFTER_S = 0.15
+LOSS_WATCH_S = 0.15
 # How often a watched connection is checked.
 OPEN_POLL_S = 0.005
 # First pause between probes of an unreachable upstream, growth factor and
 # maximum. A crashed upstream is back after some seconds; a probe costs one
 # connection and delays no caller.
-FIRST_LOOK_S = 0.5
+FIRST_PROBE_PAUSE_S = 0.5
 PROBE_BACKOFF_FACTOR = 1.5
 MAX_PROBE_PAUSE_S = 8.0
 
 
-class Reaching:
+class UpstreamConnector:
     """Opens connections to upstreams and probes unreachable ones.
 
     Attributes:
@@ -47,8 +47,8 @@
         self,
         *,
         fleet: Fleet,
-        pool: UpstreamPool,
-        suspects: CrashWords,
+        pool: ConnectionPool,
+        crash_reports: CrashReports,
         own_region: str,
         regions: Iterable[str],
     ) -> None:
@@ -57,40 +57,42 @@
         Args:
           fleet: the view of the deployment.
           pool: connections to upstreams.
-          suspects: reports on requests that may crash upstreams.
+          crash_reports: reports on requests that may crash upstreams.
           own_region: region of this entry.
           regions: all regions.
         """
         self._fleet = fleet
         self._pool = pool
-        self._crash_reports = suspects
+        self._crash_reports = crash_reports
         self._probes: dict[str, asyncio.Task[None]] = {}
         self._lost_at_s: dict[str, float] = {}
         self._own_region = own_region
         self.round_trips_s: dict[str, float] = {}
-        self.know_regions(regions)
+        self.add_regions(regions)
 
-    def know_regions(self, regions: Iterable[str]) -> None:
+    def add_regions(self, regions: Iterable[str]) -> None:
         """Adds regions to which round trips are measured."""
         for region in regions:
             if region != self._own_region:
                 self.round_trips_s.setdefault(region, INITIAL_ROUND_TRIP_S)
 
-    async def open(self, upstream: UpstreamState) -> UpstreamConnection | None:
+    async def connect(
+        self, upstream: UpstreamState
+    ) -> UpstreamConnection | None:
         """Opens a connection for a request; None if that fails."""
         connection = await self._try_connect(upstream)
         if connection is None:
-            self._start_probe(upstream, FIRST_LOOK_S)
+            self._start_probe(upstream, FIRST_PROBE_PAUSE_S)
         return connection
 
-    def look_after(self, upstream: UpstreamState) -> None:
+    def probe_after_loss(self, upstream: UpstreamState) -> None:
         """Probes an upstream after a lost response.
 
         Otherwise nothing might connect to it for a while, and the request that
         crashed it would be sent to the next upstream in the meantime.
         """
         self._lost_at_s[upstream.incarnation] = now_s()
-        self._start_probe(upstream, FIRST_CHECK_S)
+        self._start_probe(upstream, LOSS_PROBE_PAUSE_S)
 
     def close(self) -> None:
         """Cancels all probes."""
@@ -108,7 +110,7 @@
             )
         except (OSError, TimeoutError) as error:
             upstream.record_unreachable(now_s=now_s())
-            self._crash_reports.note_gone(upstream)
+            self._crash_reports.report_gone(upstream)
             log.event(
                 log.Event.UPSTREAM_UNREACHABLE,
                 upstream=record.upstream_id,
@@ -147,7 +149,9 @@
         try:
             while not await self._probe_once(upstream, pause_s):
                 if upstream.is_unreachable:
-                    pause_s = max(FIRST_LOOK_S, PROBE_BACKOFF_FACTOR * pause_s)
+                    pause_s = max(
+                        FIRST_PROBE_PAUSE_S, PROBE_BACKOFF_FACTOR * pause_s
+                    )
                     pause_s = min(MAX_PROBE_PAUSE_S, pause_s)
         finally:
             # Before any other task runs: a request that finds the upstream
@@ -168,7 +172,7 @@
             return False
         if not await self._stays_open(connection, upstream):
             return False
-        self._pool.give_back(connection, incarnation=upstream.incarnation)
+        self._pool.release(connection, incarnation=upstream.incarnation)
         return True
 
     async def _stays_open(
@@ -178,8 +182,8 @@
         while connection.usable:
             lost_s = self._lost_at_s.get(upstream.incarnation, -math.inf)
             if now_s() >= lost_s + ALIVE_AFTER_S:
-                self._crash_reports.note_lives(upstream)
-            if now_s() >= lost_s + LOOK_AFTER_S:
+                self._crash_reports.record_alive(upstream)
+            if now_s() >= lost_s + LOSS_WATCH_S:
                 return True
             await asyncio.sleep(OPEN_POLL_S)
         return False
--- a/almondstair/gateway/tries.py
+++ b/almondstair/gateway/upstream_sender.py
@@ -9,23 +9,23 @@
 from almondstair.core.fleet import Fleet
 from almondstair.core.request_placer import RequestPlacer
 from almondstair.core.upstream_state import UpstreamState
-from almondstair.gateway.calls import AttemptResult
-from almondstair.gateway.calls import AttemptVerdict
-from almondstair.gateway.calls import ForwardedCall
-from almondstair.gateway.calls import caller_response_head
-from almondstair.gateway.calls import upstream_request_head
-from almondstair.gateway.crash_words import CrashWords
-from almondstair.gateway.http_wire import Headers
-from almondstair.gateway.http_wire import UpstreamResponseHead
-from almondstair.gateway.http_wire import find_header
-from almondstair.gateway.incoming import CallerRequest
-from almondstair.gateway.measures import Measures
-from almondstair.gateway.reaching import Reaching
+from almondstair.gateway.caller_request import CallerRequest
+from almondstair.gateway.connection_pool import ConnectionPool
+from almondstair.gateway.crash_reports import CrashReports
+from almondstair.gateway.forwarded_call import AttemptResult
+from almondstair.gateway.forwarded_call import AttemptVerdict
+from almondstair.gateway.forwarded_call import ForwardedCall
+from almondstair.gateway.forwarded_call import caller_response_head
+from almondstair.gateway.forwarded_call import upstream_request_head
+from almondstair.gateway.gateway_metrics import GatewayMetrics
+from almondstair.gateway.http_encoding import Headers
+from almondstair.gateway.http_encoding import UpstreamResponseHead
+from almondstair.gateway.http_encoding import find_header
 from almondstair.gateway.upstream_connection import ExchangeEnd
 from almondstair.gateway.upstream_connection import UpstreamConnection
 from almondstair.gateway.upstream_connection import UpstreamExchange
 from almondstair.gateway.upstream_connection import UpstreamResponseSink
-from almondstair.gateway.upstream_pool import UpstreamPool
+from almondstair.gateway.upstream_connector import UpstreamConnector
 from almondstair.platform import headers as names
 
 # Statuses that tell callers that a request has not run. Without an upstream's
@@ -43,11 +43,11 @@
         self,
         *,
         fleet: Fleet,
-        pool: UpstreamPool,
+        pool: ConnectionPool,
         cold_start_limiter: ColdStartLimiter,
-        crash_reports: CrashWords,
-        metrics: Measures,
-        connector: Reaching,
+        crash_reports: CrashReports,
+        metrics: GatewayMetrics,
+        connector: UpstreamConnector,
         placer: RequestPlacer,
     ) -> None:
         """Creates the sender of one entry.
@@ -84,9 +84,7 @@
             if connection is None:
                 return _not_sent(call, "upstream unreachable")
             if self._newly_suspected(call):
-                self._pool.give_back(
-                    connection, incarnation=upstream.incarnation
-                )
+                self._pool.release(connection, incarnation=upstream.incarnation)
                 return _not_sent(
                     call, "the request may have crashed an upstream"
                 )
@@ -110,18 +108,22 @@
         While the connection is opened, the same request may crash upstreams
         elsewhere; it must not crash another one here.
         """
-        possibly_crashed = self._crash_reports.exposed_now(call.fingerprint())
+        possibly_crashed = self._crash_reports.latest_possibly_crashed(
+            call.fingerprint()
+        )
         return not possibly_crashed <= call.possibly_crashed
 
     def _report_loss(
         self, call: ForwardedCall, upstream: UpstreamState, ran_s: float
     ) -> None:
         """Reports a lost response and probes the upstream."""
-        self._crash_reports.note_lost(call.fingerprint(), upstream, ran_s=ran_s)
+        self._crash_reports.report_lost(
+            call.fingerprint(), upstream, ran_s=ran_s
+        )
         if upstream.is_unreachable:
-            self._crash_reports.note_gone(upstream)
+            self._crash_reports.report_gone(upstream)
             return
-        self._connector.look_after(upstream)
+        self._connector.probe_after_loss(upstream)
 
     async def _get_connection(
         self, call: ForwardedCall, choice: Choice
@@ -133,14 +135,14 @@
         had dropped its idle one.
         """
         if call.may_have_run:
-            return await self._connector.open(choice.upstream)
-        connection = self._pool.take_idle(
+            return await self._connector.connect(choice.upstream)
+        connection = self._pool.acquire_idle(
             incarnation=choice.upstream.incarnation,
             repeatable=call.route.kind.idempotent,
         )
         if connection is not None:
             return connection
-        return await self._connector.open(choice.upstream)
+        return await self._connector.connect(choice.upstream)
 
     async def _timed_exchange(
         self,
@@ -191,9 +193,7 @@
             without_body=request.method == "HEAD",
             sink=_ForwardingSink(request),
         )
-        self._pool.give_back(
-            connection, incarnation=choice.upstream.incarnation
-        )
+        self._pool.release(connection, incarnation=choice.upstream.incarnation)
         return exchange
 
     def _classify(
@@ -232,7 +232,7 @@
         upstream.record_response(
             good=head.status < _SERVER_ERROR, now_s=now_s()
         )
-        self._crash_reports.note_answered(call.fingerprint())
+        self._crash_reports.record_response(call.fingerprint())
         return AttemptResult(AttemptVerdict.ANSWERED, exchange)
 
     def _record_load(
@@ -248,7 +248,7 @@
     def _record_replaced(self, choice: Choice) -> None:
         record = choice.upstream.record
         self._fleet.record_misdirected(record, now_s=now_s())
-        self._pool.forget(incarnation=record.incarnation)
+        self._pool.close_upstream(incarnation=record.incarnation)
         log.event(log.Event.UPSTREAM_GONE, upstream=record.incarnation)
 
 
--- a/almondstair/platform/kv.py
+++ b/almondstair/platform/kv.py
@@ -8,7 +8,7 @@
 
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
-from almondstair.gateway.http_calls import HttpCaller
+from almondstair.gateway.simple_http_client import SimpleHttpClient
 
 # Responses take milliseconds. A longer time means a dead connection or a
 # failure of the store.
@@ -92,13 +92,13 @@
 
     def __init__(self, *, address: str) -> None:
         """Creates a client of the store at `ip:port`."""
-        self._http_caller = HttpCaller(address=address)
+        self._http_caller = SimpleHttpClient(address=address)
         self.calls: dict[str, int] = {}
 
     def set_address(self, address: str) -> None:
         """Replaces the store's address; calls in flight fail."""
         self._http_caller.close()
-        self._http_caller = HttpCaller(address=address)
+        self._http_caller = SimpleHttpClient(address=address)
 
     def close(self) -> None:
         """Closes all connections."""
--- a/emulator/replay.py
+++ b/emulator/replay.py
@@ -18,8 +18,8 @@
 from almondstair.core.placement_plan import Planner
 from almondstair.core.request_placer import NO_CAPACITY_RETRY_MS
 from almondstair.core.request_placer import PlacementRequest
-from almondstair.gateway.reaching import CONNECT_TIMEOUT_S
-from almondstair.gateway.reaching import FIRST_LOOK_S
+from almondstair.gateway.upstream_connector import CONNECT_TIMEOUT_S
+from almondstair.gateway.upstream_connector import FIRST_PROBE_PAUSE_S
 from emulator.load_pattern import Kind
 from emulator.load_pattern import Pattern
 from emulator.load_pattern import Trouble
@@ -298,7 +298,9 @@
         state.record_ended()
         if not state.is_paused():
             upstream = self._upstreams[state.record.upstream_id]
-            self._later(FIRST_LOOK_S, lambda: self._look(upstream, choice))
+            self._later(
+                FIRST_PROBE_PAUSE_S, lambda: self._look(upstream, choice)
+            )
         state.record_unreachable()
         call.entry.placing.record_disruption(now_s=self._now_s)
         self._try_again(call)
@@ -308,7 +310,9 @@
             choice.upstream.record_reached()
             return
         if self._now_s < self._pattern.span_s:
-            self._later(FIRST_LOOK_S, lambda: self._look(upstream, choice))
+            self._later(
+                FIRST_PROBE_PAUSE_S, lambda: self._look(upstream, choice)
+            )
 
     def _try_again(self, call: _Call) -> None:
         if len(call.asked.tried) >= ATTEMPTS:
--- a/features/steps/gateway_change_lines_steps.py
+++ b/features/steps/gateway_change_lines_steps.py
@@ -9,8 +9,8 @@
 
 from almondstair import log
 from almondstair.core.fleet import Fleet
-from almondstair.gateway.following import Follower
 from almondstair.gateway.sources import Batch
+from almondstair.gateway.store_sync import StoreSync
 from almondstair.platform import documents
 from almondstair.platform.kv import Item
 from features.steps.gateway_incarnations_steps import _registration
@@ -42,7 +42,7 @@
     context.revision += 1000
     batch = Batch(items, listing, context.revision, 0.0, from_store=True)
     with mock.patch.object(log, "event") as event:
-        context.follower._take(batch, fresh=True)
+        context.follower._apply_batch(batch, fresh=True)
     context.lines = event.call_args_list
 
 
@@ -52,7 +52,7 @@
 )
 def step_entry(context, upstreams, entries):
     context.revision = 0
-    context.follower = Follower(
+    context.follower = StoreSync(
         client=mock.Mock(),
         fleet=Fleet(own_name="e", own_region="east", zones=_ZONES),
         pool=mock.Mock(),
--- a/features/steps/gateway_following_steps.py
+++ b/features/steps/gateway_following_steps.py
@@ -15,10 +15,10 @@
 from almondstair.core import zone_roles
 from almondstair.core.fleet import Fleet
 from almondstair.core.registered_entries import Entry
-from almondstair.gateway.following import Follower
-from almondstair.gateway.http_calls import HttpCaller
 from almondstair.gateway.mirror import Mirror
+from almondstair.gateway.simple_http_client import SimpleHttpClient
 from almondstair.gateway.sources import PeerSource
+from almondstair.gateway.store_sync import StoreSync
 from almondstair.platform import documents
 from emulator.documents import configuration_text
 from emulator.documents import route
@@ -50,10 +50,10 @@
         )
 
     with (
-        mock.patch.object(peer, "_ask", answer),
+        mock.patch.object(peer, "_fetch_page", answer),
         mock.patch.object(context.follower, "_sources", lambda: [peer]),
     ):
-        return asyncio.run(context.follower._round())
+        return asyncio.run(context.follower._poll())
 
 
 @given("an entry at configuration {version:d} that follows a peer")
@@ -64,7 +64,7 @@
     context.fleet = Fleet(
         own_name="e1", own_region="east", zones={"a1": "east"}
     )
-    context.follower = Follower(
+    context.follower = StoreSync(
         client=mock.Mock(),
         fleet=context.fleet,
         pool=mock.Mock(),
@@ -101,7 +101,7 @@
 @then("the entry does not count as in touch with the store")
 def step_not_in_touch(context):
     assert not context.answered
-    assert context.follower.heard_at_s <= context.asked_s
+    assert context.follower.as_of_s <= context.asked_s
 
 
 # Large configurations and slow answers.
@@ -154,7 +154,7 @@
     address = free_address()
     ip, _, port = address.rpartition(":")
     server = await asyncio.start_server(answer, ip, int(port))
-    caller = HttpCaller(address=address)
+    caller = SimpleHttpClient(address=address)
     began_s = now_s()
     try:
         _, body = await caller.call(method="GET", path="/", timeout_s=timeout_s)
--- a/features/steps/gateway_health_steps.py
+++ b/features/steps/gateway_health_steps.py
@@ -14,7 +14,7 @@
 
 from almondstair.core.fleet import Fleet
 from almondstair.core.upstream_state import UpstreamRecord
-from almondstair.gateway import reaching
+from almondstair.gateway import upstream_connector
 from emulator.documents import BOUNDS
 from features.support import harness
 from features.support.gateway_world import GatewayWorld
@@ -251,10 +251,10 @@
     context.pool = mock.Mock()
     answers = [OSError("refused")] * count + [mock.Mock()] * 9
     context.pool.connect = mock.AsyncMock(side_effect=answers)
-    context.reaching = reaching.Reaching(
+    context.connector = upstream_connector.UpstreamConnector(
         fleet=fleet,
         pool=context.pool,
-        suspects=mock.Mock(),
+        crash_reports=mock.Mock(),
         own_region="r",
         regions=("r",),
     )
@@ -265,8 +265,8 @@
     context.paused = []
 
     async def find():
-        context.reaching.look_after(context.upstream)
-        assert await context.reaching.open(context.upstream) is None
+        context.connector.probe_after_loss(context.upstream)
+        assert await context.connector.connect(context.upstream) is None
         for _ in range(40):
             context.paused.append(context.upstream.is_paused())
             await asyncio.sleep(0.005)
@@ -276,8 +276,8 @@
 
 def _with_short_pauses(work):
     with (
-        mock.patch.object(reaching, "FIRST_LOOK_S", 0.01),
-        mock.patch.object(reaching, "LOOK_AFTER_S", 0.01),
+        mock.patch.object(upstream_connector, "FIRST_PROBE_PAUSE_S", 0.01),
+        mock.patch.object(upstream_connector, "LOSS_WATCH_S", 0.01),
     ):
         asyncio.run(work())
 
@@ -288,7 +288,7 @@
     assert paused[0] and not paused[-1], paused
     # Once it gets work it goes on getting it.
     assert paused == sorted(paused, reverse=True), paused
-    assert context.pool.give_back.called
+    assert context.pool.release.called
 
 
 @when("a request finds it gone in the moment in which a look has reached it")
@@ -299,12 +299,12 @@
         loop = asyncio.get_running_loop()
 
         def fail(*_, **__):
-            context.pool.give_back.side_effect = None
+            context.pool.release.side_effect = None
             upstream.record_unreachable()
-            loop.call_soon(context.reaching.look_after, upstream)
+            loop.call_soon(context.connector.probe_after_loss, upstream)
 
-        context.pool.give_back.side_effect = fail
-        context.reaching.look_after(upstream)
+        context.pool.release.side_effect = fail
+        context.connector.probe_after_loss(upstream)
         await asyncio.sleep(0.1)
 
     _with_short_pauses(find)
--- a/features/steps/gateway_incarnations_steps.py
+++ b/features/steps/gateway_incarnations_steps.py
@@ -20,10 +20,10 @@
 from almondstair.core.known_places import CachedLocations
 from almondstair.core.known_places import object_hash
 from almondstair.core.upstream_state import incarnation_hash
-from almondstair.gateway.following import Follower
-from almondstair.gateway.load_sharing import LoadSharing
+from almondstair.gateway.connection_pool import ConnectionPool
+from almondstair.gateway.load_exchange import LoadExchange
 from almondstair.gateway.sources import Batch
-from almondstair.gateway.upstream_pool import UpstreamPool
+from almondstair.gateway.store_sync import StoreSync
 from almondstair.platform import documents
 from almondstair.platform import kv
 from almondstair.platform.kv import Item
@@ -72,7 +72,7 @@
         age_s=0.0,
         from_store=True,
     )
-    context.follower._take(batch, fresh=True)
+    context.follower._apply_batch(batch, fresh=True)
 
 
 @given(
@@ -80,11 +80,11 @@
 )
 def step_entry(context, name, born):
     context.revision = 100
-    context.pool = mock.Mock(wraps=UpstreamPool(id_header=b"x-id"))
+    context.pool = mock.Mock(wraps=ConnectionPool(id_header=b"x-id"))
     context.fleet = Fleet(
         own_name="e1", own_region="east", zones={"a1": "east"}
     )
-    context.follower = Follower(
+    context.follower = StoreSync(
         client=mock.Mock(),
         fleet=context.fleet,
         pool=context.pool,
@@ -243,23 +243,23 @@
     before = context.upstream.incarnation
     forgotten = [
         call.kwargs["incarnation"]
-        for call in context.pool.forget.call_args_list
+        for call in context.pool.close_upstream.call_args_list
     ]
     assert before in forgotten, forgotten
 
 
 @then("a word of another entry on the earlier start changes nothing")
 def step_late_word(context):
-    sharing = LoadSharing(
+    sharing = LoadExchange(
         fleet=context.fleet,
         pool=context.pool,
         suspects=mock.Mock(),
-        places=CachedLocations(),
+        cached_locations=CachedLocations(),
         own_name="e1",
         own_zone="a1",
     )
     before = incarnation_hash(context.upstream.incarnation)
-    sharing._drop_replaced([before])
+    sharing._forget_replaced([before])
     context.fleet.peer_loads.update({before: 50}, own={})
     [state] = context.fleet.eligible_upstreams("s")
     assert state.peer_requests == 0
--- a/features/steps/gateway_known_places_steps.py
+++ b/features/steps/gateway_known_places_steps.py
@@ -13,7 +13,7 @@
 from almondstair.core.registered_entries import Entry
 from almondstair.core.upstream_state import UpstreamRecord
 from almondstair.core.upstream_state import incarnation_hash
-from almondstair.gateway.load_sharing import LoadSharing
+from almondstair.gateway.load_exchange import LoadExchange
 from features.steps.gateway_placement_steps import _exchange
 
 _OBJECT = object_hash(service="s", key="o")
@@ -22,14 +22,16 @@
 
 @when('the entry of "{zone}" sends object "o" to an upstream and both tell')
 def step_sends(context, zone):
-    context.sharing[zone]._places.record_sent(_OBJECT, _UPSTREAM, now_s=now_s())
+    context.sharing[zone]._cached_locations.record_sent(
+        _OBJECT, _UPSTREAM, now_s=now_s()
+    )
     for _ in range(2):
         _exchange(context, now_s())
 
 
 @then('the entry of "{zone}" takes that upstream to know "o"')
 def step_takes(context, zone):
-    context.places = context.sharing[zone]._places
+    context.places = context.sharing[zone]._cached_locations
     assert context.places.upstreams_for(_OBJECT, now_s=now_s()) == {_UPSTREAM}
 
 
@@ -54,11 +56,11 @@
     fleet = Fleet(own_name=f"e{number}", own_region="r", zones={"z": "r"})
     for other in range(2):
         fleet.apply_entry(_entry(other))
-    sharing = LoadSharing(
+    sharing = LoadExchange(
         fleet=fleet,
         pool=mock.Mock(),
         suspects=mock.Mock(**{"recent_strikes.return_value": []}),
-        places=CachedLocations(),
+        cached_locations=CachedLocations(),
         own_name=f"e{number}",
         own_zone="z",
     )
@@ -69,7 +71,7 @@
 @given("entries of one zone that tell each other their loads")
 def step_one_zone(context):
     context.entries = [_sharing(number) for number in range(2)]
-    first = context.entries[0]._in_turn("z")[0]
+    first = context.entries[0]._ordered_entries("z")[0]
     context.reporter = context.entries[int(first.name[1:])]
     context.other = 1 - int(first.name[1:])
 
@@ -77,7 +79,9 @@
 @given("the reporter knows the places of {count:d} objects")
 def step_knows(context, count):
     for name in range(count):
-        context.reporter._places.record_sent(name, _UPSTREAM, now_s=now_s())
+        context.reporter._cached_locations.record_sent(
+            name, _UPSTREAM, now_s=now_s()
+        )
 
 
 @when("the other entry is started again and tells its loads")
@@ -94,7 +98,7 @@
 
 @then("it knows the places of {count:d} objects")
 def step_knows_all(context, count):
-    places = context.started._places.all_locations(now_s=now_s())
+    places = context.started._cached_locations.all_locations(now_s=now_s())
     assert len(places) == count, len(places)
 
 
--- a/features/steps/gateway_placement_steps.py
+++ b/features/steps/gateway_placement_steps.py
@@ -23,10 +23,10 @@
 from almondstair.core.upstream_state import UpstreamRecord
 from almondstair.core.upstream_state import UpstreamState
 from almondstair.core.upstream_state import incarnation_hash
-from almondstair.gateway import load_sharing
-from almondstair.gateway.load_sharing import LoadSharing
-from almondstair.gateway.load_sharing import PlanTold
-from almondstair.gateway.load_sharing import Total
+from almondstair.gateway import load_exchange
+from almondstair.gateway.load_exchange import LoadExchange
+from almondstair.gateway.load_exchange import PlanUpdate
+from almondstair.gateway.load_exchange import TotalLoads
 
 _TICK_S = 0.05
 _RUN_S = 0.2
@@ -242,11 +242,11 @@
                 1, CallerLimits(1, 1, 1.0, 1.0), (), {"s": service}
             )
         )
-        sharing = LoadSharing(
+        sharing = LoadExchange(
             fleet=fleet,
             pool=mock.Mock(),
             suspects=mock.Mock(**{"recent_strikes.return_value": []}),
-            places=CachedLocations(),
+            cached_locations=CachedLocations(),
             own_name=f"e-{zone}",
             own_zone=zone,
         )
@@ -324,14 +324,14 @@
     loads = {}
     for number in range(count):
         loads[incarnation_hash(f"u{number}")] = 40
-    total = Total(
+    total = TotalLoads(
         entry="e",
         complete=True,
-        loads=load_sharing._cut(loads),
+        loads=load_exchange._limit_upstreams(loads),
         replaced=[],
         strikes=[],
     )
-    plan = PlanTold(entry="e", zone="z", plan=context.planner.plan)
+    plan = PlanUpdate(entry="e", zone="z", plan=context.planner.plan)
     for message in (total, plan):
         size = len(msgspec.msgpack.encode(message))
         assert size <= most, size
--- a/features/steps/observing_steps.py
+++ b/features/steps/observing_steps.py
@@ -11,7 +11,7 @@
 from behave import when
 from prometheus_client.metrics import MetricWrapperBase
 
-from almondstair.gateway.measures import Measures
+from almondstair.gateway.gateway_metrics import GatewayMetrics
 from almondstair.log import Event
 from almondstair.metrics import Metric
 from features.support import documented
@@ -87,7 +87,7 @@
         labels = tuple(part.strip("` ") for part in row[2].split(","))
         page[row[0].strip("`")] = (row[1], () if labels == ("-",) else labels)
     code = {}
-    for metric in vars(Measures()).values():
+    for metric in vars(GatewayMetrics()).values():
         if isinstance(metric, MetricWrapperBase):
             code[metric._name] = (metric._type, metric._labelnames)
     assert page == code, (page, code)
--- a/features/support/crashing_world.py
+++ b/features/support/crashing_world.py
@@ -21,9 +21,9 @@
 from almondstair.core.routing import RouteKind
 from almondstair.core.run_times import RunTimes
 from almondstair.core.upstream_state import UpstreamState
-from almondstair.gateway import crash_words
-from almondstair.gateway.crash_words import CrashWords
-from almondstair.gateway.reaching import FIRST_CHECK_S
+from almondstair.gateway import crash_reports
+from almondstair.gateway.crash_reports import CrashReports
+from almondstair.gateway.upstream_connector import LOSS_PROBE_PAUSE_S
 from features.support.telling_world import BETWEEN_REGIONS_S
 from features.support.telling_world import IN_ZONE_S
 from features.support.telling_world import Member
@@ -72,7 +72,7 @@
         )
         self._asked_count = 0
         self._callers_region = next(iter(self.members.values())).region
-        self._words: dict[str, CrashWords] = {}
+        self._words: dict[str, CrashReports] = {}
         self._placings: dict[str, RequestPlacer] = {}
         for member in self.members.values():
             self._equip(member)
@@ -84,9 +84,9 @@
 
     def _equip(self, member: Member) -> None:
         name = member.name
-        self._words[name] = CrashWords(
+        self._words[name] = CrashReports(
             suspects=self._suspects[name],
-            sharing=member.sharing,
+            load_exchange=member.sharing,
             own_name=name,
         )
         self._placings[name] = RequestPlacer(
@@ -105,7 +105,7 @@
     @contextlib.contextmanager
     def crashing(self) -> Iterator[None]:
         """Lets the entries tell, by the virtual clock."""
-        clock = mock.patch.object(crash_words, "now_s", lambda: self.now_s)
+        clock = mock.patch.object(crash_reports, "now_s", lambda: self.now_s)
         with clock, self.running(busy=False):
             yield
 
@@ -144,7 +144,7 @@
             answered()
             return
         placed = self._placings[member.name].place(
-            self._asked(words.exposed(REQUEST)), now_s=self.now_s
+            self._asked(words.possibly_crashed(REQUEST)), now_s=self.now_s
         )
         if placed.choice is None:
             self.refused += 1
@@ -196,9 +196,9 @@
 
         def lose() -> None:
             ran_s = self.now_s - began_s
-            self._words[member.name].note_lost(REQUEST, upstream, ran_s=ran_s)
+            self._words[member.name].report_lost(REQUEST, upstream, ran_s=ran_s)
             self.later(
-                FIRST_CHECK_S + 2 * way_s,
+                LOSS_PROBE_PAUSE_S + 2 * way_s,
                 lambda: self._find_gone(member, upstream),
             )
             answered()
@@ -207,4 +207,4 @@
 
     def _find_gone(self, member: Member, upstream: UpstreamState) -> None:
         upstream.record_unreachable(now_s=self.now_s)
-        self._words[member.name].note_gone(upstream)
+        self._words[member.name].report_gone(upstream)
--- a/features/support/telling_world.py
+++ b/features/support/telling_world.py
@@ -22,8 +22,8 @@
 from almondstair.core.routing import ServiceRule
 from almondstair.core.upstream_state import UpstreamRecord
 from almondstair.core.upstream_state import incarnation_hash
-from almondstair.gateway import load_sharing
-from almondstair.gateway.load_sharing import LoadSharing
+from almondstair.gateway import load_exchange
+from almondstair.gateway.load_exchange import LoadExchange
 
 REGIONS = 3
 IN_ZONE_S = 0.0002
@@ -44,7 +44,7 @@
     zone: str
     region: str
     fleet: Fleet
-    sharing: LoadSharing
+    sharing: LoadExchange
 
 
 class _Pause:
@@ -144,10 +144,10 @@
         for other in self._registered:
             fleet.apply_entry(other)
         options: dict[str, Any] = {}
-        if "link_mbps" in inspect.signature(LoadSharing).parameters:
+        if "link_mbps" in inspect.signature(LoadExchange).parameters:
             options["link_mbps"] = self._link_mbps
-            options["places"] = CachedLocations()
-        sharing = LoadSharing(
+            options["cached_locations"] = CachedLocations()
+        sharing = LoadExchange(
             fleet=fleet,
             pool=mock.Mock(),
             suspects=self.make_suspects(entry.name),
@@ -199,7 +199,7 @@
     def running(self, *, busy: bool) -> Iterator[None]:
         """Lets the entries tell; requests move about when they are busy."""
         with (
-            mock.patch.object(load_sharing, "now_s", lambda: self.now_s),
+            mock.patch.object(load_exchange, "now_s", lambda: self.now_s),
             mock.patch.object(asyncio, "sleep", _sleep),
         ):
             for member in self.members.values():
