--- a/almondstair/claims.py
+++ b/almondstair/claims.py
@@ -13,7 +13,7 @@
 from almondstair import batching
 from almondstair import log
 from almondstair.core import ledger
-from almondstair.core.outage import OutageGate
+from almondstair.core.circuit_breaker import CircuitBreaker
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 from almondstair.key_value import base
@@ -96,7 +96,7 @@
             period_s=LEASE_ROTATION_S,
             now=now,
         )
-        self._gate = OutageGate()
+        self._gate = CircuitBreaker()
         self._open_claims: dict[str, ledger.ClaimRecord] = {}
         self._first_seen_at_s: dict[bytes, float] = {}
         self._outcomes = Settling(
@@ -140,7 +140,7 @@
         recorded = self._repeat_response(store_key, new_record)
         if recorded is not None:
             return recorded
-        if not self._gate.lets_through(now_s=self._now()):
+        if not self._gate.allows_call(now_s=self._now()):
             raise AlmondstairError(
                 kind=ErrorKind.CLAIM_UNAVAILABLE,
                 detail="the platform did not respond to recent claims",
@@ -202,13 +202,13 @@
         recorded = self._repeat_response(store_key, new_record)
         if recorded is not None:
             return recorded
-        if not self._gate.lets_through(now_s=self._now()):
+        if not self._gate.allows_call(now_s=self._now()):
             return None
         until_s = min(deadline_s, self._now() + LOOKUP_TIMEOUT_S)
         try:
             current = await self._read(store_key, until_s)
         except base.PlatformError:
-            self._gate.failed(now_s=self._now())
+            self._gate.record_failure(now_s=self._now())
             return None
         if current is None:
             return None
@@ -339,7 +339,7 @@
             raise base.PlatformError(
                 failure=base.PlatformFailure.UNAVAILABLE, detail="timeout"
             ) from error
-        self._gate.answered()
+        self._gate.record_answer()
         return record
 
     async def _write(
@@ -358,9 +358,9 @@
                 # A lease that the service lost would make later claims fail.
                 self._lease.forget(lease_id)
             else:
-                self._gate.failed(now_s=self._now())
+                self._gate.record_failure(now_s=self._now())
             raise
-        self._gate.answered()
+        self._gate.record_answer()
         return result
 
     async def _current_lease(self, until_s: float) -> int:
--- a/almondstair/configuration_keeper.py
+++ b/almondstair/configuration_keeper.py
@@ -8,14 +8,14 @@
 
 from almondstair import documents
 from almondstair import log
+from almondstair.core.configuration import ApplyOutcome
 from almondstair.core.configuration import ConfigurationState
 from almondstair.core.configuration import Edit
-from almondstair.core.configuration import EditFate
-from almondstair.core.configuration import EditNote
+from almondstair.core.configuration import EditRecord
 from almondstair.core.configuration import EditResult
-from almondstair.core.configuration import Offer
+from almondstair.core.configuration import EditStatus
 from almondstair.core.configuration import StoredConfiguration
-from almondstair.core.configuration import applied_result
+from almondstair.core.configuration import result_of_stored_edit
 from almondstair.core.membership import Membership
 from almondstair.core.model import Configuration
 from almondstair.errors import AlmondstairError
@@ -33,10 +33,10 @@
 SEED_AUTHOR = "deployment file"
 
 _ERROR_KINDS = {
-    EditFate.PENDING: ErrorKind.EDIT_PENDING,
-    EditFate.CONFLICT: ErrorKind.EDIT_CONFLICT,
-    EditFate.UNKNOWN: ErrorKind.EDIT_UNKNOWN,
-    EditFate.NOT_FOUND: ErrorKind.NOT_FOUND,
+    EditStatus.PENDING: ErrorKind.EDIT_PENDING,
+    EditStatus.CONFLICT: ErrorKind.EDIT_CONFLICT,
+    EditStatus.UNKNOWN: ErrorKind.EDIT_UNKNOWN,
+    EditStatus.NOT_FOUND: ErrorKind.NOT_FOUND,
 }
 
 
@@ -94,14 +94,14 @@
 
     def take(self, stored: StoredConfiguration) -> None:
         """Applies a configuration from the platform or a peer, if newer."""
-        outcome = self._state.judge(stored)
-        if outcome in (Offer.OLDER, Offer.DIVERGED):
+        outcome = self._state.compare(stored)
+        if outcome in (ApplyOutcome.OLDER, ApplyOutcome.DIVERGED):
             log.event(
                 log.Event.CONFIGURATION_OLDER,
                 offered_version=stored.version,
                 in_force_version=self._state.version,
             )
-        if outcome is not Offer.APPLIED:
+        if outcome is not ApplyOutcome.APPLIED:
             return
         if stored.version == self._invalid_version:
             return
@@ -121,7 +121,7 @@
         # must already be in effect.
         self.configuration = configuration
         self._on_configuration(configuration)
-        self._state.offer(stored)
+        self._state.apply_if_newer(stored)
         log.event(
             log.Event.CONFIGURATION_IN_FORCE,
             version=stored.version,
@@ -200,12 +200,12 @@
             log.Event.EDIT,
             edit_id=edit.edit_id,
             author=edit.author,
-            fate=str(result.fate),
+            fate=str(result.status),
             version=result.version,
         )
-        if result.fate is EditFate.PENDING:
+        if result.status is EditStatus.PENDING:
             return await self._wait_until_accepted(result)
-        if result.fate is EditFate.UNKNOWN:
+        if result.status is EditStatus.UNKNOWN:
             self._unknown_edits[edit.edit_id] = edit.base_version
         return await self._edit_answer(result, request.base_version, before)
 
@@ -229,9 +229,11 @@
             stored = await self._store.read()
             if stored is not None:
                 self.take(stored)
-                edit_record = stored.find(edit_id=edit_id)
+                edit_record = stored.find_edit(edit_id=edit_id)
         if edit_record is not None:
-            result = EditResult(EditFate.PENDING, edit_id, edit_record.version)
+            result = EditResult(
+                EditStatus.PENDING, edit_id, edit_record.version
+            )
             return await self._edit_answer(
                 self._applied_status(result), 0, None
             )
@@ -242,10 +244,10 @@
             "is older than the edits kept, or its write is still in flight",
         )
 
-    def _record_in_force(self, edit_id: str) -> EditNote | None:
+    def _record_in_force(self, edit_id: str) -> EditRecord | None:
         if self._state.in_force is None:
             return None
-        return self._state.in_force.find(edit_id=edit_id)
+        return self._state.in_force.find_edit(edit_id=edit_id)
 
     async def history(self) -> list[dict[str, object]]:
         """Returns the latest edits, newest first."""
@@ -284,7 +286,10 @@
             self.take(stored)
         deadline_s = time.monotonic() + ACCEPT_WAIT_S
         status = self._applied_status(result)
-        while status.fate is EditFate.PENDING and time.monotonic() < deadline_s:
+        while (
+            status.status is EditStatus.PENDING
+            and time.monotonic() < deadline_s
+        ):
             await asyncio.sleep(ACCEPT_POLL_S)
             status = self._applied_status(result)
         return await self._edit_answer(status, 0, None)
@@ -300,11 +305,11 @@
         stored = self._state.in_force
         edit_record = None
         if stored is not None:
-            edit_record = stored.find(edit_id=result.edit_id)
+            edit_record = stored.find_edit(edit_id=result.edit_id)
         if edit_record is None:
             return result
-        return applied_result(
-            note=edit_record,
+        return result_of_stored_edit(
+            edit_record=edit_record,
             reports=self._membership.version_reports(
                 own_version=self._state.version, now_s=time.monotonic()
             ),
@@ -317,23 +322,28 @@
         base_version: int,
         before: StoredConfiguration | None,
     ) -> EditAnswer:
-        kind = _ERROR_KINDS.get(result.fate)
+        kind = _ERROR_KINDS.get(result.status)
         if kind is None:
             return EditAnswer(
-                result.edit_id, str(result.fate), result.version, result.lacking
+                result.edit_id,
+                str(result.status),
+                result.version,
+                result.lagging_entries,
             )
         changed: tuple[str, ...] = ()
         detail = ""
-        if result.fate is EditFate.CONFLICT:
+        if result.status is EditStatus.CONFLICT:
             changed = await self._changed_keys(base_version, before)
             detail = _conflict_detail(result)
-        if result.lacking:
-            detail = "not known to be in force on: " + ", ".join(result.lacking)
+        if result.lagging_entries:
+            detail = "not known to be in force on: " + ", ".join(
+                result.lagging_entries
+            )
         return EditAnswer(
             result.edit_id,
-            str(result.fate),
+            str(result.status),
             result.version,
-            result.lacking,
+            result.lagging_entries,
             changed,
             AlmondstairError(kind=kind, detail=detail),
         )
@@ -366,7 +376,7 @@
 
 
 def _conflict_detail(result: EditResult) -> str:
-    winner = result.winner
+    winner = result.conflicting_edit
     if winner is None:
         return "the edited version is not the one in force; read it again"
     return (
--- a/almondstair/control.py
+++ b/almondstair/control.py
@@ -10,18 +10,18 @@
 from almondstair.configuration_keeper import ConfigurationKeeper
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.entry_table import EntryTable
-from almondstair.core.heartbeat_words import ServiceLoad
-from almondstair.core.heartbeat_words import StatusDetail
+from almondstair.core.heartbeat_payloads import ServiceLoad
+from almondstair.core.heartbeat_payloads import StatusDetail
 from almondstair.core.home_records import HomesReport
 from almondstair.core.homes import Homes
 from almondstair.core.hops import HopTable
+from almondstair.core.leaving_reports import LeavingReports
 from almondstair.core.loans import Loan
 from almondstair.core.loans import LoanRequest
 from almondstair.core.membership import Membership
 from almondstair.core.membership_records import incarnation_text
-from almondstair.core.message_delays import MessageDelays
+from almondstair.core.message_delays import MessageDelayEstimator
 from almondstair.core.model import Configuration
-from almondstair.core.peer_marks import PeerMarks
 from almondstair.core.quarantine import Quarantine
 from almondstair.core.steering import Steering
 from almondstair.document_exchange import DocumentExchange
@@ -75,8 +75,8 @@
         self._lost_regions: frozenset[str] = frozenset()
         self._logged_homes: dict[str, str | None] = {}
         self._leaving_upstreams: frozenset[str] = frozenset()
-        self._peer_marks = PeerMarks()
-        self._delays = MessageDelays()
+        self._peer_marks = LeavingReports()
+        self._delays = MessageDelayEstimator()
         self._loads: tuple[ServiceLoad, ...] = ()
         self._loads_recorded_s = float("-inf")
         self._heartbeats: Heartbeats
@@ -139,7 +139,7 @@
         self._update_lost_regions(now_s)
         self._update_link_headroom(now_s)
         self._parts.shares.ask()
-        self._parts.quarantine.expire(now_s=now_s)
+        self._parts.quarantine.drop_expired(now_s=now_s)
         self._parts.keeper.advance_all()
         configuration = self._configuration.configuration
         if configuration is not None:
@@ -183,13 +183,13 @@
         self._check_region_recovery(name, now_s)
         row = self._parts.membership.table.row(name=name)
         assert row is not None
-        expected_arrival_s = self._delays.usual_arrival_s(
+        expected_arrival_s = self._delays.undelayed_arrival_s(
             sender=name,
             incarnation=incarnation,
             sent_s=heartbeat.sent_s,
             now_s=now_s,
         )
-        self._parts.quarantine.merge(
+        self._parts.quarantine.merge_marks(
             marks=heartbeat.detail.marks, now_s=expected_arrival_s
         )
         for load in heartbeat.detail.loads:
@@ -199,13 +199,13 @@
         """Applies strikes that another entry reports outside of heartbeats."""
         if self._parts.membership.table.row(name=report.entry) is None:
             return
-        expected_arrival_s = self._delays.usual_arrival_s(
+        expected_arrival_s = self._delays.undelayed_arrival_s(
             sender=report.entry,
             incarnation=report.incarnation,
             sent_s=report.sent_s,
             now_s=time.monotonic(),
         )
-        self._parts.quarantine.merge(
+        self._parts.quarantine.merge_marks(
             marks=report.marks, now_s=expected_arrival_s
         )
 
@@ -223,7 +223,7 @@
         """
         if heartbeat.detail is None:
             return
-        self._peer_marks.heard(
+        self._peer_marks.record_report(
             peer=name,
             incarnation=incarnation,
             names=heartbeat.detail.leaving_upstreams,
@@ -236,7 +236,7 @@
     def _record_load(
         self, row: EntryRow, load: ServiceLoad, now_s: float
     ) -> None:
-        self._parts.steering.regions.observe(
+        self._parts.steering.regions.record_load_report(
             region=row.region,
             service=load.service,
             source=row.name,
@@ -297,7 +297,7 @@
         return StatusDetail(
             loads=self._own_loads(now_s),
             leaving_upstreams=tuple(sorted(self._own_leaving_upstreams(now_s))),
-            marks=self._parts.quarantine.digest(now_s=now_s),
+            marks=self._parts.quarantine.next_marks(now_s=now_s),
         )
 
     def loads(self) -> tuple[ServiceLoad, ...]:
@@ -377,7 +377,7 @@
 
     def on_configuration(self, configuration: Configuration) -> None:
         """Updates leaving marks and heartbeat receivers."""
-        self._parts.membership.mark_leaving(
+        self._parts.membership.set_marked_leaving(
             names=frozenset(configuration.marks.leaving)
         )
         self._heartbeats.refresh_table(
@@ -414,7 +414,7 @@
         names = set(self._table.vms_leaving)
         if self._table.list_is_out:
             since_s = self._table.list_described_s
-            names |= self._peer_marks.names(since_s=since_s)
+            names |= self._peer_marks.leaving_names(since_s=since_s)
         return names
 
     def _record_own_loads(self, now_s: float) -> None:
@@ -438,7 +438,7 @@
         self._loads_recorded_s = now_s
 
     def _update_silent_entries(self, now_s: float) -> None:
-        silent = frozenset(self._parts.membership.silent(now_s=now_s))
+        silent = frozenset(self._parts.membership.silent_names(now_s=now_s))
         for name in silent - self._silent:
             log.event(log.Event.ENTRY_SILENT, entry=name)
         for name in self._silent - silent:
@@ -460,18 +460,18 @@
         if configuration is None:
             return
         alive = set()
-        for row in self._parts.membership.live(now_s=now_s):
+        for row in self._parts.membership.live_entries(now_s=now_s):
             alive.add(row.region)
         lost = frozenset(configuration.regions) - alive
         for region in lost - self._lost_regions:
-            self._parts.steering.regions.region_lost(region=region)
+            self._parts.steering.regions.mark_lost(region=region)
         for region in self._lost_regions - lost:
-            self._parts.steering.regions.region_back(region=region)
+            self._parts.steering.regions.mark_recovered(region=region)
         self._lost_regions = lost
 
     def _update_link_headroom(self, now_s: float) -> None:
         for region in self._parts.pacers.regions():
-            self._parts.steering.regions.observe_link(
+            self._parts.steering.regions.record_link_headroom(
                 availability_zone=self._parts.own.availability_zone,
                 region=region,
                 headroom=self._parts.pacers.headroom(
--- a/almondstair/core/admission.py
+++ b/almondstair/core/admission.py
@@ -17,14 +17,14 @@
 from almondstair.core.health import HealthTable
 from almondstair.core.home_records import Duty
 from almondstair.core.homes import Homes
+from almondstair.core.loop_stall import LoopStall
+from almondstair.core.loop_stall import ratio_without_stall
 from almondstair.core.model import Configuration
 from almondstair.core.model import Priority
 from almondstair.core.slot_book import SlotBook
 from almondstair.core.slow_start import DEFAULT_LIMITS
+from almondstair.core.slow_start import BaselineLatency
 from almondstair.core.slow_start import SlowStartLimits
-from almondstair.core.slow_start import UsualLatency
-from almondstair.core.standstill import Standstill
-from almondstair.core.standstill import judged_ratio
 from almondstair.core.upstream_slots import UpstreamSlots
 from almondstair.errors import ErrorKind
 
@@ -69,7 +69,7 @@
         limits: SlowStartLimits = DEFAULT_LIMITS,
         kept_fraction: dict[Priority, float] | None = None,
         health: HealthTable | None = None,
-        standstill: Standstill | None = None,
+        standstill: LoopStall | None = None,
     ) -> None:
         """Creates a table without upstreams.
 
@@ -83,7 +83,7 @@
             precedence over its own reports.
           standstill: measures for how long this entry's event loop stalled.
         """
-        self.standstill = standstill or Standstill()
+        self.standstill = standstill or LoopStall()
         self._health = health or HealthTable()
         self._homes = homes
         self._tracker = book
@@ -92,7 +92,7 @@
         self._states: dict[str, UpstreamSlots] = {}
         self._by_service: dict[str, list[str]] = {}
         self._leaving: frozenset[str] = frozenset()
-        self._baseline_latency = UsualLatency()
+        self._baseline_latency = BaselineLatency()
         self._choices = 0
         self._last_choice: dict[str, int] = {}
         self._service_time_s: dict[str, float] = {}
@@ -271,15 +271,17 @@
         if state is None or outcome is Outcome.CANCELLED:
             return
         if outcome is not Outcome.ANSWERED:
-            state.ramp.refused(now_s=now_s)
+            state.ramp.record_refusal(now_s=now_s)
             return
         latency_s = now_s - admission.admitted_s
-        ratio = self._baseline_latency.ratio(
+        ratio = self._baseline_latency.record(
             work=f"{admission.service}/{work}", latency_s=latency_s
         )
         still_s = self.standstill.total_s(now_s=now_s) - admission.still_s
-        ratio = judged_ratio(ratio=ratio, latency_s=latency_s, still_s=still_s)
-        state.ramp.answered(ratio=ratio, now_s=now_s)
+        ratio = ratio_without_stall(
+            ratio=ratio, latency_s=latency_s, stall_s=still_s
+        )
+        state.ramp.record_answer(ratio=ratio, now_s=now_s)
         self._update_service_time(
             service=admission.service, latency_s=latency_s
         )
--- a/almondstair/core/announcing.py
+++ b/almondstair/core/announcement_limiter.py
@@ -15,7 +15,7 @@
 DEFAULT_BURST = 4
 
 
-class Announcing:
+class AnnouncementLimiter:
     """Limits the rate of announcements by delaying them; none is dropped."""
 
     def __init__(self, *, interval_s: float, burst: int = DEFAULT_BURST):
@@ -49,7 +49,7 @@
         self._scheduled = True
         return self._interval_start_s + self._interval_s - now_s
 
-    def planned_told(self, *, now_s: float) -> None:
+    def record_scheduled_sent(self, *, now_s: float) -> None:
         """Records that the scheduled announcement is sent now."""
         self._scheduled = False
         self._interval_start_s = now_s
--- a/almondstair/core/blocks.py
+++ b/almondstair/core/blocks.py
@@ -187,7 +187,7 @@
         self._versions: set[int] = set()
         self._shard_counts: set[int] = set()
 
-    def take(self, *, value: bytes) -> None:
+    def add(self, *, value: bytes) -> None:
         """Adds a shard.
 
         Raises:
@@ -234,7 +234,7 @@
     """
     reader = ShardReader()
     for value in values:
-        reader.take(value=value)
+        reader.add(value=value)
     return reader.table()
 
 
--- a/almondstair/core/outage.py
+++ b/almondstair/core/circuit_breaker.py
@@ -4,7 +4,7 @@
 PROBE_INTERVAL_S = 0.5
 
 
-class OutageGate:
+class CircuitBreaker:
     """Allows every call while a service answers, and only probes while not.
 
     A service that hangs costs each call its whole timeout. A request that
@@ -18,7 +18,7 @@
         self._failures = 0
         self._last_probe_s = 0.0
 
-    def lets_through(self, *, now_s: float) -> bool:
+    def allows_call(self, *, now_s: float) -> bool:
         """Returns whether a call may be made; if open, it is the probe."""
         if self._failures < FAILURES_TO_OPEN:
             return True
@@ -27,11 +27,11 @@
         self._last_probe_s = now_s
         return True
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Records an answer, whatever its content, and closes the breaker."""
         self._failures = 0
 
-    def failed(self, *, now_s: float) -> None:
+    def record_failure(self, *, now_s: float) -> None:
         """Records a call that got no answer."""
         self._failures += 1
         if self._failures == FAILURES_TO_OPEN:
--- a/almondstair/core/configuration.py
+++ b/almondstair/core/configuration.py
@@ -19,7 +19,7 @@
 RECENT_EDITS = 50
 
 
-class EditNote(NamedTuple):
+class EditRecord(NamedTuple):
     """Version, id and author of an edit, without its text.
 
     Attributes:
@@ -52,21 +52,23 @@
     author: str
     edited_at: str
     text: str
-    recent: tuple[EditNote, ...] = ()
+    recent: tuple[EditRecord, ...] = ()
 
-    def note(self) -> EditNote:
+    def edit_record(self) -> EditRecord:
         """Returns the record of the edit that created this version."""
-        return EditNote(self.version, self.edit_id, self.author, self.edited_at)
+        return EditRecord(
+            self.version, self.edit_id, self.author, self.edited_at
+        )
 
-    def find(self, *, edit_id: str) -> EditNote | None:
+    def find_edit(self, *, edit_id: str) -> EditRecord | None:
         """Returns the record of an edit, None if not among the latest."""
-        for note in self.recent:
-            if note.edit_id == edit_id:
-                return note
+        for record in self.recent:
+            if record.edit_id == edit_id:
+                return record
         return None
 
 
-class Offer(enum.StrEnum):
+class ApplyOutcome(enum.StrEnum):
     """Outcome for a configuration that the platform or a peer served.
 
     Attributes:
@@ -103,17 +105,17 @@
             return 0
         return self.in_force.version
 
-    def judge(self, stored: StoredConfiguration) -> Offer:
-        """Returns the outcome of `offer` without applying anything."""
+    def compare(self, stored: StoredConfiguration) -> ApplyOutcome:
+        """Returns the outcome of `apply_if_newer` without applying anything."""
         if self.in_force is None or stored.version > self.in_force.version:
-            return Offer.APPLIED
+            return ApplyOutcome.APPLIED
         if stored.version < self.in_force.version:
-            return Offer.OLDER
+            return ApplyOutcome.OLDER
         if stored.edit_id == self.in_force.edit_id:
-            return Offer.SAME
-        return Offer.DIVERGED
+            return ApplyOutcome.SAME
+        return ApplyOutcome.DIVERGED
 
-    def offer(self, stored: StoredConfiguration) -> Offer:
+    def apply_if_newer(self, stored: StoredConfiguration) -> ApplyOutcome:
         """Applies a configuration if, and only if, it is newer.
 
         A platform that lost its data, or a peer that was suspended, serves an
@@ -123,8 +125,8 @@
 
         The caller must have validated the text.
         """
-        outcome = self.judge(stored)
-        if outcome is Offer.APPLIED:
+        outcome = self.compare(stored)
+        if outcome is ApplyOutcome.APPLIED:
             self.in_force = stored
         return outcome
 
@@ -143,7 +145,7 @@
     age_s: float
 
 
-class EditFate(enum.StrEnum):
+class EditStatus(enum.StrEnum):
     """Status of an edit.
 
     Attributes:
@@ -165,21 +167,21 @@
     """Result of an edit, for the operator.
 
     Attributes:
-      fate: status of the edit.
+      status: status of the edit.
       edit_id: id by which the edit can be looked up again.
       version: version that the edit created, 0 if none.
-      lacking: entries that have not reported the version as in force yet.
-      winner: on a conflict, the edit that came first.
+      lagging_entries: entries that have not reported the version yet.
+      conflicting_edit: on a conflict, the edit that came first.
     """
 
-    fate: EditFate
+    status: EditStatus
     edit_id: str
     version: int = 0
-    lacking: tuple[str, ...] = ()
-    winner: EditNote | None = None
+    lagging_entries: tuple[str, ...] = ()
+    conflicting_edit: EditRecord | None = None
 
 
-def lacking_entries(
+def lagging_entries(
     *, version: int, reports: Iterable[VersionReport], fresh_limit_s: float
 ) -> tuple[str, ...]:
     """Returns the entries not confirmed to have a version in force.
@@ -192,28 +194,30 @@
       reports: one for each entry of the entry table.
       fresh_limit_s: age in seconds above which a report does not count.
     """
-    lacking = []
+    lagging = []
     for report in reports:
         if report.version >= version and report.age_s <= fresh_limit_s:
             continue
-        lacking.append(report.name)
-    return tuple(lacking)
+        lagging.append(report.name)
+    return tuple(lagging)
 
 
-def applied_result(
+def result_of_stored_edit(
     *,
-    note: EditNote,
+    edit_record: EditRecord,
     reports: Iterable[VersionReport],
     fresh_limit_s: float,
 ) -> EditResult:
     """Returns `ACCEPTED` or `PENDING` for an edit stored by the platform."""
-    lacking = lacking_entries(
-        version=note.version, reports=reports, fresh_limit_s=fresh_limit_s
+    lagging = lagging_entries(
+        version=edit_record.version,
+        reports=reports,
+        fresh_limit_s=fresh_limit_s,
     )
-    fate = EditFate.ACCEPTED
-    if lacking:
-        fate = EditFate.PENDING
-    return EditResult(fate, note.edit_id, note.version, lacking)
+    status = EditStatus.ACCEPTED
+    if lagging:
+        status = EditStatus.PENDING
+    return EditResult(status, edit_record.edit_id, edit_record.version, lagging)
 
 
 class Edit(NamedTuple):
@@ -234,7 +238,7 @@
     text: str
 
 
-class Basis(enum.StrEnum):
+class EditBasis(enum.StrEnum):
     """How the base of an edit relates to the stored configuration.
 
     Attributes:
@@ -248,19 +252,19 @@
     """
 
     CURRENT = "current"
-    DONE = "done"
-    BEHIND = "behind"
+    ALREADY_APPLIED = "done"
+    OUTDATED = "behind"
     ROLLED_BACK = "rolled_back"
-    UNSURE = "unsure"
+    UNDECIDABLE = "unsure"
 
 
-def basis_of(
+def classify_edit_basis(
     *,
     edit: Edit,
     stored: StoredConfiguration | None,
     highest_version: int,
     all_heard: bool,
-) -> Basis:
+) -> EditBasis:
     """Returns how the base of an edit relates to the stored configuration.
 
     Args:
@@ -272,42 +276,42 @@
     stored_version = 0
     if stored is not None:
         stored_version = stored.version
-        if stored.find(edit_id=edit.edit_id) is not None:
-            return Basis.DONE
+        if stored.find_edit(edit_id=edit.edit_id) is not None:
+            return EditBasis.ALREADY_APPLIED
     if highest_version <= stored_version:
         if edit.base_version == stored_version:
-            return Basis.CURRENT
-        return Basis.BEHIND
+            return EditBasis.CURRENT
+        return EditBasis.OUTDATED
     # The platform stores a lower version than some entry has in force: it was
     # wiped or rolled back. Only an operator's edit based on the version in
     # force repairs it. Reusing a version number would put two texts under one
     # version, which entries could not tell apart. So a silent entry, which may
     # have a higher version, blocks the edit.
     if edit.base_version != highest_version:
-        return Basis.BEHIND
+        return EditBasis.OUTDATED
     if not all_heard:
-        return Basis.UNSURE
-    return Basis.ROLLED_BACK
+        return EditBasis.UNDECIDABLE
+    return EditBasis.ROLLED_BACK
 
 
-def next_stored(
+def build_stored_configuration(
     *,
     edit: Edit,
     stored: StoredConfiguration | None,
     highest_version: int,
 ) -> StoredConfiguration:
     """Returns the document that an edit writes, above every known version."""
-    recent: tuple[EditNote, ...] = ()
+    recent: tuple[EditRecord, ...] = ()
     version = highest_version
     if stored is not None:
         recent = stored.recent
         version = max(version, stored.version)
-    note = EditNote(version + 1, edit.edit_id, edit.author, edit.edited_at)
+    record = EditRecord(version + 1, edit.edit_id, edit.author, edit.edited_at)
     return StoredConfiguration(
-        version=note.version,
+        version=record.version,
         edit_id=edit.edit_id,
         author=edit.author,
         edited_at=edit.edited_at,
         text=edit.text,
-        recent=((note,) + recent)[:RECENT_EDITS],
+        recent=((record,) + recent)[:RECENT_EDITS],
     )
--- a/almondstair/core/health.py
+++ b/almondstair/core/health.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-from almondstair.core.standstill import judged_ratio
+from almondstair.core.loop_stall import ratio_without_stall
 
 DEFAULT_HALF_LIFE_S = 2.0
 # The baseline latency falls faster than it rises: otherwise a baseline learned
@@ -139,14 +139,14 @@
         self._half_life_s = half_life_s
         self._records: dict[str, _HealthRecord] = {}
 
-    def answered(
+    def record_answer(
         self,
         *,
         name: str,
         request_class: str,
         latency_ms: float,
         now_s: float,
-        still_ms: float = 0.0,
+        stall_ms: float = 0.0,
     ) -> None:
         """Records a complete answer and its latency.
 
@@ -155,7 +155,7 @@
           request_class: class of the request.
           latency_ms: time from sending to the complete answer.
           now_s: monotonic time.
-          still_ms: part of the latency in which this process was stalled.
+          stall_ms: part of the latency in which this process was stalled.
         """
         record = self._record(name)
         record.refused.add(sample=0.0, now_s=now_s)
@@ -168,23 +168,23 @@
         baseline.add(latency_ms=latency_ms, now_s=now_s)
         if baseline.is_learning:
             return
-        stretch = judged_ratio(
+        stretch = ratio_without_stall(
             ratio=latency_ms / baseline_ms,
             latency_s=latency_ms / 1000,
-            still_s=still_ms / 1000,
+            stall_s=stall_ms / 1000,
         )
         record.stretch.add(sample=stretch, now_s=now_s)
 
-    def accepted(self, *, name: str, now_s: float) -> None:
+    def record_accepted(self, *, name: str, now_s: float) -> None:
         """Records a request that was not refused, whatever its outcome."""
         self._record(name).refused.add(sample=0.0, now_s=now_s)
 
-    def refused(self, *, name: str, now_s: float) -> None:
+    def record_refusal(self, *, name: str, now_s: float) -> None:
         """Records a refusal; the request was certainly not run."""
         record = self._record(name)
         record.refused.add(sample=1.0, now_s=now_s)
 
-    def failed(self, *, name: str, now_s: float) -> None:
+    def record_failure(self, *, name: str, now_s: float) -> None:
         """Records a lost connection, a timeout or a failed answer."""
         record = self._record(name)
         record.failed.add(sample=1.0, now_s=now_s)
--- a/almondstair/core/heartbeat_words.py
+++ b/almondstair/core/heartbeat_payloads.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from almondstair.core.entry_table import EntryTable
-from almondstair.core.quarantine import Mark
+from almondstair.core.quarantine import StrikeMark
 
 AGE_UNIT_S = 0.1
 # Added to a relayed age for the transit time, so that no report appears fresher
@@ -48,10 +48,10 @@
 
     loads: tuple[ServiceLoad, ...] = ()
     leaving_upstreams: tuple[str, ...] = ()
-    marks: tuple[Mark, ...] = ()
+    marks: tuple[StrikeMark, ...] = ()
 
 
-def far_detail(detail: StatusDetail) -> StatusDetail | None:
+def detail_for_far_entries(detail: StatusDetail) -> StatusDetail | None:
     """Returns the part of a status that every entry needs, None if empty.
 
     A request that crashes upstreams may be resent through any entry, so the
@@ -103,7 +103,7 @@
     loads: tuple[ServiceLoad, ...] = ()
 
 
-class MemberWord(NamedTuple):
+class MemberStatus(NamedTuple):
     """Status of one entry in a view or digest.
 
     Attributes:
@@ -119,26 +119,26 @@
     version: int
 
 
-def taken_in_turn(
-    names: Sequence[str], place: int, count: int
+def take_round_robin(
+    names: Sequence[str], start: int, count: int
 ) -> tuple[tuple[str, ...], int]:
     """Returns up to `count` names in round-robin order and the next index.
 
     Args:
       names: names to cycle through.
-      place: index of the first name to return.
+      start: index of the first name to return.
       count: maximum number of names.
     """
     selected = []
     for step in range(min(count, len(names))):
-        selected.append(names[(place + step) % len(names)])
+        selected.append(names[(start + step) % len(names)])
     next_place = 0
     if names:
-        next_place = (place + len(selected)) % len(names)
+        next_place = (start + len(selected)) % len(names)
     return tuple(selected), next_place
 
 
-def zone_names(*, table: EntryTable) -> dict[str, list[str]]:
+def names_by_zone(*, table: EntryTable) -> dict[str, list[str]]:
     """Returns the names by zone, in the order used by views and digests."""
     zones: dict[str, list[str]] = {}
     for row in table.entries:
@@ -151,19 +151,19 @@
 def make_view(
     *,
     epoch: int,
-    words: Sequence[MemberWord],
+    members: Sequence[MemberStatus],
     configuration_version: int,
 ) -> GroupView:
     """Returns the view of a group.
 
     Args:
-      epoch: epoch of the entry table that defines the order of `words`.
-      words: status of each member, this entry included, sorted by name.
+      epoch: epoch of the entry table that defines the order of `members`.
+      members: status of each member, this entry included, sorted by name.
       configuration_version: highest known configuration version.
     """
     ages = bytearray()
     versions_behind_bytes = bytearray()
-    for member in words:
+    for member in members:
         age_units = UNKNOWN_BYTE
         if member.live and member.age_s < UNKNOWN_BYTE * AGE_UNIT_S:
             # Rounded up: a relayed report must never appear fresher than it
@@ -179,7 +179,7 @@
     )
 
 
-def read_view(*, view: GroupView, names: Sequence[str]) -> list[MemberWord]:
+def read_view(*, view: GroupView, names: Sequence[str]) -> list[MemberStatus]:
     """Returns the status of the members that a view reports as heard.
 
     Args:
@@ -196,7 +196,7 @@
         if versions_behind_count != UNKNOWN_BYTE:
             version = view.configuration_version - versions_behind_count
         age_s = age_units * AGE_UNIT_S + RELAY_DELAY_S
-        members.append(MemberWord(name, True, age_s, version))
+        members.append(MemberStatus(name, True, age_s, version))
     return members
 
 
@@ -204,7 +204,7 @@
     *,
     availability_zone: str,
     epoch: int,
-    words: Sequence[MemberWord],
+    members: Sequence[MemberStatus],
     version: int,
     loads: tuple[ServiceLoad, ...],
 ) -> ZoneDigest:
@@ -212,15 +212,15 @@
 
     Args:
       availability_zone: name of the zone.
-      epoch: epoch of the entry table that defines the order of `words`.
-      words: status of each entry of the zone, sorted by name.
+      epoch: epoch of the entry table that defines the order of `members`.
+      members: status of each entry of the zone, sorted by name.
       version: highest known configuration version.
       loads: load by service over the zone's upstreams.
     """
     live = []
     has_version = []
     oldest_s = 0.0
-    for member in words:
+    for member in members:
         live.append(member.live)
         has_version.append(member.live and member.version >= version)
         if member.live:
@@ -238,7 +238,7 @@
 
 def read_digest(
     *, digest: ZoneDigest, names: Sequence[str]
-) -> list[MemberWord]:
+) -> list[MemberStatus]:
     """Returns the status of the entries of a digest's zone.
 
     Args:
@@ -252,7 +252,7 @@
         version = 0
         if _is_bit_set(digest.version_bits, place):
             version = digest.version
-        members.append(MemberWord(name, live, age_s, version))
+        members.append(MemberStatus(name, live, age_s, version))
     return members
 
 
@@ -279,7 +279,7 @@
         self._as_of_s: dict[str, float] = {}
         self._next_index = 0
 
-    def offer(self, *, digest: ZoneDigest, now_s: float) -> bool:
+    def store_if_fresher(self, *, digest: ZoneDigest, now_s: float) -> bool:
         """Stores a digest if it is fresher than the stored one.
 
         Returns:
@@ -301,9 +301,11 @@
         age_s = now_s - self._as_of_s[availability_zone]
         return digest._replace(age_ms=math.ceil(age_s * 1000))
 
-    def next(self, *, count: int, now_s: float) -> tuple[ZoneDigest, ...]:
+    def next_digests(
+        self, *, count: int, now_s: float
+    ) -> tuple[ZoneDigest, ...]:
         """Returns the next digests to relay, round-robin over the zones."""
-        zones, self._next_index = taken_in_turn(
+        zones, self._next_index = take_round_robin(
             sorted(self._digests), self._next_index, count
         )
         digests = []
--- a/almondstair/core/heartbeats.py
+++ b/almondstair/core/heartbeats.py
@@ -40,7 +40,7 @@
 
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.entry_table import EntryTable
-from almondstair.core.heartbeat_words import taken_in_turn
+from almondstair.core.heartbeat_payloads import take_round_robin
 
 FULL_MESH_ENTRIES = 16
 # Bytes per second of heartbeats to the group. A full mesh has a larger
@@ -106,7 +106,7 @@
     return tuple(contacts)
 
 
-def holds_watch(*, own: EntryRow, live: Iterable[EntryRow]) -> bool:
+def is_watcher(*, own: EntryRow, live: Iterable[EntryRow]) -> bool:
     """Returns whether this entry watches the platform itself.
 
     An open watch counts as a call to the platform, so only some entries of a
@@ -132,7 +132,7 @@
     return sorted(names, key=weight, reverse=True)
 
 
-class Sending(NamedTuple):
+class HeartbeatTargets(NamedTuple):
     """The receivers of heartbeats at one tick.
 
     Attributes:
@@ -148,7 +148,7 @@
     with_view: bool
 
 
-class FanOut:
+class HeartbeatScheduler:
     """Schedules heartbeats round-robin within the byte allowance."""
 
     def __init__(
@@ -225,7 +225,7 @@
         return cost_bytes
 
     @property
-    def near_turn_s(self) -> float:
+    def near_round_s(self) -> float:
         """Time in which every member of the group gets one heartbeat."""
         if not self._near:
             return self._interval_s
@@ -244,22 +244,22 @@
         self._credit_bytes -= count * cost_bytes
         return count
 
-    def silence_limit_s(self, *, shortest_s: float) -> float:
+    def silence_limit_s(self, *, min_limit_s: float) -> float:
         """Returns the age above which a member of the group is silent.
 
         Args:
-          shortest_s: lower bound of the limit in seconds.
+          min_limit_s: lower bound of the limit in seconds.
         """
         if self._with_view:
-            return max(shortest_s, VIEW_SILENCE_S)
-        return max(shortest_s, MISSED_ROUNDS * self.near_turn_s)
+            return max(min_limit_s, VIEW_SILENCE_S)
+        return max(min_limit_s, MISSED_ROUNDS * self.near_round_s)
 
-    def tick(self) -> Sending:
+    def tick(self) -> HeartbeatTargets:
         """Returns the next receivers; must be called every `interval_s`."""
-        near, self._near_index = taken_in_turn(
+        near, self._near_index = take_round_robin(
             self._near, self._near_index, self._take_near_count()
         )
-        partners, self._partner_index = taken_in_turn(
+        partners, self._partner_index = take_round_robin(
             self._partners,
             self._partner_index,
             self._count_per_tick(len(self._partners), PARTNER_PERIOD_S),
@@ -270,7 +270,7 @@
         if self._far and self._far_ticks % ticks == 0:
             position = self._far_ticks // ticks
             far = (self._far[position % len(self._far)],)
-        return Sending(near, partners, far, self._with_view)
+        return HeartbeatTargets(near, partners, far, self._with_view)
 
     def _count_per_tick(self, count: int, period_s: float) -> int:
         return math.ceil(count * self._interval_s / period_s)
--- a/almondstair/core/homes.py
+++ b/almondstair/core/homes.py
@@ -36,7 +36,7 @@
 from almondstair.core.home_records import HeldRecord
 from almondstair.core.home_records import HomedUpstream
 from almondstair.core.home_records import HomesReport
-from almondstair.core.ranks import Ranks
+from almondstair.core.rendezvous_ranks import RendezvousRanks
 from almondstair.core.slot_book import SlotBook
 
 RESERVE_SLOTS = 1
@@ -79,7 +79,7 @@
         self._table = EntryTable()
         self._applied_s = NEVER_S
         self._last_loss_s = NEVER_S
-        self._ranks = Ranks()
+        self._ranks = RendezvousRanks()
         self._roles: dict[str, HeldDuty] = {}
         self._peers: dict[str, HomePeer] = {}
         self._pending: set[str] = set()
@@ -245,7 +245,7 @@
             self._roles[name] = role._replace(held_epoch=self._table.epoch)
 
     def _rank(self, *, upstream: str) -> tuple[str, ...]:
-        return self._ranks.first(upstream=upstream)
+        return self._ranks.home_and_successor(upstream=upstream)
 
     def _offers(self, *, upstream: str) -> tuple[DutyOffer, ...]:
         """Returns the handovers that peers reported under this epoch."""
--- a/almondstair/core/peer_marks.py
+++ b/almondstair/core/leaving_reports.py
@@ -21,14 +21,14 @@
     received_s: float
 
 
-class PeerMarks:
+class LeavingReports:
     """Holds the latest report of leaving upstreams from each peer process."""
 
     def __init__(self) -> None:
         """Starts without reports."""
         self._reports: dict[tuple[str, int], _LeavingReport] = {}
 
-    def heard(
+    def record_report(
         self,
         *,
         peer: str,
@@ -51,7 +51,7 @@
             frozenset(names), now_s
         )
 
-    def names(self, *, since_s: float) -> set[str]:
+    def leaving_names(self, *, since_s: float) -> set[str]:
         """Returns the upstreams that any report since a time has as leaving.
 
         Args:
--- a/almondstair/core/loads.py
+++ b/almondstair/core/loads.py
@@ -11,7 +11,7 @@
 NEVER_S = float("-inf")
 
 
-class Totals(NamedTuple):
+class LoadTotals(NamedTuple):
     """Total load of one service in one region.
 
     Attributes:
@@ -69,7 +69,7 @@
         self._known = False
         self._valid_until_s = NEVER_S
 
-    def report(
+    def record_report(
         self,
         *,
         source: str,
@@ -111,7 +111,7 @@
         if self._reports.pop(source, None) is not None:
             self._valid_until_s = NEVER_S
 
-    def sent(self) -> None:
+    def record_sent(self) -> None:
         """Counts a request that was sent and is not finished yet.
 
         Reports lag. Without this count, every request until the next report
@@ -119,11 +119,11 @@
         """
         self._outstanding += 1.0
 
-    def returned(self) -> None:
+    def record_finished(self) -> None:
         """Counts the end of a request: an answer, a refusal or a failure."""
         self._outstanding = max(0.0, self._outstanding - 1.0)
 
-    def totals(self, *, now_s: float) -> Totals:
+    def totals(self, *, now_s: float) -> LoadTotals:
         """Returns the sums over reports within the age limit.
 
         An expired report adds nothing: the slots may be in use or gone.
@@ -131,13 +131,13 @@
         if now_s > self._valid_until_s:
             self._recompute_sums(now_s=now_s)
         if not self._known:
-            return Totals(
+            return LoadTotals(
                 known=False, slots=self.configured_slots, free_slots=0.0
             )
         free_slots = max(0.0, self._free_slots - self._outstanding)
-        return Totals(known=True, slots=self._slots, free_slots=free_slots)
+        return LoadTotals(known=True, slots=self._slots, free_slots=free_slots)
 
-    def youngest_age_s(self, *, now_s: float) -> float | None:
+    def least_report_age_s(self, *, now_s: float) -> float | None:
         """Returns the age of the newest report, None without reports."""
         least_age_s: float | None = None
         for report in self._reports.values():
--- a/almondstair/core/lookup.py
+++ b/almondstair/core/lookup.py
@@ -119,7 +119,7 @@
         )
         self._answers: dict[int, tuple[LookupEntry, ...]] = {}
 
-    def order(self, *, block: bytes) -> tuple[LookupEntry, ...]:
+    def ordered_entries(self, *, block: bytes) -> tuple[LookupEntry, ...]:
         """Returns the entries for a caller's block, best first.
 
         If the nearest zone alone could fill the answer, the last position goes
--- a/almondstair/core/standstill.py
+++ b/almondstair/core/loop_stall.py
@@ -8,14 +8,14 @@
 
 # Interval of the ticks. A stall is underestimated by up to this much; shorter
 # ticks would cost CPU time that the control loop lacks.
-TURN_S = 0.05
+TICK_INTERVAL_S = 0.05
 # Shorter delays of a tick are ignored. Processes that share CPUs regularly
 # wait that long; if that counted, a slow upstream would look less slow on a
 # busy host and keep its work.
 MIN_STALL_S = 0.05
 
 
-class Standstill:
+class LoopStall:
     """Accumulates the lateness of periodic ticks of the event loop."""
 
     def __init__(self) -> None:
@@ -23,10 +23,10 @@
         self._total_s = 0.0
         self._due_s: float | None = None
 
-    def turned(self, *, now_s: float) -> None:
-        """Records a tick of the loop; the next one is due after `TURN_S`."""
+    def record_tick(self, *, now_s: float) -> None:
+        """Records a tick; the next one is due after `TICK_INTERVAL_S`."""
         self._total_s = self.total_s(now_s=now_s)
-        self._due_s = now_s + TURN_S
+        self._due_s = now_s + TICK_INTERVAL_S
 
     def total_s(self, *, now_s: float) -> float:
         """Returns the total stall in seconds, including an overdue tick.
@@ -41,7 +41,9 @@
         return self._total_s + late_s
 
 
-def judged_ratio(*, ratio: float, latency_s: float, still_s: float) -> float:
+def ratio_without_stall(
+    *, ratio: float, latency_s: float, stall_s: float
+) -> float:
     """Returns the ratio of a latency to its baseline, without local stalls.
 
     The peer may have worked on during a stall, so the correction never lowers
@@ -50,9 +52,9 @@
     Args:
       ratio: the measured latency over the baseline.
       latency_s: the measured latency.
-      still_s: part of it during which the measuring process was stalled.
+      stall_s: part of it during which the measuring process was stalled.
     """
     if ratio <= 1.0 or latency_s <= 0.0:
         return ratio
-    stalled_fraction = min(1.0, still_s / latency_s)
+    stalled_fraction = min(1.0, stall_s / latency_s)
     return max(1.0, ratio * (1.0 - stalled_fraction))
--- a/almondstair/core/membership.py
+++ b/almondstair/core/membership.py
@@ -20,8 +20,8 @@
 from almondstair.core.configuration import VersionReport
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.entry_table import EntryTable
-from almondstair.core.membership_records import Heard
-from almondstair.core.membership_records import VmObservation
+from almondstair.core.membership_records import ReceivedHeartbeat
+from almondstair.core.membership_records import VmStatusReport
 from almondstair.core.membership_records import incarnation_text
 
 # The age stated by the VM list may be rounded, so absence counts only in a
@@ -34,7 +34,7 @@
 # Lifetime of the cached live entries, which are read many times a second at the
 # target size. Every change except the passing of time clears the cache, so only
 # the detection of a silent entry is delayed by this much.
-LIVE_KEPT_S = 0.1
+LIVE_CACHE_TTL_S = 0.1
 
 
 class _LiveCache(NamedTuple):
@@ -77,7 +77,7 @@
         self._near_names: frozenset[str] = frozenset()
         self._near_limit_s = silence_limit_s
         self._far_limit_s = silence_limit_s
-        self._heartbeats: dict[str, Heard] = {}
+        self._heartbeats: dict[str, ReceivedHeartbeat] = {}
         self._own_report_s: dict[str, float] = {}
         self._replaced_incarnations: dict[str, int] = {}
         self._relayed_down: set[str] = set()
@@ -121,12 +121,12 @@
         self._relayed_down.discard(name)
         self._listed_leaving -= {name}
 
-    def holds(self, *, name: str) -> bool:
+    def contains(self, *, name: str) -> bool:
         """Returns whether an entry is in the table, in constant time."""
         return name in self._row_first_seen_s
 
     @property
-    def registered(self) -> bool:
+    def is_registered(self) -> bool:
         """Whether this process is in the table.
 
         Without that it has no home role.
@@ -147,7 +147,7 @@
                 names.add(heartbeat.name)
         return names
 
-    def _is_from_replaced_process(self, heartbeat: Heard) -> bool:
+    def _is_from_replaced_process(self, heartbeat: ReceivedHeartbeat) -> bool:
         # The report of a process that has left does not apply to its successor
         # on the same VM.
         row = self.table.row(name=heartbeat.name)
@@ -163,7 +163,7 @@
                 names.add(name)
         return names
 
-    def observe(self, *, listing: VmObservation, now_s: float) -> None:
+    def record_listing(self, *, listing: VmStatusReport, now_s: float) -> None:
         """Records an answer of the VM list.
 
         The list lags: it may still lack a VM that has just registered, and
@@ -180,11 +180,11 @@
           listing: the answer.
           now_s: monotonic time.
         """
-        if listing.described_s <= self._latest_listing_s:
+        if listing.as_of_s <= self._latest_listing_s:
             # From another replica, and older than a listing already read: it
             # may lack a VM that the newer one contains.
             return
-        self._latest_listing_s = listing.described_s
+        self._latest_listing_s = listing.as_of_s
         self._record_listed_leaving(listing)
         if self.own.name not in listing.listed:
             return
@@ -197,15 +197,15 @@
                 self._absent_count[row.name] = count
 
     def _absence_counts(
-        self, name: str, listing: VmObservation, now_s: float
+        self, name: str, listing: VmStatusReport, now_s: float
     ) -> bool:
         first_seen_s = self._row_first_seen_s.get(name, now_s)
-        if listing.described_s < first_seen_s + LISTING_MARGIN_S:
+        if listing.as_of_s < first_seen_s + LISTING_MARGIN_S:
             return False
         heartbeat = self._heartbeats.get(name)
-        return heartbeat is None or heartbeat.heard_s < listing.described_s
+        return heartbeat is None or heartbeat.heard_s < listing.as_of_s
 
-    def _record_listed_leaving(self, listing: VmObservation) -> None:
+    def _record_listed_leaving(self, listing: VmStatusReport) -> None:
         # Only a newer listing of the VM clears its mark. Absence from the list
         # does not.
         retained = self._listed_leaving - listing.listed
@@ -220,11 +220,13 @@
         ranks differ by epoch, so that no entry is preferred, and include only
         live entries, so that a dead one causes no delay.
         """
-        return _rank(self.own.name, self.live(now_s=now_s), self.table.epoch)
+        return _rank(
+            self.own.name, self.live_entries(now_s=now_s), self.table.epoch
+        )
 
     # Heartbeats.
 
-    def heard(self, heartbeat: Heard) -> bool:
+    def record_heartbeat(self, heartbeat: ReceivedHeartbeat) -> bool:
         """Records a heartbeat received from the entry itself.
 
         Returns:
@@ -250,7 +252,7 @@
             self._live_cache = _LiveCache()
         return True
 
-    def heard_of(
+    def record_relayed(
         self, *, name: str, heard_s: float, configuration_version: int
     ) -> None:
         """Records a relayed report that an entry is live, and its version.
@@ -264,11 +266,11 @@
           heard_s: when it was last heard, on this entry's clock.
           configuration_version: version that it had in force then.
         """
-        if name == self.own.name or not self.holds(name=name):
+        if name == self.own.name or not self.contains(name=name):
             return
         known = self._heartbeats.get(name)
         if known is None:
-            known = Heard(
+            known = ReceivedHeartbeat(
                 name=name,
                 incarnation=NO_INCARNATION,
                 sequence=0,
@@ -302,7 +304,7 @@
         own_report_s = self._own_report_s.get(name, float("-inf"))
         return relayed_s - own_report_s <= self._far_limit_s
 
-    def not_live(self, *, name: str) -> None:
+    def mark_relayed_down(self, *, name: str) -> None:
         """Records a relayed report that an entry is silent or leaving.
 
         It applies until the entry or a relay reports otherwise, and only keeps
@@ -312,7 +314,7 @@
         if name in self._live_cache.names:
             self._live_cache = _LiveCache()
 
-    def last_heard(self, *, name: str) -> Heard | None:
+    def last_heartbeat(self, *, name: str) -> ReceivedHeartbeat | None:
         """Returns the latest state that an entry reported, None if none."""
         return self._heartbeats.get(name)
 
@@ -393,13 +395,13 @@
 
     # Leaving.
 
-    def mark_leaving(self, *, names: frozenset[str]) -> None:
+    def set_marked_leaving(self, *, names: frozenset[str]) -> None:
         """Sets the operators' leaving marks of the configuration in force."""
         self._marked_leaving = names
         self._live_cache = _LiveCache()
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether this entry accepts new work."""
         return not self.joining and not self.leaving
 
@@ -412,22 +414,22 @@
         if name in self._marked_leaving or name in self._listed_leaving:
             return True
         if name == self.own.name:
-            return not self.takes_work
+            return not self.accepts_work
         heartbeat = self._heartbeats.get(name)
         return heartbeat is not None and heartbeat.leaving
 
-    def live(self, *, now_s: float) -> tuple[EntryRow, ...]:
+    def live_entries(self, *, now_s: float) -> tuple[EntryRow, ...]:
         """Returns the entries that accept new work: not silent, not leaving."""
         cached = self._live_cache
         cache_age_s = now_s - cached.computed_s
         if (
-            0 <= cache_age_s < LIVE_KEPT_S
-            and cached.own_accepts_work == self.takes_work
+            0 <= cache_age_s < LIVE_CACHE_TTL_S
+            and cached.own_accepts_work == self.accepts_work
         ):
             return cached.rows
         rows = self._live_rows(now_s=now_s)
         names = frozenset(row.name for row in rows)
-        self._live_cache = _LiveCache(rows, names, now_s, self.takes_work)
+        self._live_cache = _LiveCache(rows, names, now_s, self.accepts_work)
         return rows
 
     def _live_rows(self, *, now_s: float) -> tuple[EntryRow, ...]:
@@ -444,9 +446,9 @@
 
     def all_heard(self, *, now_s: float) -> bool:
         """Returns whether every silent entry of the table is certainly gone."""
-        return set(self.silent(now_s=now_s)) <= self.gone_names()
+        return set(self.silent_names(now_s=now_s)) <= self.gone_names()
 
-    def silent(self, *, now_s: float) -> tuple[str, ...]:
+    def silent_names(self, *, now_s: float) -> tuple[str, ...]:
         """Returns the names of the silent entries."""
         names = []
         for row in self.table.entries:
--- a/almondstair/core/membership_records.py
+++ b/almondstair/core/membership_records.py
@@ -3,22 +3,22 @@
 from typing import NamedTuple
 
 
-class VmObservation(NamedTuple):
+class VmStatusReport(NamedTuple):
     """One answer of the platform's VM list.
 
     Attributes:
       listed: names of the VMs in the list.
       leaving: those of them that are marked as leaving.
-      described_s: time of the listed state on the reader's monotonic clock:
+      as_of_s: time of the listed state on the reader's monotonic clock:
         when the list was read less the age that it states.
     """
 
     listed: frozenset[str]
     leaving: frozenset[str]
-    described_s: float
+    as_of_s: float
 
 
-class Heard(NamedTuple):
+class ReceivedHeartbeat(NamedTuple):
     """State of an entry as its latest heartbeat reported it.
 
     Attributes:
--- a/almondstair/core/message_delays.py
+++ b/almondstair/core/message_delays.py
@@ -34,14 +34,14 @@
     previous_min_s: float
 
 
-class MessageDelays:
+class MessageDelayEstimator:
     """Tracks the least transit time of each sender's messages."""
 
     def __init__(self) -> None:
         """Starts without senders."""
         self._senders: dict[str, _LeastDifferences] = {}
 
-    def usual_arrival_s(
+    def undelayed_arrival_s(
         self, *, sender: str, incarnation: int, sent_s: float, now_s: float
     ) -> float:
         """Returns when a message would have arrived without its delay.
--- a/almondstair/core/quarantine.py
+++ b/almondstair/core/quarantine.py
@@ -22,14 +22,14 @@
 
 import xxhash
 
-DEFAULT_STRIKE_LIFE_S = 300.0
+DEFAULT_STRIKE_TTL_S = 300.0
 DEFAULT_CAPACITY = 1024
 DEFAULT_DIGEST_LIMIT = 16
 STRIKES_TO_QUARANTINE = 2
 # Strikes learned from a peer appear later than they were by the transit time.
 # A request that started up to this long before a strike still counts as started
 # after it.
-TRANSIT_S = 0.02
+TRANSIT_TOLERANCE_S = 0.02
 # Losses at one upstream within this time have one cause, its failure.
 SAME_LOSS_WINDOW_S = 1.0
 # Marks with less time left are neither sent nor accepted. Otherwise each entry
@@ -38,21 +38,21 @@
 RELAY_MARGIN_S = 10.0
 
 
-class Verdict(enum.StrEnum):
+class DispatchVerdict(enum.StrEnum):
     """How a request may be dispatched.
 
     Attributes:
       CLEAR: without restriction.
-      ALONE: isolated, only on an upstream that runs nothing else.
+      ISOLATED: isolated, only on an upstream that runs nothing else.
       QUARANTINED: not at all.
     """
 
     CLEAR = "clear"
-    ALONE = "alone"
+    ISOLATED = "alone"
     QUARANTINED = "quarantined"
 
 
-class Mark(NamedTuple):
+class StrikeMark(NamedTuple):
     """A strike as carried by heartbeats.
 
     Attributes:
@@ -122,21 +122,21 @@
     def __init__(
         self,
         *,
-        strike_life_s: float = DEFAULT_STRIKE_LIFE_S,
+        strike_ttl_s: float = DEFAULT_STRIKE_TTL_S,
         capacity: int = DEFAULT_CAPACITY,
     ) -> None:
         """Makes an empty table.
 
         Args:
-          strike_life_s: time in seconds after which a strike expires, and so
+          strike_ttl_s: time in seconds after which a strike expires, and so
             the maximum time that a request stays quarantined.
           capacity: maximum number of requests; the oldest is dropped first.
         """
-        self._strike_life_s = strike_life_s
+        self._strike_ttl_s = strike_ttl_s
         self._capacity = capacity
         self._strikes: dict[int, dict[int, _Strike]] = {}
 
-    def strike(
+    def record_strike(
         self, *, fingerprint: int, upstream: str, ran_s: float, now_s: float
     ) -> None:
         """Records a connection to `upstream` that was lost without an answer.
@@ -150,32 +150,32 @@
         self._add(
             fingerprint=fingerprint,
             upstream=xxhash.xxh32_intdigest(upstream.encode()),
-            strike=_Strike(expires_s=now_s + self._strike_life_s, ran_s=ran_s),
+            strike=_Strike(expires_s=now_s + self._strike_ttl_s, ran_s=ran_s),
         )
 
-    def answered(self, *, fingerprint: int) -> None:
-        """Records a complete answer: strikes so far no longer force `ALONE`."""
+    def record_answer(self, *, fingerprint: int) -> None:
+        """Records a complete answer: strikes so far stop isolating."""
         for strike in self._strikes.get(fingerprint, {}).values():
             strike.answered = True
 
-    def verdict(self, *, fingerprint: int, now_s: float) -> Verdict:
+    def verdict(self, *, fingerprint: int, now_s: float) -> DispatchVerdict:
         """Returns how a request may be dispatched; drops expired strikes."""
         by_upstream = self._strikes.get(fingerprint)
         if by_upstream is None:
-            return Verdict.CLEAR
+            return DispatchVerdict.CLEAR
         _drop_expired(by_upstream=by_upstream, now_s=now_s)
         if not by_upstream:
             del self._strikes[fingerprint]
-            return Verdict.CLEAR
+            return DispatchVerdict.CLEAR
         if (
             len(_counted_strikes(by_upstream=by_upstream))
             >= STRIKES_TO_QUARANTINE
         ):
-            return Verdict.QUARANTINED
+            return DispatchVerdict.QUARANTINED
         for strike in by_upstream.values():
             if not strike.answered:
-                return Verdict.ALONE
-        return Verdict.CLEAR
+                return DispatchVerdict.ISOLATED
+        return DispatchVerdict.CLEAR
 
     def remaining_s(self, *, fingerprint: int, now_s: float) -> float:
         """Returns how long a request stays quarantined, 0 if it is not."""
@@ -188,9 +188,9 @@
         ends.sort(reverse=True)
         return max(0.0, ends[STRIKES_TO_QUARANTINE - 1] - now_s)
 
-    def digest(
+    def next_marks(
         self, *, now_s: float, limit: int = DEFAULT_DIGEST_LIMIT
-    ) -> tuple[Mark, ...]:
+    ) -> tuple[StrikeMark, ...]:
         """Returns at most `limit` marks for the next heartbeat.
 
         Marks sent least often come first, so that all are sent eventually.
@@ -202,20 +202,24 @@
                     continue
                 candidates.append((strike.times_sent, fingerprint, upstream))
         candidates.sort()
-        marks: list[Mark] = []
+        marks: list[StrikeMark] = []
         for _, fingerprint, upstream in candidates[:limit]:
             strike = self._strikes[fingerprint][upstream]
             strike.times_sent += 1
             remaining_s = round(strike.expires_s - now_s, 3)
-            marks.append(Mark(fingerprint, upstream, remaining_s, strike.ran_s))
+            marks.append(
+                StrikeMark(fingerprint, upstream, remaining_s, strike.ran_s)
+            )
         return tuple(marks)
 
-    def merge(self, *, marks: tuple[Mark, ...], now_s: float) -> None:
+    def merge_marks(
+        self, *, marks: tuple[StrikeMark, ...], now_s: float
+    ) -> None:
         """Merges a peer's marks; idempotent."""
         for mark in marks:
             if mark.remaining_s <= RELAY_MARGIN_S:
                 continue
-            ttl_s = min(float(mark.remaining_s), self._strike_life_s)
+            ttl_s = min(float(mark.remaining_s), self._strike_ttl_s)
             strike = _Strike(expires_s=now_s + ttl_s, ran_s=mark.ran_s)
             known = self._strikes.get(mark.fingerprint, {}).get(mark.upstream)
             if known is not None:
@@ -227,7 +231,7 @@
                 strike=strike,
             )
 
-    def expire(self, *, now_s: float) -> None:
+    def drop_expired(self, *, now_s: float) -> None:
         """Drops expired strikes; must be called periodically."""
         for fingerprint in list(self._strikes):
             self.verdict(fingerprint=fingerprint, now_s=now_s)
@@ -257,7 +261,7 @@
         started_s = strike.expires_s - strike.ran_s
         if (
             counted_strikes
-            and started_s < counted_strikes[-1].expires_s - TRANSIT_S
+            and started_s < counted_strikes[-1].expires_s - TRANSIT_TOLERANCE_S
         ):
             continue
         counted_strikes.append(strike)
--- a/almondstair/core/known_regions.py
+++ b/almondstair/core/region_states.py
@@ -2,8 +2,8 @@
 
 from almondstair.core.admission import KEPT_FRACTION
 from almondstair.core.health import HealthTable
+from almondstair.core.loads import LoadTotals
 from almondstair.core.loads import RegionLoad
-from almondstair.core.loads import Totals
 from almondstair.core.loads import configured_slots
 from almondstair.core.model import Configuration
 from almondstair.core.model import Priority
@@ -15,7 +15,7 @@
 LOST_FAILURE_FRACTION = 0.8
 
 
-class KnownRegions:
+class RegionStates:
     """Tracks load reports and in-band health by region and service."""
 
     def __init__(
@@ -55,11 +55,11 @@
         """Returns the slots configured for a service in a region."""
         return self._loads[(region, service)].configured_slots
 
-    def totals(self, *, region: str, service: str, now_s: float) -> Totals:
+    def totals(self, *, region: str, service: str, now_s: float) -> LoadTotals:
         """Returns the sum of the load reports on a region."""
         return self._loads[(region, service)].totals(now_s=now_s)
 
-    def observe(
+    def record_load_report(
         self,
         *,
         region: str,
@@ -87,7 +87,7 @@
         load = self._loads.get((region, service))
         if load is None:
             return
-        load.report(
+        load.record_report(
             source=source,
             slots=slots,
             free_slots=free_slots,
@@ -100,27 +100,27 @@
         for load in self._loads.values():
             load.forget(source=source)
 
-    def observe_link(
+    def record_link_headroom(
         self, *, availability_zone: str, region: str, headroom: float
     ) -> None:
         """Records the unused fraction of a link's cap, 0 to 1."""
         self._link_headroom[(availability_zone, region)] = headroom
 
-    def region_lost(self, *, region: str) -> None:
+    def mark_lost(self, *, region: str) -> None:
         """Marks a region as lost: all its entries are silent or gone."""
         self._lost.add(region)
 
-    def region_back(self, *, region: str) -> None:
+    def mark_recovered(self, *, region: str) -> None:
         """Marks a region as recovered; its weight grows from zero."""
         self._lost.discard(region)
 
-    def sent(self, *, region: str, service: str) -> None:
+    def record_sent(self, *, region: str, service: str) -> None:
         """Counts a request sent to a region."""
         load = self._loads.get((region, service))
         if load is not None:
-            load.sent()
+            load.record_sent()
 
-    def returned(self, *, region: str, service: str) -> None:
+    def record_finished(self, *, region: str, service: str) -> None:
         """Counts the end of a request that is no evidence of health.
 
         A caller that disconnected, a deadline that the caller set too short
@@ -128,9 +128,9 @@
         """
         load = self._loads.get((region, service))
         if load is not None:
-            load.returned()
+            load.record_finished()
 
-    def answered(
+    def record_answer(
         self,
         *,
         region: str,
@@ -139,7 +139,7 @@
         request_class: str,
         latency_ms: float,
         now_s: float,
-        still_ms: float = 0.0,
+        stall_ms: float = 0.0,
     ) -> None:
         """Records a complete answer of a region.
 
@@ -150,21 +150,21 @@
           request_class: class of the request.
           latency_ms: time from sending to the complete answer.
           now_s: monotonic time.
-          still_ms: part of the latency in which this process was stalled.
+          stall_ms: part of the latency in which this process was stalled.
         """
-        self.returned(region=region, service=service)
-        self._health.accepted(
+        self.record_finished(region=region, service=service)
+        self._health.record_accepted(
             name=_refusals_key(region, service, priority), now_s=now_s
         )
-        self._health.answered(
+        self._health.record_answer(
             name=_health_key(region, service),
             request_class=request_class,
             latency_ms=latency_ms,
             now_s=now_s,
-            still_ms=still_ms,
+            stall_ms=stall_ms,
         )
 
-    def refused(
+    def record_refusal(
         self, *, region: str, service: str, priority: Priority, now_s: float
     ) -> None:
         """Records a refusal by a region; the request was certainly not run.
@@ -172,15 +172,17 @@
         Refusals are counted by priority: low priorities are refused first,
         which says nothing about the capacity for higher ones.
         """
-        self.returned(region=region, service=service)
+        self.record_finished(region=region, service=service)
         name = _refusals_key(region, service, priority)
-        self._health.refused(name=name, now_s=now_s)
+        self._health.record_refusal(name=name, now_s=now_s)
 
-    def failed(self, *, region: str, service: str, now_s: float) -> None:
+    def record_failure(
+        self, *, region: str, service: str, now_s: float
+    ) -> None:
         """Records a failed, lost or late answer of a region."""
-        self.returned(region=region, service=service)
+        self.record_finished(region=region, service=service)
         name = _health_key(region, service)
-        self._health.failed(name=name, now_s=now_s)
+        self._health.record_failure(name=name, now_s=now_s)
 
     def status(self, *, service: str, now_s: float) -> tuple[RegionStatus, ...]:
         """Returns the status of every region for a service."""
@@ -193,7 +195,7 @@
                 region=region,
                 live=self.is_live(region=region, service=service, now_s=now_s),
                 known=totals.known,
-                age_s=load.youngest_age_s(now_s=now_s),
+                age_s=load.least_report_age_s(now_s=now_s),
                 slots=totals.slots,
                 free_slots=totals.free_slots,
                 health=self._health.view(name=name, now_s=now_s),
@@ -264,7 +266,7 @@
             link_headroom=self._link_headroom.get(link_key, 1.0),
         )
 
-    def live(self, *, flow: Flow, now_s: float) -> list[str]:
+    def live_regions(self, *, flow: Flow, now_s: float) -> list[str]:
         """Returns the live regions of a flow, nearest first."""
         distances: list[tuple[float, str]] = []
         for region in self._configuration.regions:
--- a/almondstair/core/ranks.py
+++ b/almondstair/core/rendezvous_ranks.py
@@ -13,7 +13,9 @@
 RANKS_STORED = 2
 
 
-def ranked(*, upstream: str, names: tuple[str, ...]) -> tuple[str, ...]:
+def rendezvous_order(
+    *, upstream: str, names: tuple[str, ...]
+) -> tuple[str, ...]:
     """Returns the entries in rendezvous order for an upstream."""
     scored = []
     for name in names:
@@ -26,7 +28,7 @@
     return tuple(ordered)
 
 
-class Ranks:
+class RendezvousRanks:
     """Caches the first two entries in the order of each upstream."""
 
     def __init__(self) -> None:
@@ -55,7 +57,7 @@
         for region in before.keys() | names.keys():
             self._update_region(region=region, before=before.get(region, ()))
 
-    def first(self, *, upstream: str) -> tuple[str, ...]:
+    def home_and_successor(self, *, upstream: str) -> tuple[str, ...]:
         """Returns home and successor, or fewer if the region lacks entries."""
         first_two = self._ranks.get(upstream)
         if first_two is not None:
@@ -64,7 +66,9 @@
         if region is None:
             return ()
         names = self._names.get(region, ())
-        first_two = ranked(upstream=upstream, names=names)[:RANKS_STORED]
+        first_two = rendezvous_order(upstream=upstream, names=names)[
+            :RANKS_STORED
+        ]
         self._ranks[upstream] = first_two
         return first_two
 
@@ -82,5 +86,7 @@
                 del self._ranks[upstream]
                 continue
             if added:
-                candidates = ranked(upstream=upstream, names=first_two + added)
+                candidates = rendezvous_order(
+                    upstream=upstream, names=first_two + added
+                )
                 self._ranks[upstream] = candidates[:RANKS_STORED]
--- a/almondstair/core/slow_start.py
+++ b/almondstair/core/slow_start.py
@@ -26,29 +26,29 @@
 
     Attributes:
       idle_limit_s: an upstream without work for longer counts as cold.
-      least_ramp_s: minimum time to grow from one slot to all.
+      min_ramp_s: minimum time to grow from one slot to all.
       good_ratio: answers up to this multiple of the baseline latency grow the
         usable slots.
       slow_ratio: a mean above this multiple of the baseline reduces them.
       step_back_interval_s: minimum time between two reductions.
-      longest_hold_off_s: maximum backoff after repeated refusals.
+      max_backoff_s: maximum backoff after repeated refusals.
       long_run_s: a request that holds its slot for longer is long work, or its
         caller reads slowly; its latency is no evidence of cold caches.
     """
 
     idle_limit_s: float = 60.0
-    least_ramp_s: float = 3.0
+    min_ramp_s: float = 3.0
     good_ratio: float = 1.5
     slow_ratio: float = 2.0
     step_back_interval_s: float = 0.5
-    longest_hold_off_s: float = 5.0
+    max_backoff_s: float = 5.0
     long_run_s: float = 0.5
 
 
 DEFAULT_LIMITS = SlowStartLimits()
 
 
-class UsualLatency:
+class BaselineLatency:
     """Tracks the baseline latency of each kind of work.
 
     A baseline falls quickly and rises slowly, so that the slow answers of a
@@ -59,7 +59,7 @@
         """Starts without samples."""
         self._baselines_s: dict[str, float] = {}
 
-    def ratio(self, *, work: str, latency_s: float) -> float:
+    def record(self, *, work: str, latency_s: float) -> float:
         """Records a latency and returns its ratio to the baseline."""
         baseline_s = self._baselines_s.get(work)
         if baseline_s is None or baseline_s <= 0.0:
@@ -105,7 +105,7 @@
         self._slots = slots
         self._usable = min(self._usable, float(slots))
 
-    def answered(self, *, ratio: float, now_s: float) -> None:
+    def record_answer(self, *, ratio: float, now_s: float) -> None:
         """Records a complete answer.
 
         Args:
@@ -122,18 +122,18 @@
             return
         self._grow(now_s=now_s)
 
-    def refused(self, *, now_s: float) -> None:
+    def record_refusal(self, *, now_s: float) -> None:
         """Records a refusal or a lost connection, which starts a backoff."""
         self._last_used_s = now_s
         self._usable = max(MIN_SLOTS, self._usable * STEP_BACK_FACTOR)
         doubled_s = max(INITIAL_BACKOFF_S, self._backoff_s * 2)
-        self._backoff_s = min(doubled_s, self._limits.longest_hold_off_s)
+        self._backoff_s = min(doubled_s, self._limits.max_backoff_s)
         self._blocked_until_s = now_s + self._backoff_s
 
     def _grow(self, *, now_s: float) -> None:
         growth = 1.0 / self._usable
         if self._last_growth_s > float("-inf"):
-            slots_per_s = self._slots / self._limits.least_ramp_s
+            slots_per_s = self._slots / self._limits.min_ramp_s
             growth = min(growth, (now_s - self._last_growth_s) * slots_per_s)
         self._last_growth_s = now_s
         self._usable = min(float(self._slots), self._usable + growth)
--- a/almondstair/core/steering.py
+++ b/almondstair/core/steering.py
@@ -13,7 +13,6 @@
 
 from almondstair.core import ramps
 from almondstair.core.admission import KEPT_FRACTION
-from almondstair.core.known_regions import KnownRegions
 from almondstair.core.model import Configuration
 from almondstair.core.model import Priority
 from almondstair.core.model import Profile
@@ -21,6 +20,7 @@
 from almondstair.core.policies import PolicyInput
 from almondstair.core.policies import RegionView
 from almondstair.core.policies import RegionWeight
+from almondstair.core.region_states import RegionStates
 from almondstair.core.steering_records import DEFAULT_LIMITS
 from almondstair.core.steering_records import Flow
 from almondstair.core.steering_records import SteeringLimits
@@ -61,7 +61,7 @@
         self._limits = limits
         self._flows: dict[Flow, WeightsInForce] = {}
         self._configuration = configuration
-        self.regions = KnownRegions(
+        self.regions = RegionStates(
             configuration=configuration, report_limit_s=limits.report_limit_s
         )
 
@@ -210,7 +210,7 @@
         grows until load reports arrive.
         """
         views: list[RegionView] = []
-        for region in self.regions.live(flow=flow, now_s=now_s):
+        for region in self.regions.live_regions(flow=flow, now_s=now_s):
             slots = self.regions.configured_slots(
                 region=region, service=flow.service
             )
@@ -241,7 +241,7 @@
         """Advances the weights of a flow to the present."""
         elapsed_s = min(MAX_STEP_S, now_s - in_force.stepped_s)
         in_force.stepped_s = now_s
-        live = self.regions.live(flow=flow, now_s=now_s)
+        live = self.regions.live_regions(flow=flow, now_s=now_s)
         if not live:
             in_force.weights = {}
             return
--- a/almondstair/core/table_plans.py
+++ b/almondstair/core/table_planner.py
@@ -4,7 +4,7 @@
 from almondstair.core.membership import Membership
 
 
-class TablePlans:
+class TablePlanner:
     """Plans changes of the entry table from the view of this entry."""
 
     def __init__(self, *, membership: Membership) -> None:
@@ -15,7 +15,7 @@
         """
         self._membership = membership
 
-    def registration(self, *, table: EntryTable) -> EntryTable | None:
+    def plan_registration(self, *, table: EntryTable) -> EntryTable | None:
         """Returns the table with this process added, None if it is present.
 
         Args:
@@ -38,7 +38,7 @@
             )
         return self._with_own_epoch(table).with_entry(row=own)
 
-    def leaving(self, *, table: EntryTable) -> EntryTable | None:
+    def plan_leaving(self, *, table: EntryTable) -> EntryTable | None:
         """Returns the table with this entry marked as leaving, None if it is.
 
         From that epoch on its home roles belong to others, while it still
@@ -50,7 +50,7 @@
             return None
         return self._with_own_epoch(table).with_leaving(name=name)
 
-    def release(self, *, table: EntryTable) -> EntryTable | None:
+    def plan_release(self, *, table: EntryTable) -> EntryTable | None:
         """Returns the table without this entry, None if it is not in it.
 
         Must be called only if nothing is in flight any more: the other entries
@@ -62,7 +62,7 @@
             return None
         return self._with_own_epoch(table).without(name=row.name, released=True)
 
-    def change(self, *, table: EntryTable) -> EntryTable | None:
+    def plan_removals(self, *, table: EntryTable) -> EntryTable | None:
         """Returns the table without the entries that are gone, None if none is.
 
         These are the entries absent from the VM list and those that reported
@@ -80,7 +80,9 @@
             planned = start.without(name=name, released=name in released)
         return planned
 
-    def base(self, *, table: EntryTable, now_s: float) -> EntryTable | None:
+    def base_table(
+        self, *, table: EntryTable, now_s: float
+    ) -> EntryTable | None:
         """Returns the table that a change must be based on.
 
         A platform that was wiped or rolled back serves an older epoch. A
--- a/almondstair/entry.py
+++ b/almondstair/entry.py
@@ -16,7 +16,7 @@
 from almondstair.control import Control
 from almondstair.control import ControlParts
 from almondstair.core.admission import SlotTable
-from almondstair.core.announcing import Announcing
+from almondstair.core.announcement_limiter import AnnouncementLimiter
 from almondstair.core.configuration import ConfigurationState
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.entry_table import EntryTable
@@ -24,12 +24,12 @@
 from almondstair.core.home_records import homed_upstreams
 from almondstair.core.homes import Homes
 from almondstair.core.hops import HopTable
+from almondstair.core.loop_stall import LoopStall
 from almondstair.core.membership import Membership
 from almondstair.core.membership_records import incarnation_text
 from almondstair.core.model import Configuration
 from almondstair.core.quarantine import Quarantine
 from almondstair.core.slot_book import SlotBook
-from almondstair.core.standstill import Standstill
 from almondstair.core.steering import Steering
 from almondstair.core.steering_records import SteeringLimits
 from almondstair.dispatch import Sender
@@ -78,7 +78,7 @@
 # connection.
 SLOT_MARGIN_S = 0.25
 # Interval in which a few reports of strikes are sent without delay; see
-# core/announcing.py.
+# core/announcement_limiter.py.
 STRIKE_INTERVAL_S = 0.02
 
 
@@ -101,7 +101,7 @@
         self._settings = settings
         self._incarnation = secrets.randbits(63)
         self.own = _own_row(settings, self._incarnation)
-        self._strike_limiter = Announcing(interval_s=STRIKE_INTERVAL_S)
+        self._strike_limiter = AnnouncementLimiter(interval_s=STRIKE_INTERVAL_S)
         self._platform_down = False
         self._timers: list[asyncio.Task[None]] = []
         self.metrics = Metrics(
@@ -138,7 +138,7 @@
             book=book,
         )
         self._health = HealthTable()
-        self._loop_stall = Standstill()
+        self._loop_stall = LoopStall()
         self.slots = SlotTable(
             homes=self.homes,
             book=book,
@@ -345,11 +345,11 @@
         self._send_strikes()
 
     def _send_planned_strikes(self) -> None:
-        self._strike_limiter.planned_told(now_s=time.monotonic())
+        self._strike_limiter.record_scheduled_sent(now_s=time.monotonic())
         self._send_strikes()
 
     def _send_strikes(self) -> None:
-        marks = self._quarantine.digest(now_s=time.monotonic())
+        marks = self._quarantine.next_marks(now_s=time.monotonic())
         self._strike_exchange.tell(marks)
         self.heartbeats.announce()
 
--- a/almondstair/gauges.py
+++ b/almondstair/gauges.py
@@ -7,7 +7,7 @@
 
 from almondstair.admitting import SlotKeeper
 from almondstair.configuration_keeper import ConfigurationKeeper
-from almondstair.core.heartbeat_words import ServiceLoad
+from almondstair.core.heartbeat_payloads import ServiceLoad
 from almondstair.metrics import Metric
 from almondstair.metrics import Metrics
 from almondstair.pacing import LinkPacers
--- a/almondstair/heartbeats.py
+++ b/almondstair/heartbeats.py
@@ -7,24 +7,24 @@
 
 from almondstair.core.configuration import ConfigurationState
 from almondstair.core.entry_table import EntryRow
-from almondstair.core.heartbeat_words import DigestStore
-from almondstair.core.heartbeat_words import GroupView
-from almondstair.core.heartbeat_words import MemberWord
-from almondstair.core.heartbeat_words import ServiceLoad
-from almondstair.core.heartbeat_words import StatusDetail
-from almondstair.core.heartbeat_words import ZoneDigest
-from almondstair.core.heartbeat_words import far_detail
-from almondstair.core.heartbeat_words import make_digest
-from almondstair.core.heartbeat_words import make_view
-from almondstair.core.heartbeat_words import read_digest
-from almondstair.core.heartbeat_words import read_view
-from almondstair.core.heartbeat_words import zone_names
+from almondstair.core.heartbeat_payloads import DigestStore
+from almondstair.core.heartbeat_payloads import GroupView
+from almondstair.core.heartbeat_payloads import MemberStatus
+from almondstair.core.heartbeat_payloads import ServiceLoad
+from almondstair.core.heartbeat_payloads import StatusDetail
+from almondstair.core.heartbeat_payloads import ZoneDigest
+from almondstair.core.heartbeat_payloads import detail_for_far_entries
+from almondstair.core.heartbeat_payloads import make_digest
+from almondstair.core.heartbeat_payloads import make_view
+from almondstair.core.heartbeat_payloads import names_by_zone
+from almondstair.core.heartbeat_payloads import read_digest
+from almondstair.core.heartbeat_payloads import read_view
 from almondstair.core.heartbeats import DIGESTS_TO_FAR
 from almondstair.core.heartbeats import DIGESTS_TO_NEAR
 from almondstair.core.heartbeats import FAR_SILENCE_S
-from almondstair.core.heartbeats import FanOut
+from almondstair.core.heartbeats import HeartbeatScheduler
 from almondstair.core.membership import Membership
-from almondstair.core.membership_records import Heard
+from almondstair.core.membership_records import ReceivedHeartbeat
 from almondstair.messages import Heartbeat
 from almondstair.peers import Peers
 
@@ -86,7 +86,9 @@
         self._own_detail = own_detail
         self._piggybacked_messages = companions
         self._silence_limit_s = silence_limit_ms / 1000
-        self._fan_out = FanOut(own=own, interval_s=interval_ms / 1000)
+        self._fan_out = HeartbeatScheduler(
+            own=own, interval_s=interval_ms / 1000
+        )
         self._timer = PeriodicCallback(self.send_round, interval_ms)
         self._sequence = 0
         self._finished = False
@@ -119,13 +121,13 @@
         for name in self._fan_out.receiver_names:
             self._peers.connect(name)
         self._detail_names = self._fan_out.detail_names
-        self._names_by_zone = zone_names(table=membership.table)
+        self._names_by_zone = names_by_zone(table=membership.table)
         own_zone = self._own.availability_zone
         self._zone_names = self._names_by_zone.get(own_zone, [])
         membership.set_silence_limits(
             near_names=self._fan_out.near_names,
             near_s=self._fan_out.silence_limit_s(
-                shortest_s=self._silence_limit_s
+                min_limit_s=self._silence_limit_s
             ),
             far_s=FAR_SILENCE_S,
         )
@@ -158,13 +160,15 @@
         for name in targets.near:
             digests: tuple[ZoneDigest, ...] = ()
             if targets.with_view:
-                digests = self.digests.next(count=DIGESTS_TO_NEAR, now_s=now_s)
+                digests = self.digests.next_digests(
+                    count=DIGESTS_TO_NEAR, now_s=now_s
+                )
             self._send(name, detail, view, digests)
         for name in targets.partners:
             self._send(name, detail, None, ())
         for name in targets.far:
             digests = self._far_digests(now_s)
-            self._send(name, far_detail(detail), None, digests)
+            self._send(name, detail_for_far_entries(detail), None, digests)
 
     def _send(
         self,
@@ -177,7 +181,7 @@
             sequence=self._sequence,
             epoch=self._membership.table.epoch,
             configuration_version=self._configuration.version,
-            leaving=not self._membership.takes_work,
+            leaving=not self._membership.accepts_work,
             finished=self._finished,
             detail=detail,
             view=view,
@@ -186,24 +190,24 @@
         )
         self._peers.send(name, heartbeat, *self._piggybacked_messages(name))
 
-    def _zone_statuses(self, now_s: float) -> list[MemberWord]:
+    def _zone_statuses(self, now_s: float) -> list[MemberStatus]:
         membership = self._membership
         statuses = []
         for name in self._zone_names:
             version = self._configuration.version
-            latest = membership.last_heard(name=name)
+            latest = membership.last_heartbeat(name=name)
             if name != self._own.name:
                 version = latest.configuration_version if latest else 0
             live = not membership.is_leaving(name=name)
             live = live and not membership.is_silent(name=name, now_s=now_s)
             age_s = membership.age_s(name=name, now_s=now_s)
-            statuses.append(MemberWord(name, live, age_s, version))
+            statuses.append(MemberStatus(name, live, age_s, version))
         return statuses
 
     def _view(self, now_s: float) -> GroupView:
         return make_view(
             epoch=self._membership.table.epoch,
-            words=self._zone_statuses(now_s),
+            members=self._zone_statuses(now_s),
             configuration_version=self._highest_version(),
         )
 
@@ -216,11 +220,13 @@
         own = make_digest(
             availability_zone=self._own.availability_zone,
             epoch=self._membership.table.epoch,
-            words=self._zone_statuses(now_s),
+            members=self._zone_statuses(now_s),
             version=self._highest_version(),
             loads=self.zone_loads(now_s=now_s),
         )
-        others = self.digests.next(count=DIGESTS_TO_FAR - 1, now_s=now_s)
+        others = self.digests.next_digests(
+            count=DIGESTS_TO_FAR - 1, now_s=now_s
+        )
         return (own,) + others
 
     def zone_loads(self, *, now_s: float) -> tuple[ServiceLoad, ...]:
@@ -252,9 +258,9 @@
           not in the table, is ignored.
         """
         now_s = self._clock()
-        if not self._membership.holds(name=name):
+        if not self._membership.contains(name=name):
             return False
-        if not self._membership.heard(
+        if not self._membership.record_heartbeat(
             _received_heartbeat(name, incarnation, heartbeat, now_s)
         ):
             return False
@@ -272,7 +278,7 @@
             # be assigned to the wrong entries.
             return
         for status in read_view(view=view, names=self._zone_names):
-            self._membership.heard_of(
+            self._membership.record_relayed(
                 name=status.name,
                 heard_s=now_s - status.age_s,
                 configuration_version=status.version,
@@ -281,16 +287,16 @@
     def _apply_digest(self, digest: ZoneDigest, now_s: float) -> None:
         if digest.availability_zone == self._own.availability_zone:
             return
-        if not self.digests.offer(digest=digest, now_s=now_s):
+        if not self.digests.store_if_fresher(digest=digest, now_s=now_s):
             return
         if digest.epoch != self._membership.table.epoch:
             return
         names = self._names_by_zone.get(digest.availability_zone, [])
         for status in read_digest(digest=digest, names=names):
             if not status.live:
-                self._membership.not_live(name=status.name)
+                self._membership.mark_relayed_down(name=status.name)
                 continue
-            self._membership.heard_of(
+            self._membership.record_relayed(
                 name=status.name,
                 heard_s=now_s - status.age_s,
                 configuration_version=status.version,
@@ -299,8 +305,8 @@
 
 def _received_heartbeat(
     name: str, incarnation: int, heartbeat: Heartbeat, now_s: float
-) -> Heard:
-    return Heard(
+) -> ReceivedHeartbeat:
+    return ReceivedHeartbeat(
         name=name,
         incarnation=incarnation,
         sequence=heartbeat.sequence,
--- a/almondstair/leaving.py
+++ b/almondstair/leaving.py
@@ -85,7 +85,7 @@
         table_manager = self._components.table_keeper
         while True:
             await table_manager.change(
-                lambda table: table_manager.plans.leaving(table=table)
+                lambda table: table_manager.plans.plan_leaving(table=table)
             )
             row = membership.table.row(name=membership.own.name)
             if row is None or row.leaving or time.monotonic() >= deadline_s:
@@ -124,6 +124,6 @@
         components.forward_door.stop_listening()
         table_manager = components.table_keeper
         await table_manager.change(
-            lambda table: table_manager.plans.release(table=table)
+            lambda table: table_manager.plans.plan_release(table=table)
         )
         components.heartbeats.announce(finished=True)
--- a/almondstair/lookups.py
+++ b/almondstair/lookups.py
@@ -85,7 +85,7 @@
             )
         entries: list[EntryBody] = []
         block = caller_block(address=caller_ip)
-        for entry in self._current_table().order(block=block):
+        for entry in self._current_table().ordered_entries(block=block):
             entries.append(
                 EntryBody(
                     address=entry.address,
@@ -107,7 +107,7 @@
             and now_s - self._refreshed_s < LIVE_REFRESH_S
         ):
             return self._table
-        live = self._membership.live(now_s=now_s)
+        live = self._membership.live_entries(now_s=now_s)
         self._refreshed_s = now_s
         if self._table is None or live != self._live_rows:
             self._live_rows = live
--- a/almondstair/loop_watch.py
+++ b/almondstair/loop_watch.py
@@ -3,8 +3,8 @@
 import asyncio
 import time
 
-from almondstair.core.standstill import TURN_S
-from almondstair.core.standstill import Standstill
+from almondstair.core.loop_stall import TICK_INTERVAL_S
+from almondstair.core.loop_stall import LoopStall
 from almondstair.metrics import Metric
 from almondstair.metrics import Metrics
 
@@ -12,7 +12,7 @@
 class LoopWatch:
     """Runs periodically on the event loop and counts its stall time."""
 
-    def __init__(self, *, standstill: Standstill, metrics: Metrics) -> None:
+    def __init__(self, *, standstill: LoopStall, metrics: Metrics) -> None:
         """Starts with no stall counted.
 
         Args:
@@ -27,10 +27,10 @@
         """Records ticks until it is cancelled."""
         while True:
             self._tick(now_s=time.monotonic())
-            await asyncio.sleep(TURN_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def _tick(self, *, now_s: float) -> None:
-        self._loop_stall.turned(now_s=now_s)
+        self._loop_stall.record_tick(now_s=now_s)
         total_ms = int(self._loop_stall.total_s(now_s=now_s) * 1000)
         # Also counted when 0, so that the counter is always sent and a missing
         # one means that it is not recorded.
--- a/almondstair/messages.py
+++ b/almondstair/messages.py
@@ -16,9 +16,9 @@
 import msgspec
 
 from almondstair.core.entry_table import EntryTable
-from almondstair.core.heartbeat_words import GroupView
-from almondstair.core.heartbeat_words import StatusDetail
-from almondstair.core.heartbeat_words import ZoneDigest
+from almondstair.core.heartbeat_payloads import GroupView
+from almondstair.core.heartbeat_payloads import StatusDetail
+from almondstair.core.heartbeat_payloads import ZoneDigest
 from almondstair.core.home_records import HomesReport
 from almondstair.core.loans import Loan
 from almondstair.core.loans import LoanRequest
--- a/almondstair/running.py
+++ b/almondstair/running.py
@@ -17,8 +17,8 @@
 from almondstair.core.admission_records import UpstreamReport
 from almondstair.core.health import HealthTable
 from almondstair.core.model import Configuration
+from almondstair.core.quarantine import DispatchVerdict
 from almondstair.core.quarantine import Quarantine
-from almondstair.core.quarantine import Verdict
 from almondstair.dispatch import Attempt
 from almondstair.dispatch import Sender
 from almondstair.errors import AlmondstairError
@@ -70,7 +70,7 @@
 
     call: Call
     fingerprint: int
-    verdict: Verdict
+    verdict: DispatchVerdict
     pace: Pace
 
 
@@ -129,7 +129,7 @@
         self, work: Work, excluded: frozenset[str]
     ) -> Admission:
         head = work.call.head
-        if work.verdict is Verdict.ALONE:
+        if work.verdict is DispatchVerdict.ISOLATED:
             excluded = excluded | self._busy_upstreams()
         return await self._keeper.take(
             service=head.service,
@@ -218,7 +218,9 @@
             attempt = await self._attempt(work, admission, claim)
             error = attempt.error
             if error is None:
-                self._core.quarantine.answered(fingerprint=work.fingerprint)
+                self._core.quarantine.record_answer(
+                    fingerprint=work.fingerprint
+                )
                 await self._complete_response(call, attempt, claim)
                 return None
             self._record_failure(work, admission.upstream, attempt)
@@ -362,14 +364,14 @@
         if head is None or attempt.error is not None:
             return
         if head.status >= SERVER_ERROR:
-            self._core.health.failed(name=name, now_s=now_s)
+            self._core.health.record_failure(name=name, now_s=now_s)
             return
-        self._core.health.answered(
+        self._core.health.record_answer(
             name=name,
             request_class=request_class,
             latency_ms=latency_ms,
             now_s=now_s,
-            still_ms=attempt.still_s * 1000,
+            stall_ms=attempt.still_s * 1000,
         )
 
     def _record_failure(self, work: Work, name: str, attempt: Attempt) -> None:
@@ -378,17 +380,17 @@
         sent = attempt.exchange.sent
         if sent is Sent.NOT_SENT:
             log.event(log.Event.UPSTREAM_UNREACHABLE, upstream=name)
-            self._core.health.failed(name=name, now_s=now_s)
+            self._core.health.record_failure(name=name, now_s=now_s)
             return
         if sent is Sent.REFUSED:
-            self._core.health.refused(name=name, now_s=now_s)
+            self._core.health.record_refusal(name=name, now_s=now_s)
             return
         if sent in _NOT_UPSTREAM_FAULT:
             # Counted as failures, these would make the upstreams look
             # unreachable after each stall of this process: they would lose a
             # slot and get no work for a while.
             return
-        self._core.health.failed(name=name, now_s=now_s)
+        self._core.health.record_failure(name=name, now_s=now_s)
         log.event(
             log.Event.UPSTREAM_LOST,
             upstream=name,
@@ -396,7 +398,7 @@
             request_class=call.head.request_class.name,
         )
         if sent is Sent.LOST:
-            self._core.quarantine.strike(
+            self._core.quarantine.record_strike(
                 fingerprint=work.fingerprint,
                 upstream=name,
                 ran_s=now_s - attempt.started_s,
--- a/almondstair/serving.py
+++ b/almondstair/serving.py
@@ -11,14 +11,14 @@
 from almondstair.calls import Call
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.hops import HopTable
+from almondstair.core.loop_stall import LoopStall
 from almondstair.core.membership import Membership
 from almondstair.core.model import Configuration
+from almondstair.core.quarantine import DispatchVerdict
 from almondstair.core.quarantine import Quarantine
-from almondstair.core.quarantine import Verdict
 from almondstair.core.quarantine import request_fingerprint
 from almondstair.core.retries import RetryBudget
 from almondstair.core.retries import retry_after_ms
-from almondstair.core.standstill import Standstill
 from almondstair.core.steering import Steering
 from almondstair.dispatch import Sender
 from almondstair.dispatch import timeout_error
@@ -106,7 +106,7 @@
     sender: Sender
     tracing: Tracing
     metrics: Metrics
-    standstill: Standstill
+    standstill: LoopStall
     strike_words: StrikeWords
 
 
@@ -220,19 +220,19 @@
             body_digest=call.body.digest().encode(),
         )
         verdict = self._verdict(fingerprint)
-        if call.alone and verdict is Verdict.CLEAR:
-            verdict = Verdict.ALONE
+        if call.alone and verdict is DispatchVerdict.CLEAR:
+            verdict = DispatchVerdict.ISOLATED
         if call.from_entry:
             job = Work(call, fingerprint, verdict, no_pace)
             return await self._parts.runner.run(job)
         return await self._route_with_retries(call, fingerprint, verdict)
 
-    def _verdict(self, fingerprint: int) -> Verdict:
+    def _verdict(self, fingerprint: int) -> DispatchVerdict:
         self._parts.strike_words.read_waiting()
         now_s = time.monotonic()
         quarantine = self._parts.quarantine
         verdict = quarantine.verdict(fingerprint=fingerprint, now_s=now_s)
-        if verdict is Verdict.QUARANTINED:
+        if verdict is DispatchVerdict.QUARANTINED:
             left_s = quarantine.remaining_s(
                 fingerprint=fingerprint, now_s=now_s
             )
@@ -243,7 +243,7 @@
         return verdict
 
     async def _route_with_retries(
-        self, call: Call, fingerprint: int, verdict: Verdict
+        self, call: Call, fingerprint: int, verdict: DispatchVerdict
     ) -> AlmondstairError | None:
         budget = self._budgets[call.head.service]
         budget.first_try(now_s=time.monotonic())
@@ -251,14 +251,14 @@
         error = self._no_region_error(call)
         for _ in range(MAX_ATTEMPTS):
             hop = self._next_hop(call, tried)
-            if verdict is Verdict.ALONE:
+            if verdict is DispatchVerdict.ISOLATED:
                 hop = self._owner(call, fingerprint)
             if hop is None or hop.row.name in tried:
                 break
             tried = tried | {hop.row.name}
             attempt_error = await self._attempt(call, hop, fingerprint, verdict)
             if attempt_error is None:
-                self._parts.quarantine.answered(fingerprint=fingerprint)
+                self._parts.quarantine.record_answer(fingerprint=fingerprint)
                 return None
             error = attempt_error
             if not self._may_retry(call, error, budget):
@@ -273,8 +273,8 @@
                 call = call._replace(alone=True)
                 await asyncio.sleep(STRIKE_PROPAGATION_S)
                 verdict = self._verdict(fingerprint)
-                if verdict is Verdict.CLEAR:
-                    verdict = Verdict.ALONE
+                if verdict is DispatchVerdict.CLEAR:
+                    verdict = DispatchVerdict.ISOLATED
         return _jitter_retry_after(error)
 
     def _no_region_error(self, call: Call) -> AlmondstairError:
@@ -304,7 +304,7 @@
             now_s=now_s,
             draw=random.random(),
         )
-        live = self._parts.membership.live(now_s=now_s)
+        live = self._parts.membership.live_entries(now_s=now_s)
         fallback: _Hop | None = None
         for region in regions:
             rows = []
@@ -328,7 +328,7 @@
     def _owner(self, call: Call, fingerprint: int) -> _Hop | None:
         now_s = time.monotonic()
         row = self._parts.hops.owner(
-            rows=tuple(self._parts.membership.live(now_s=now_s)),
+            rows=tuple(self._parts.membership.live_entries(now_s=now_s)),
             service=call.head.service,
             fingerprint=fingerprint,
             now_s=now_s,
@@ -336,7 +336,7 @@
         return None if row is None else _Hop(row.region, row)
 
     async def _attempt(
-        self, call: Call, hop: _Hop, fingerprint: int, verdict: Verdict
+        self, call: Call, hop: _Hop, fingerprint: int, verdict: DispatchVerdict
     ) -> AlmondstairError | None:
         service = call.head.service
         start = self._attempt_start()
@@ -359,7 +359,9 @@
         )
         call.answer.pace = transfer.answer
         self._parts.hops.sent(entry=hop.row.name, service=service)
-        self._parts.steering.regions.sent(region=hop.region, service=service)
+        self._parts.steering.regions.record_sent(
+            region=hop.region, service=service
+        )
         error: AlmondstairError | None = AlmondstairError(
             kind=ErrorKind.UPSTREAM_TIMEOUT
         )
@@ -423,17 +425,19 @@
         if error is None and call.answer.status >= SERVER_ERROR:
             # The caller gets this response, but the region counts as failed: a
             # region that fails fast would otherwise look the least loaded.
-            regions.failed(region=hop.region, service=service, now_s=now_s)
+            regions.record_failure(
+                region=hop.region, service=service, now_s=now_s
+            )
             return
         if error is None:
-            regions.answered(
+            regions.record_answer(
                 region=hop.region,
                 service=service,
                 priority=request_class.priority,
                 request_class=request_class.name,
                 latency_ms=duration_ms,
                 now_s=now_s,
-                still_ms=(self._stalled_s() - start.stalled_s) * 1000,
+                stall_ms=(self._stalled_s() - start.stalled_s) * 1000,
             )
             return
         if error.kind is ErrorKind.NO_SLOT:
@@ -441,7 +445,7 @@
                 entry=hop.row.name, service=service, now_s=now_s
             )
         if error.kind in _REGION_REFUSALS:
-            regions.refused(
+            regions.record_refusal(
                 region=hop.region,
                 service=service,
                 priority=request_class.priority,
@@ -452,9 +456,11 @@
         timed_out = error.kind is ErrorKind.UPSTREAM_TIMEOUT
         too_short = timed_out and duration_ms < min_ms
         if error.kind in _FAILURES and not too_short:
-            regions.failed(region=hop.region, service=service, now_s=now_s)
+            regions.record_failure(
+                region=hop.region, service=service, now_s=now_s
+            )
             return
-        regions.returned(region=hop.region, service=service)
+        regions.record_finished(region=hop.region, service=service)
 
     def _may_retry(
         self, call: Call, error: AlmondstairError, budget: RetryBudget
--- a/almondstair/store.py
+++ b/almondstair/store.py
@@ -23,14 +23,14 @@
 import msgspec
 
 from almondstair.core.configuration import RECENT_EDITS
-from almondstair.core.configuration import Basis
 from almondstair.core.configuration import Edit
-from almondstair.core.configuration import EditFate
-from almondstair.core.configuration import EditNote
+from almondstair.core.configuration import EditBasis
+from almondstair.core.configuration import EditRecord
 from almondstair.core.configuration import EditResult
+from almondstair.core.configuration import EditStatus
 from almondstair.core.configuration import StoredConfiguration
-from almondstair.core.configuration import basis_of
-from almondstair.core.configuration import next_stored
+from almondstair.core.configuration import build_stored_configuration
+from almondstair.core.configuration import classify_edit_basis
 from almondstair.core.entry_table import EntryTable
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
@@ -196,7 +196,9 @@
         Raises:
           PlatformError: if the platform does not answer.
         """
-        first = next_stored(edit=edit, stored=None, highest_version=0)
+        first = build_stored_configuration(
+            edit=edit, stored=None, highest_version=0
+        )
         value = encode_configuration(first)
         result = await self._service.create(key=self.key, value=value)
         if result.succeeded:
@@ -244,7 +246,7 @@
                 return result
             await asyncio.sleep(EDIT_RETRY_DELAY_S)
         if lost:
-            return EditResult(EditFate.UNKNOWN, edit.edit_id)
+            return EditResult(EditStatus.UNKNOWN, edit.edit_id)
         raise PlatformError(
             failure=PlatformFailure.UNAVAILABLE,
             detail="the compare-and-swap failed repeatedly without a cause",
@@ -267,12 +269,12 @@
             raise PlatformError(
                 failure=PlatformFailure.UNAVAILABLE, detail=error.detail
             ) from error
-        replacement = next_stored(
+        replacement = build_stored_configuration(
             edit=edit, stored=stored, highest_version=highest_version
         )
         if not await self._replace(record, replacement):
             return None
-        return EditResult(EditFate.PENDING, edit.edit_id, replacement.version)
+        return EditResult(EditStatus.PENDING, edit.edit_id, replacement.version)
 
     async def _replace(
         self, record: Record | None, replacement: StoredConfiguration
@@ -326,21 +328,21 @@
         try:
             stored = await self.read()
         except PlatformError:
-            return EditResult(EditFate.UNKNOWN, edit_id)
+            return EditResult(EditStatus.UNKNOWN, edit_id)
         edit_record = None
         if stored is not None:
-            edit_record = stored.find(edit_id=edit_id)
+            edit_record = stored.find_edit(edit_id=edit_id)
         if edit_record is not None:
-            return EditResult(EditFate.PENDING, edit_id, edit_record.version)
+            return EditResult(EditStatus.PENDING, edit_id, edit_record.version)
         if stored is None or base_version is None:
-            return EditResult(EditFate.UNKNOWN, edit_id)
+            return EditResult(EditStatus.UNKNOWN, edit_id)
         if stored.version > base_version:
             # The write was conditional on the revision of its base version,
             # which has been replaced.
-            return EditResult(EditFate.NOT_FOUND, edit_id)
-        return EditResult(EditFate.UNKNOWN, edit_id)
+            return EditResult(EditStatus.NOT_FOUND, edit_id)
+        return EditResult(EditStatus.UNKNOWN, edit_id)
 
-    async def history(self) -> tuple[EditNote, ...]:
+    async def history(self) -> tuple[EditRecord, ...]:
         """Returns the records of the latest edits, the latest first.
 
         Raises:
@@ -392,20 +394,22 @@
     all_heard: bool,
 ) -> EditResult | None:
     """Returns the result if no write is needed, None otherwise."""
-    basis = basis_of(
+    basis = classify_edit_basis(
         edit=edit,
         stored=stored,
         highest_version=highest_version,
         all_heard=all_heard,
     )
-    if basis is Basis.DONE and stored is not None:
-        edit_record = stored.find(edit_id=edit.edit_id)
+    if basis is EditBasis.ALREADY_APPLIED and stored is not None:
+        edit_record = stored.find_edit(edit_id=edit.edit_id)
         version = edit_record.version if edit_record is not None else 0
-        return EditResult(EditFate.PENDING, edit.edit_id, version)
-    if basis is Basis.BEHIND:
-        winner = stored.note() if stored is not None else None
-        return EditResult(EditFate.CONFLICT, edit.edit_id, winner=winner)
-    if basis is Basis.UNSURE:
+        return EditResult(EditStatus.PENDING, edit.edit_id, version)
+    if basis is EditBasis.OUTDATED:
+        winner = stored.edit_record() if stored is not None else None
+        return EditResult(
+            EditStatus.CONFLICT, edit.edit_id, conflicting_edit=winner
+        )
+    if basis is EditBasis.UNDECIDABLE:
         raise AlmondstairError(
             kind=ErrorKind.PLATFORM_UNAVAILABLE,
             ran=Ran.NO,
--- a/almondstair/strike_words.py
+++ b/almondstair/strike_words.py
@@ -20,7 +20,7 @@
 from almondstair import messages
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.membership import Membership
-from almondstair.core.quarantine import Mark
+from almondstair.core.quarantine import StrikeMark
 from almondstair.errors import AlmondstairError
 
 # Datagrams per read.
@@ -45,7 +45,7 @@
     entry: str
     incarnation: int
     sent_s: float
-    marks: tuple[Mark, ...]
+    marks: tuple[StrikeMark, ...]
 
 
 messages.register(tag=messages.Tag.STRIKE_REPORT, message_type=StrikeWord)
@@ -98,7 +98,7 @@
         self._socket.close()
         self._socket = None
 
-    def tell(self, marks: tuple[Mark, ...]) -> None:
+    def tell(self, marks: tuple[StrikeMark, ...]) -> None:
         """Sends strikes to all other entries before it returns."""
         if self._socket is None:
             return
--- a/almondstair/table_keeper.py
+++ b/almondstair/table_keeper.py
@@ -8,8 +8,8 @@
 from almondstair import log
 from almondstair.core.entry_table import EntryTable
 from almondstair.core.membership import Membership
-from almondstair.core.membership_records import VmObservation
-from almondstair.core.table_plans import TablePlans
+from almondstair.core.membership_records import VmStatusReport
+from almondstair.core.table_planner import TablePlanner
 from almondstair.errors import AlmondstairError
 from almondstair.key_value.base import VmList
 from almondstair.key_value.base import VmState
@@ -49,7 +49,7 @@
             read it from the platform.
         """
         self._membership = membership
-        self.plans = TablePlans(membership=membership)
+        self.plans = TablePlanner(membership=membership)
         self._store = store
         self._vm_list = vm_list
         self._on_table = on_table
@@ -89,11 +89,11 @@
 
     async def register(self) -> None:
         """Registers this process in the table; retries until it succeeds."""
-        while not self._membership.registered:
+        while not self._membership.is_registered:
             await self.change(
-                lambda table: self.plans.registration(table=table)
+                lambda table: self.plans.plan_registration(table=table)
             )
-            if not self._membership.registered:
+            if not self._membership.is_registered:
                 await asyncio.sleep(REGISTER_RETRY_DELAY_S)
         self.joined = True
 
@@ -103,7 +103,7 @@
         """Wraps a plan so that it starts from the right base table."""
 
         def planned(table: EntryTable) -> EntryTable | None:
-            base = self.plans.base(table=table, now_s=time.monotonic())
+            base = self.plans.base_table(table=table, now_s=time.monotonic())
             if base is None:
                 log.event(
                     log.Event.ENTRY_TABLE_OLDER,
@@ -157,8 +157,8 @@
                 leaving.add(vm.name)
         as_of_s = requested_s - listing.age_s
         self._update_leaving_vms(listed, leaving, as_of_s)
-        self._membership.observe(
-            listing=VmObservation(
+        self._membership.record_listing(
+            listing=VmStatusReport(
                 frozenset(listed), frozenset(leaving), as_of_s
             ),
             now_s=time.monotonic(),
@@ -180,10 +180,10 @@
         Every entry sees the same VM list; without the delay all of them would
         write the same change at the same time.
         """
-        if self.joined and not self._membership.registered:
+        if self.joined and not self._membership.is_registered:
             # Removed by mistake, or the platform lost the table.
             await self.change(
-                lambda table: self.plans.registration(table=table)
+                lambda table: self.plans.plan_registration(table=table)
             )
             return
         table = self._membership.table
@@ -199,7 +199,9 @@
             return
         self._changing = True
         try:
-            await self.change(lambda table: self.plans.change(table=table))
+            await self.change(
+                lambda table: self.plans.plan_removals(table=table)
+            )
         finally:
             self._changing = False
             self._change_due_since_s = None
--- a/almondstair/watch_turns.py
+++ b/almondstair/watch_turns.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 import time
 
-from almondstair.core.heartbeats import holds_watch
+from almondstair.core.heartbeats import is_watcher
 from almondstair.core.membership import Membership
 from almondstair.store_follower import KeyWatcher
 
@@ -33,8 +33,8 @@
 
     def update(self) -> None:
         """Starts or stops the watch as the live entries now require."""
-        live = self._membership.live(now_s=time.monotonic())
-        wanted = holds_watch(own=self._membership.own, live=live)
+        live = self._membership.live_entries(now_s=time.monotonic())
+        wanted = is_watcher(own=self._membership.own, live=live)
         if not wanted:
             self.stop()
             return
--- a/almondstair/zone_loads.py
+++ b/almondstair/zone_loads.py
@@ -1,7 +1,7 @@
 """Loads of availability zones that are reported by digests only."""
 
 from almondstair.core.entry_table import EntryRow
-from almondstair.core.heartbeat_words import ServiceLoad
+from almondstair.core.heartbeat_payloads import ServiceLoad
 from almondstair.core.heartbeats import FAR_SILENCE_S
 from almondstair.core.hops import HopTable
 from almondstair.core.membership import Membership
@@ -61,7 +61,7 @@
     def _far_zones(self, now_s: float) -> dict[str, list[EntryRow]]:
         by_zone: dict[str, list[EntryRow]] = {}
         near = set()
-        for row in self._membership.live(now_s=now_s):
+        for row in self._membership.live_entries(now_s=now_s):
             zone = row.availability_zone
             if row.name in self._heartbeats.details:
                 near.add(zone)
@@ -74,7 +74,7 @@
     def _record_zone_load(
         self, zone: str, rows: list[EntryRow], load: ServiceLoad, now_s: float
     ) -> None:
-        self._steering.regions.observe(
+        self._steering.regions.record_load_report(
             region=rows[0].region,
             service=load.service,
             source=zone,
--- a/benchmarks/blocks.py
+++ b/benchmarks/blocks.py
@@ -63,7 +63,7 @@
     turns_s: list[float] = []
     for value in values:
         started_s = time.process_time()
-        reader.take(value=value)
+        reader.add(value=value)
         turns_s.append(time.process_time() - started_s)
     started_s = time.process_time()
     table = reader.table()
--- a/benchmarks/heartbeats.py
+++ b/benchmarks/heartbeats.py
@@ -24,10 +24,10 @@
 
 from almondstair import messages
 from almondstair.core.configuration import StoredConfiguration
-from almondstair.core.configuration import lacking_entries
-from almondstair.core.heartbeat_words import MemberWord
-from almondstair.core.heartbeat_words import make_digest
-from almondstair.core.heartbeat_words import make_view
+from almondstair.core.configuration import lagging_entries
+from almondstair.core.heartbeat_payloads import MemberStatus
+from almondstair.core.heartbeat_payloads import make_digest
+from almondstair.core.heartbeat_payloads import make_view
 from almondstair.core.heartbeats import DIGESTS_TO_NEAR
 from almondstair.core.heartbeats import FAR_SILENCE_S
 from almondstair.core.heartbeats import PACKET_OVERHEAD_BYTES
@@ -57,13 +57,13 @@
     print("sizes, encoded bytes without packet headers")
     words = []
     for number in range(ZONE[0]):
-        words.append(MemberWord(f"entry-{number:03d}", True, 1.0, 2300))
-    view = make_view(epoch=900, words=words, configuration_version=2300)
+        words.append(MemberStatus(f"entry-{number:03d}", True, 1.0, 2300))
+    view = make_view(epoch=900, members=words, configuration_version=2300)
     loads = two_services().loads
     digest = make_digest(
         availability_zone="region0-00",
         epoch=900,
-        words=words,
+        members=words,
         version=2300,
         loads=loads,
     )
@@ -221,7 +221,9 @@
         zone = entry.own.availability_zone
         per_zone[zone] = per_zone.get(zone, 0) + 1
         if per_zone[zone] <= 2:
-            entry.configuration.offer(StoredConfiguration(2, "2", "", "", ""))
+            entry.configuration.apply_if_newer(
+                StoredConfiguration(2, "2", "", "", "")
+            )
     steps.pulls = True
     in_force_s = None
     first = next(iter(steps.entries.values()))
@@ -232,7 +234,7 @@
             versions.append(entry.configuration.version)
         if in_force_s is None and min(versions) == 2:
             in_force_s = steps.now_s - started_s
-        lacking = lacking_entries(
+        lacking = lagging_entries(
             version=2,
             reports=first.membership.version_reports(
                 own_version=first.configuration.version, now_s=steps.now_s
--- a/benchmarks/lookup_cost.py
+++ b/benchmarks/lookup_cost.py
@@ -64,7 +64,7 @@
 def _order_us(*, table: LookupTable, blocks: list[bytes]) -> float:
     started_s = time.process_time()
     for block in blocks:
-        table.order(block=block)
+        table.ordered_entries(block=block)
     return (time.process_time() - started_s) / len(blocks) * 1e6
 
 
@@ -72,7 +72,7 @@
     table = _table(per_zone=per_zone, zones=zones)
     tracemalloc.start()
     for block in blocks:
-        table.order(block=block)
+        table.ordered_entries(block=block)
     size_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return size_bytes / MIB
@@ -136,7 +136,7 @@
 
 
 def _report(*, steering: Steering, source: int, now_s: float) -> None:
-    steering.regions.observe(
+    steering.regions.record_load_report(
         region=f"region-{source % REGIONS}",
         service="work",
         source=f"entry-{source}",
--- a/benchmarks/membership_cost.py
+++ b/benchmarks/membership_cost.py
@@ -10,7 +10,7 @@
 
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.entry_table import EntryTable
-from almondstair.core.membership import LIVE_KEPT_S
+from almondstair.core.membership import LIVE_CACHE_TTL_S
 from almondstair.core.membership import Membership
 
 SIZES = (12, 96, 192, 385, 770)
@@ -38,7 +38,9 @@
     membership = Membership(own=rows[0], silence_limit_s=1e6)
     membership.replace_table(table=EntryTable(1, tuple(rows)), now_s=0.0)
     for row in rows:
-        membership.heard_of(name=row.name, heard_s=0.0, configuration_version=1)
+        membership.record_relayed(
+            name=row.name, heard_s=0.0, configuration_version=1
+        )
     return membership
 
 
@@ -54,9 +56,11 @@
     """Prints one size."""
     view = membership_of(entries)
     last = view.table.entries[-1].name
-    anew_us = call_us(lambda now_s: view.live(now_s=now_s), LIVE_KEPT_S * 2)
-    kept_us = call_us(lambda now_s: view.live(now_s=now_s), 0.0)
-    silent_us = call_us(lambda now_s: view.silent(now_s=now_s), 0.0)
+    anew_us = call_us(
+        lambda now_s: view.live_entries(now_s=now_s), LIVE_CACHE_TTL_S * 2
+    )
+    kept_us = call_us(lambda now_s: view.live_entries(now_s=now_s), 0.0)
+    silent_us = call_us(lambda now_s: view.silent_names(now_s=now_s), 0.0)
     highest_us = call_us(lambda _: view.highest_version(own_version=1), 0.0)
     row_us = call_us(lambda _: view.table.row(name=last), 0.0)
     print(
--- a/benchmarks/steering_state.py
+++ b/benchmarks/steering_state.py
@@ -25,7 +25,7 @@
 def _loads(size: int) -> RegionLoad:
     load = RegionLoad(configured_slots=1000, limit_s=LIMIT_S)
     for number in range(size):
-        load.report(
+        load.record_report(
             source=f"entry-{number}", slots=20, free_slots=10, measured_s=0.0
         )
     return load
@@ -34,7 +34,7 @@
 def _health(size: int) -> HealthTable:
     table = HealthTable()
     for number in range(size):
-        table.answered(
+        table.record_answer(
             name=f"upstream-{number}",
             request_class="get",
             latency_ms=10.0,
@@ -47,8 +47,12 @@
     quarantine = Quarantine()
     for number in range(size):
         fingerprint = number << 40
-        quarantine.strike(fingerprint=fingerprint, upstream="a", now_s=0.0)
-        quarantine.strike(fingerprint=fingerprint, upstream="b", now_s=0.0)
+        quarantine.record_strike(
+            fingerprint=fingerprint, upstream="a", now_s=0.0
+        )
+        quarantine.record_strike(
+            fingerprint=fingerprint, upstream="b", now_s=0.0
+        )
     return quarantine
 
 
@@ -67,7 +71,7 @@
     started_s = time.process_time()
     for tick in range(TICKS):
         now_s += PERIOD_S / size
-        load.report(
+        load.record_report(
             source=f"entry-{tick % size}",
             slots=20,
             free_slots=10,
@@ -88,7 +92,7 @@
     for tick in range(TICKS):
         now_s += 0.001
         name = f"upstream-{tick % size}"
-        table.answered(
+        table.record_answer(
             name=name, request_class="get", latency_ms=10.0, now_s=now_s
         )
         table.view(name=name, now_s=now_s)
@@ -103,8 +107,8 @@
     quarantine = _quarantine(size)
     started_s = time.process_time()
     for _ in range(TURNS):
-        marks = quarantine.digest(now_s=1.0)
-        quarantine.merge(marks=marks, now_s=1.0)
+        marks = quarantine.next_marks(now_s=1.0)
+        quarantine.merge_marks(marks=marks, now_s=1.0)
     turn_us = (time.process_time() - started_s) / TURNS * 1e6
     started_s = time.process_time()
     for number in range(TICKS):
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -5,12 +5,12 @@
 from behave import when
 
 from almondstair import messages
+from almondstair.core.configuration import ApplyOutcome
 from almondstair.core.configuration import ConfigurationState
 from almondstair.core.configuration import Edit
-from almondstair.core.configuration import EditFate
-from almondstair.core.configuration import Offer
+from almondstair.core.configuration import EditStatus
 from almondstair.core.configuration import VersionReport
-from almondstair.core.configuration import applied_result
+from almondstair.core.configuration import result_of_stored_edit
 from almondstair.errors import AlmondstairError
 from almondstair.store import ConfigurationStore
 from almondstair.store import decode_configuration
@@ -37,7 +37,7 @@
 
 async def follow(context, name):
     def on_configuration(stored):
-        context.states[name].offer(stored)
+        context.states[name].apply_if_newer(stored)
 
     follower = context.store.follower(on_configuration=on_configuration)
     follower.start()
@@ -76,9 +76,9 @@
 
 def judged(context):
     stored = asyncio.run(context.store.read())
-    note = stored.find(edit_id=context.edit.edit_id)
-    return applied_result(
-        note=note, reports=reports(context), fresh_limit_s=FRESH_LIMIT_S
+    note = stored.find_edit(edit_id=context.edit.edit_id)
+    return result_of_stored_edit(
+        edit_record=note, reports=reports(context), fresh_limit_s=FRESH_LIMIT_S
     )
 
 
@@ -89,7 +89,7 @@
         )
     )
     value = messages.unpack(messages.decode(frame).packed)
-    return context.states[receiver].offer(decode_configuration(value))
+    return context.states[receiver].apply_if_newer(decode_configuration(value))
 
 
 @given('entries "{names}" over one platform')
@@ -200,12 +200,12 @@
 
 @when('"{name}" learns of it from its peer "{peer}"')
 def step_learn_from_peer(context, name, peer):
-    assert send_document(context, peer, name) is Offer.APPLIED
+    assert send_document(context, peer, name) is ApplyOutcome.APPLIED
 
 
 @when('"{peer}" sends its version to "{name}"')
 def step_send(context, peer, name):
-    assert send_document(context, peer, name) is Offer.OLDER
+    assert send_document(context, peer, name) is ApplyOutcome.OLDER
 
 
 @when('"{name}" is silent for {age:d} seconds')
@@ -225,20 +225,20 @@
 @then('the edit is pending and lacks "{names}"')
 def step_pending(context, names):
     result = judged(context)
-    assert result.fate is EditFate.PENDING, result
-    assert list(result.lacking) == names_of(names), result
+    assert result.status is EditStatus.PENDING, result
+    assert list(result.lagging_entries) == names_of(names), result
 
 
 @then("the edit is accepted as version {version:d}")
 def step_accepted(context, version):
     result = judged(context)
-    assert result.fate is EditFate.ACCEPTED, result
+    assert result.status is EditStatus.ACCEPTED, result
     assert result.version == version, result
 
 
 @then('the fate of the edit is "{fate}"')
 def step_fate(context, fate):
-    assert context.result.fate == fate, context.result
+    assert context.result.status == fate, context.result
 
 
 @then('asking for the edit says "{fate}"')
@@ -249,14 +249,14 @@
             base_version=context.edit.base_version,
         )
     )
-    assert result.fate == fate, result
+    assert result.status == fate, result
 
 
 @then('asking for the edit of "{author}" says "{fate}"')
 def step_ask_author(context, author, fate):
     edit_id = context.results[author].edit_id
     result = asyncio.run(context.store.fate(edit_id=edit_id, base_version=1))
-    assert result.fate == fate, result
+    assert result.status == fate, result
 
 
 @then('the edit is refused with kind "{kind}" and did not run')
@@ -280,19 +280,19 @@
 
 @then("exactly one edit is applied")
 def step_one_applied(context):
-    fates = sorted(str(result.fate) for result in context.race)
+    fates = sorted(str(result.status) for result in context.race)
     assert fates == ["conflict", "pending"], fates
 
 
 @then("the other is told of the winner and its version")
 def step_winner(context):
     for result in context.race:
-        if result.fate is EditFate.PENDING:
+        if result.status is EditStatus.PENDING:
             won = result
         else:
             lost = result
-    assert lost.winner.edit_id == won.edit_id, lost
-    assert lost.winner.version == won.version == 2, lost
+    assert lost.conflicting_edit.edit_id == won.edit_id, lost
+    assert lost.conflicting_edit.version == won.version == 2, lost
 
 
 @then("every entry has version {version:d} in force")
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -10,7 +10,7 @@
 from almondstair.control import Control
 from almondstair.control import ControlParts
 from almondstair.core.entry_table import EntryRow
-from almondstair.core.heartbeat_words import StatusDetail
+from almondstair.core.heartbeat_payloads import StatusDetail
 from almondstair.core.home_records import HomesReport
 from almondstair.core.membership import Membership
 from almondstair.core.membership_records import incarnation_text
@@ -130,7 +130,7 @@
     context.control._configuration.configuration = mock.Mock(
         upstreams={_MARKED: mock.Mock()}, marks=mock.Mock(leaving=())
     )
-    context.parts.quarantine.digest.return_value = ()
+    context.parts.quarantine.next_marks.return_value = ()
     told = context.control.own_detail().leaving_upstreams
     assert told == (_MARKED,), told
 
--- a/features/steps/heartbeat_steps.py
+++ b/features/steps/heartbeat_steps.py
@@ -12,15 +12,15 @@
 from almondstair.core.configuration import ConfigurationState
 from almondstair.core.configuration import StoredConfiguration
 from almondstair.core.entry_table import EntryTable
-from almondstair.core.heartbeat_words import MemberWord
-from almondstair.core.heartbeat_words import ServiceLoad
-from almondstair.core.heartbeat_words import StatusDetail
-from almondstair.core.heartbeat_words import make_digest
-from almondstair.core.heartbeat_words import make_view
-from almondstair.core.heartbeat_words import read_digest
-from almondstair.core.heartbeats import FanOut
+from almondstair.core.heartbeat_payloads import MemberStatus
+from almondstair.core.heartbeat_payloads import ServiceLoad
+from almondstair.core.heartbeat_payloads import StatusDetail
+from almondstair.core.heartbeat_payloads import make_digest
+from almondstair.core.heartbeat_payloads import make_view
+from almondstair.core.heartbeat_payloads import read_digest
+from almondstair.core.heartbeats import HeartbeatScheduler
 from almondstair.core.membership import Membership
-from almondstair.core.quarantine import Mark
+from almondstair.core.quarantine import StrikeMark
 from almondstair.errors import AlmondstairError
 from almondstair.heartbeats import Heartbeats
 from almondstair.messages import Heartbeat
@@ -51,7 +51,7 @@
     for own in context.entry_table.entries[
         :: max(1, len(context.entry_table.entries) // 40)
     ]:
-        fan_out = FanOut(own=own, interval_s=INTERVAL_S)
+        fan_out = HeartbeatScheduler(own=own, interval_s=INTERVAL_S)
         fan_out.set_table(table=context.entry_table)
         near, all_names = set(), set()
         for _ in range(int(seconds / INTERVAL_S)):
@@ -100,9 +100,9 @@
     context.words = []
     for other in sorted(context.membership.table.names()):
         if other == name:
-            context.words.append(MemberWord(other, True, float(age), version))
+            context.words.append(MemberStatus(other, True, float(age), version))
         else:
-            context.words.append(MemberWord(other, True, 0.0, 7))
+            context.words.append(MemberStatus(other, True, 0.0, 7))
 
 
 def reader(context, *, epoch):
@@ -135,7 +135,9 @@
 
 def hear_view(context, *, reader_epoch):
     async def hear():
-        view = make_view(epoch=1, words=context.words, configuration_version=7)
+        view = make_view(
+            epoch=1, members=context.words, configuration_version=7
+        )
         frame = messages.encode(Heartbeat(1, 1, 7, view=view))
         membership, reading = reader(context, epoch=reader_epoch)
         reading.receive(
@@ -151,14 +153,14 @@
     "{version:d}"
 )
 def step_view(context, name, age, version):
-    known = hear_view(context, reader_epoch=1).last_heard(name=name)
+    known = hear_view(context, reader_epoch=1).last_heartbeat(name=name)
     assert known.configuration_version == version, known
     assert 0 <= context.now_s - known.heard_s - age <= 0.3, known
 
 
 @then("a reader with another epoch learns nothing")
 def step_view_epoch(context):
-    assert hear_view(context, reader_epoch=2).last_heard(name="e3") is None
+    assert hear_view(context, reader_epoch=2).last_heartbeat(name="e3") is None
 
 
 @then('a reader of the digest learns that "{name}" lacks version {version:d}')
@@ -166,7 +168,7 @@
     digest = make_digest(
         availability_zone="west-1",
         epoch=1,
-        words=context.words,
+        members=context.words,
         version=version,
         loads=(),
     )
@@ -201,7 +203,7 @@
     "seconds"
 )
 def step_marked(context, seconds):
-    context.mark = Mark(fingerprint=7, upstream=3, remaining_s=60)
+    context.mark = StrikeMark(fingerprint=7, upstream=3, remaining_s=60)
     context.now_s = 0.0
     own = context.entry_table.entries[0]
     membership = Membership(own=own, silence_limit_s=SILENCE_LIMIT_S)
@@ -245,7 +247,9 @@
         self.membership = Membership(own=own, silence_limit_s=SILENCE_LIMIT_S)
         self.membership.replace_table(table=table, now_s=time.monotonic())
         self.configuration = ConfigurationState()
-        self.configuration.offer(StoredConfiguration(1, "id", "x", "", ""))
+        self.configuration.apply_if_newer(
+            StoredConfiguration(1, "id", "x", "", "")
+        )
         self.peers = Peers(
             context=zmq.Context.instance(),
             name=own.name,
@@ -314,13 +318,13 @@
     while time.monotonic() < end_s:
         await asyncio.sleep(0.05)
         now_s = time.monotonic()
-        if len(first.membership.live(now_s=now_s)) < 2:
+        if len(first.membership.live_entries(now_s=now_s)) < 2:
             continue
-        if len(second.membership.live(now_s=now_s)) == 2:
+        if len(second.membership.live_entries(now_s=now_s)) == 2:
             break
     context.live_counts = (
-        len(first.membership.live(now_s=now_s)),
-        len(second.membership.live(now_s=now_s)),
+        len(first.membership.live_entries(now_s=now_s)),
+        len(second.membership.live_entries(now_s=now_s)),
     )
     second.stop()
     if wait_s:
--- a/features/steps/lookup_steps.py
+++ b/features/steps/lookup_steps.py
@@ -43,19 +43,21 @@
 def lookup_names(context, first, zone, last, other):
     block = caller_block(address="192.0.2.7")
     zones = []
-    for entry in context.lookup_table.order(block=block):
+    for entry in context.lookup_table.ordered_entries(block=block):
         zones.append(entry.availability_zone)
     assert zones == [zone] * first + [other] * last, zones
-    assert context.lookup_table.order(
+    assert context.lookup_table.ordered_entries(
         block=block
-    ) is context.lookup_table.order(block=block)
+    ) is context.lookup_table.ordered_entries(block=block)
 
 
 @then("{count:d} blocks spread over all entries of {zone}")
 def blocks_spread(context, count, zone):
     firsts = {}
     for number in range(count):
-        entry = context.lookup_table.order(block=number.to_bytes(3))[0]
+        entry = context.lookup_table.ordered_entries(block=number.to_bytes(3))[
+            0
+        ]
         assert entry.availability_zone == zone
         firsts[entry.name] = firsts.get(entry.name, 0) + 1
     in_zone = 0
@@ -74,10 +76,10 @@
     smaller = _lookup_table(context.entries[1:])
     for number in range(1000):
         block = number.to_bytes(3)
-        before = context.lookup_table.order(block=block)
+        before = context.lookup_table.ordered_entries(block=block)
         if gone in before:
             continue
-        assert smaller.order(block=block) == before
+        assert smaller.ordered_entries(block=block) == before
 
 
 @then('the block of "{address}" is that of "{other}"')
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -8,9 +8,9 @@
 
 from almondstair.core.entry_table import EntryTable
 from almondstair.core.membership import Membership
-from almondstair.core.membership_records import Heard
-from almondstair.core.membership_records import VmObservation
-from almondstair.core.table_plans import TablePlans
+from almondstair.core.membership_records import ReceivedHeartbeat
+from almondstair.core.membership_records import VmStatusReport
+from almondstair.core.table_planner import TablePlanner
 from almondstair.errors import AlmondstairError
 from almondstair.store import EntryTableStore
 from features.support.entry_rows import row
@@ -30,7 +30,7 @@
 
 def heard(context, name, **changes):
     context.sequence += 1
-    word = Heard(
+    word = ReceivedHeartbeat(
         name=name,
         incarnation=1,
         sequence=context.sequence,
@@ -40,7 +40,7 @@
         finished=False,
         heard_s=context.now_s,
     )
-    return context.membership.heard(word._replace(**changes))
+    return context.membership.record_heartbeat(word._replace(**changes))
 
 
 def pass_time(context, seconds, *, silent=()):
@@ -82,7 +82,7 @@
 def step_registers_unheard(context, name):
     table = context.membership.table
     newcomer = Membership(own=row(name), silence_limit_s=SILENCE_LIMIT_S)
-    planned = TablePlans(membership=newcomer).registration(table=table)
+    planned = TablePlanner(membership=newcomer).plan_registration(table=table)
     context.membership.replace_table(table=planned, now_s=context.now_s)
 
 
@@ -104,10 +104,10 @@
 
 def read_list(context, names, age_s, leaving=()):
     context.now_s += 0.5
-    listing = VmObservation(
+    listing = VmStatusReport(
         frozenset(names), frozenset(leaving), context.now_s - age_s
     )
-    context.membership.observe(listing=listing, now_s=context.now_s)
+    context.membership.record_listing(listing=listing, now_s=context.now_s)
 
 
 @when('the VM list holds "{names}", {age:d} second old')
@@ -128,7 +128,7 @@
 
 @when('the operators mark "{name}" as leaving')
 def step_mark(context, name):
-    context.membership.mark_leaving(names=frozenset([name]))
+    context.membership.set_marked_leaving(names=frozenset([name]))
 
 
 @when('"{name}" says that it finished leaving')
@@ -147,7 +147,7 @@
     )
     for _ in range(seconds):
         pass_time(context, 1, silent=[name])
-        context.membership.heard_of(
+        context.membership.record_relayed(
             name=name,
             heard_s=context.now_s - 0.5,
             configuration_version=1,
@@ -181,14 +181,14 @@
     newcomer = Membership(
         own=row(name, incarnation=2), silence_limit_s=SILENCE_LIMIT_S
     )
-    planned = TablePlans(membership=newcomer).registration(
+    planned = TablePlanner(membership=newcomer).plan_registration(
         table=context.membership.table
     )
-    assert not newcomer.registered
+    assert not newcomer.is_registered
     newcomer.replace_table(table=context.membership.table, now_s=context.now_s)
-    assert not newcomer.registered
+    assert not newcomer.is_registered
     newcomer.replace_table(table=planned, now_s=context.now_s)
-    assert newcomer.registered
+    assert newcomer.is_registered
     context.membership.replace_table(table=planned, now_s=context.now_s)
 
 
@@ -200,14 +200,15 @@
 @then('the live entries are "{names}"')
 def step_live(context, names):
     live = [
-        entry.name for entry in context.membership.live(now_s=context.now_s)
+        entry.name
+        for entry in context.membership.live_entries(now_s=context.now_s)
     ]
     assert live == names_of(names), live
 
 
 @then('"a" plans no change')
 def step_no_change(context):
-    planned = TablePlans(membership=context.membership).change(
+    planned = TablePlanner(membership=context.membership).plan_removals(
         table=context.membership.table
     )
     assert planned is None, planned
@@ -229,7 +230,7 @@
 
 
 def step_plans(context, names, epoch, lost_epoch):
-    planned = TablePlans(membership=context.membership).change(
+    planned = TablePlanner(membership=context.membership).plan_removals(
         table=context.membership.table
     )
     assert planned is not None
@@ -252,7 +253,7 @@
     newcomer = Membership(own=row(name), silence_limit_s=SILENCE_LIMIT_S)
 
     def plan(table):
-        return TablePlans(membership=newcomer).registration(table=table)
+        return TablePlanner(membership=newcomer).plan_registration(table=table)
 
     return await context.store.change(plan=plan)
 
@@ -302,7 +303,7 @@
     )
     context.error = None
     try:
-        TablePlans(membership=stranger).registration(
+        TablePlanner(membership=stranger).plan_registration(
             table=context.membership.table
         )
     except ValueError as error:
@@ -334,7 +335,7 @@
         member = Membership(own=entry, silence_limit_s=SILENCE_LIMIT_S)
         member.replace_table(table=table, now_s=0.0)
         for other in table.entries:
-            member.heard_of(
+            member.record_relayed(
                 name=other.name, heard_s=0.0, configuration_version=1
             )
         turns.append(member.planner_rank(now_s=0.0))
@@ -345,7 +346,7 @@
     'a change on the platform\'s table of epoch {epoch:d} starts from "{names}"'
 )
 def step_starts_from(context, epoch, names):
-    base = TablePlans(membership=context.membership).base(
+    base = TablePlanner(membership=context.membership).base_table(
         table=EntryTable(epoch), now_s=context.now_s
     )
     assert base is not None
@@ -355,7 +356,7 @@
 
 @then("no change is made on the platform's table of epoch {epoch:d}")
 def step_no_base(context, epoch):
-    base = TablePlans(membership=context.membership).base(
+    base = TablePlanner(membership=context.membership).base_table(
         table=EntryTable(epoch), now_s=context.now_s
     )
     assert base is None, base
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -4,10 +4,10 @@
 from behave import then
 from behave import when
 
-from almondstair.core.announcing import Announcing
-from almondstair.core.message_delays import MessageDelays
+from almondstair.core.announcement_limiter import AnnouncementLimiter
+from almondstair.core.message_delays import MessageDelayEstimator
+from almondstair.core.quarantine import DispatchVerdict
 from almondstair.core.quarantine import Quarantine
-from almondstair.core.quarantine import Verdict
 from almondstair.core.quarantine import body_digest
 from almondstair.core.quarantine import request_fingerprint
 
@@ -33,12 +33,12 @@
     """Sends one heartbeat of every entry to every entry."""
     digests = []
     for quarantine in context.quarantines:
-        digests.append(quarantine.digest(now_s=context.now_s))
+        digests.append(quarantine.next_marks(now_s=context.now_s))
     context.now_s += transit_s
     for marks in digests:
         for quarantine in context.quarantines:
-            quarantine.expire(now_s=context.now_s)
-            quarantine.merge(marks=marks, now_s=context.now_s)
+            quarantine.drop_expired(now_s=context.now_s)
+            quarantine.merge_marks(marks=marks, now_s=context.now_s)
 
 
 @when("a crashing request is sent {count:d} times, each time to the next entry")
@@ -46,10 +46,10 @@
     for attempt in range(count):
         quarantine = context.quarantines[attempt % len(context.quarantines)]
         verdict = quarantine.verdict(fingerprint=CRASHING, now_s=context.now_s)
-        if verdict is not Verdict.QUARANTINED:
+        if verdict is not DispatchVerdict.QUARANTINED:
             upstream = f"upstream-{attempt}"
             context.crashed.add(upstream)
-            quarantine.strike(
+            quarantine.record_strike(
                 fingerprint=CRASHING,
                 upstream=upstream,
                 ran_s=0.01,
@@ -71,18 +71,18 @@
 )
 def marks_repeated(context, count):
     first, second = context.quarantines[:2]
-    first.strike(
+    first.record_strike(
         fingerprint=CRASHING, upstream="u", ran_s=0.01, now_s=context.now_s
     )
-    marks = first.digest(now_s=context.now_s)
+    marks = first.next_marks(now_s=context.now_s)
     for _ in range(count):
-        second.merge(marks=marks, now_s=context.now_s)
+        second.merge_marks(marks=marks, now_s=context.now_s)
 
 
 @when("entry 0 has strikes against {count:d} requests")
 def many_strikes(context, count):
     for fingerprint in range(count):
-        context.quarantines[0].strike(
+        context.quarantines[0].record_strike(
             fingerprint=fingerprint,
             upstream="u",
             ran_s=0.01,
@@ -103,7 +103,7 @@
 
 @then("the request is quarantined on every entry")
 def quarantined_everywhere(context):
-    _assert_verdicts(context, CRASHING, Verdict.QUARANTINED)
+    _assert_verdicts(context, CRASHING, DispatchVerdict.QUARANTINED)
     for quarantine in context.quarantines:
         remaining_s = quarantine.remaining_s(
             fingerprint=CRASHING, now_s=context.now_s
@@ -113,12 +113,12 @@
 
 @then("the request is clear on every entry")
 def clear_everywhere(context):
-    _assert_verdicts(context, CRASHING, Verdict.CLEAR)
+    _assert_verdicts(context, CRASHING, DispatchVerdict.CLEAR)
 
 
 @then("another request is clear on every entry")
 def other_clear_everywhere(context):
-    _assert_verdicts(context, HARMLESS, Verdict.CLEAR)
+    _assert_verdicts(context, HARMLESS, DispatchVerdict.CLEAR)
 
 
 @then("entry 1 tells the request to run alone")
@@ -126,7 +126,7 @@
     verdict = context.quarantines[1].verdict(
         fingerprint=CRASHING, now_s=context.now_s
     )
-    assert verdict is Verdict.ALONE, verdict
+    assert verdict is DispatchVerdict.ISOLATED, verdict
 
 
 @then("each digest of entry 0 has at most {limit:d} marks")
@@ -138,9 +138,9 @@
 def heartbeats_carry(context, count, requests):
     first, second = context.quarantines[:2]
     for _ in range(count):
-        marks = first.digest(now_s=context.now_s)
+        marks = first.next_marks(now_s=context.now_s)
         assert len(marks) <= context.limit, len(marks)
-        second.merge(marks=marks, now_s=context.now_s)
+        second.merge_marks(marks=marks, now_s=context.now_s)
     assert len(second) == requests, len(second)
 
 
@@ -149,17 +149,19 @@
 
 @given("announcements that are spaced by {span_ms:d} ms")
 def step_announcing(context, span_ms):
-    context.announcing = Announcing(interval_s=span_ms / 1000)
+    context.announcement_limiter = AnnouncementLimiter(
+        interval_s=span_ms / 1000
+    )
     context.announced_s = []
 
 
 def _strike_at(context, at_s):
     planned = getattr(context, "planned_s", None)
     if planned is not None and planned <= at_s:
-        context.announcing.planned_told(now_s=planned)
+        context.announcement_limiter.record_scheduled_sent(now_s=planned)
         context.announced_s.append(planned)
         context.planned_s = None
-    wait_s = context.announcing.wait_s(now_s=at_s)
+    wait_s = context.announcement_limiter.wait_s(now_s=at_s)
     if wait_s == 0:
         context.announced_s.append(at_s)
     elif wait_s is not None:
@@ -201,7 +203,7 @@
     context.now_s = 1000.0
     # Entries share no clock.
     context.ahead_s = [700.0 * number for number in range(count)]
-    context.delays = [MessageDelays() for _ in range(count)]
+    context.delays = [MessageDelayEstimator() for _ in range(count)]
     for _ in range(5):
         _timed_exchange(context, transit_s=usual_ms / 1000)
 
@@ -211,17 +213,17 @@
     sent = []
     for number, quarantine in enumerate(context.quarantines):
         clock_s = context.now_s + context.ahead_s[number]
-        sent.append((clock_s, quarantine.digest(now_s=clock_s)))
+        sent.append((clock_s, quarantine.next_marks(now_s=clock_s)))
     context.now_s += transit_s
     for number, quarantine in enumerate(context.quarantines):
         clock_s = context.now_s + context.ahead_s[number]
         for sender, (sent_s, marks) in enumerate(sent):
             if sender == number:
                 continue
-            usual_s = context.delays[number].usual_arrival_s(
+            usual_s = context.delays[number].undelayed_arrival_s(
                 sender=str(sender), incarnation=1, sent_s=sent_s, now_s=clock_s
             )
-            quarantine.merge(marks=marks, now_s=usual_s)
+            quarantine.merge_marks(marks=marks, now_s=usual_s)
 
 
 @when(
@@ -230,7 +232,7 @@
 )
 def both_die(context, apart_ms, ran_ms):
     for number, quarantine in enumerate(context.quarantines):
-        quarantine.strike(
+        quarantine.record_strike(
             fingerprint=CRASHING,
             upstream=f"upstream-{number}",
             ran_s=ran_ms / 1000,
@@ -244,7 +246,7 @@
     "well"
 )
 def just_begun(context, ran_ms):
-    context.quarantines[1].strike(
+    context.quarantines[1].record_strike(
         fingerprint=CRASHING,
         upstream="upstream-1",
         ran_s=ran_ms / 1000,
@@ -267,4 +269,6 @@
 
 @then("the request is not quarantined on any entry")
 def not_quarantined(context):
-    assert Verdict.QUARANTINED not in _verdicts(context), _verdicts(context)
+    assert DispatchVerdict.QUARANTINED not in _verdicts(context), _verdicts(
+        context
+    )
--- a/features/steps/standing_still_steps.py
+++ b/features/steps/standing_still_steps.py
@@ -10,7 +10,7 @@
 
 from almondstair import running
 from almondstair.core.admission_records import Outcome
-from almondstair.core.standstill import TURN_S
+from almondstair.core.loop_stall import TICK_INTERVAL_S
 from almondstair.dispatch import Sender
 from almondstair.http_client import no_pace
 from almondstair.tracing import Tracing
@@ -43,13 +43,13 @@
     """Lets a request run while the loop turns, and stand still at its end."""
     standstill = bench.tables["a"].standstill
     admission = bench.choose()
-    standstill.turned(now_s=bench.now_s)
+    standstill.record_tick(now_s=bench.now_s)
     end_s = bench.now_s + run_s
-    while bench.now_s + TURN_S + late_s < end_s:
-        bench.now_s += TURN_S + late_s
-        standstill.turned(now_s=bench.now_s)
+    while bench.now_s + TICK_INTERVAL_S + late_s < end_s:
+        bench.now_s += TICK_INTERVAL_S + late_s
+        standstill.record_tick(now_s=bench.now_s)
     bench.answer(admission, after_s=end_s + still_s - bench.now_s)
-    standstill.turned(now_s=bench.now_s)
+    standstill.record_tick(now_s=bench.now_s)
 
 
 # A request that is too late.
--- a/features/steps/steering_steps.py
+++ b/features/steps/steering_steps.py
@@ -56,7 +56,7 @@
 
 
 def _digest(world, age_s, limit_s, region, free):
-    world.steering.regions.observe(
+    world.steering.regions.record_load_report(
         region=region,
         service=SERVICE,
         source=f"digest-{region}",
@@ -128,7 +128,7 @@
 )
 def fails(context, free, length_s, region):
     def fail(world):
-        world.steering.regions.failed(
+        world.steering.regions.record_failure(
             region=region, service=SERVICE, now_s=world.now_s
         )
 
@@ -141,7 +141,7 @@
 )
 def refuses(context, free, length_s, region):
     def refuse(world):
-        world.steering.regions.refused(
+        world.steering.regions.record_refusal(
             region=region,
             service=SERVICE,
             priority=Priority.INTERACTIVE,
@@ -157,7 +157,7 @@
 )
 def answers(context, free, length_s, region, latency_ms):
     def answer(world):
-        world.steering.regions.answered(
+        world.steering.regions.record_answer(
             region=region,
             service=SERVICE,
             priority=Priority.INTERACTIVE,
@@ -172,7 +172,7 @@
 @when('"{region}" reports that it has no slots')
 def no_slots(context, region):
     world = context.world
-    world.steering.regions.observe(
+    world.steering.regions.record_load_report(
         region=region,
         service=SERVICE,
         source=f"entry-{region}",
@@ -185,18 +185,18 @@
 
 @when('the region "{region}" is lost')
 def region_lost(context, region):
-    context.world.steering.regions.region_lost(region=region)
+    context.world.steering.regions.mark_lost(region=region)
 
 
 @when('the region "{region}" is back')
 def region_back(context, region):
     context.world.mark_s = context.world.now_s
-    context.world.steering.regions.region_back(region=region)
+    context.world.steering.regions.mark_recovered(region=region)
 
 
 @when('the link to "{region}" has a headroom of {headroom:g}')
 def link_headroom(context, region, headroom):
-    context.world.steering.regions.observe_link(
+    context.world.steering.regions.record_link_headroom(
         availability_zone=ZONE, region=region, headroom=headroom
     )
 
@@ -204,7 +204,9 @@
 @when('{count:d} requests are sent to "{region}"')
 def requests_sent(context, count, region):
     for _ in range(count * SCALE):
-        context.world.steering.regions.sent(region=region, service=SERVICE)
+        context.world.steering.regions.record_sent(
+            region=region, service=SERVICE
+        )
 
 
 def _assert_weight(context, region, weight, priority):
--- a/features/support/heartbeat_entries.py
+++ b/features/support/heartbeat_entries.py
@@ -9,8 +9,8 @@
 from almondstair.core.configuration import StoredConfiguration
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.entry_table import EntryTable
-from almondstair.core.heartbeat_words import ServiceLoad
-from almondstair.core.heartbeat_words import StatusDetail
+from almondstair.core.heartbeat_payloads import ServiceLoad
+from almondstair.core.heartbeat_payloads import StatusDetail
 from almondstair.core.heartbeats import PACKET_OVERHEAD_BYTES
 from almondstair.core.membership import Membership
 from almondstair.heartbeats import Heartbeats
@@ -60,7 +60,9 @@
         )
         self.membership.replace_table(table=table, now_s=clock())
         self.configuration = ConfigurationState()
-        self.configuration.offer(StoredConfiguration(1, "1", "", "", ""))
+        self.configuration.apply_if_newer(
+            StoredConfiguration(1, "1", "", "", "")
+        )
         self.peers = send
         if send is None:
             self.peers = Peers(
@@ -136,7 +138,7 @@
         newer = heartbeat.configuration_version > entry.configuration.version
         if self.pulls and newer:
             sender = self.entries[sender_name]
-            entry.configuration.offer(sender.configuration.in_force)
+            entry.configuration.apply_if_newer(sender.configuration.in_force)
 
 
 class SimulatedPeers:
--- a/features/support/homes_run.py
+++ b/features/support/homes_run.py
@@ -37,7 +37,7 @@
 DRIFT = 0.005
 UPSTREAM_SLOTS = {"u1": 1, "u2": 2, "u3": 3, "u4": 4, "u5": 3}
 QUICK_RAMP = SlowStartLimits(
-    idle_limit_s=1e9, least_ramp_s=0.1, good_ratio=1e9, slow_ratio=1e9
+    idle_limit_s=1e9, min_ramp_s=0.1, good_ratio=1e9, slow_ratio=1e9
 )
 NOTHING_KEPT = dict.fromkeys(Priority, 0.0)
 
--- a/features/support/steering_world.py
+++ b/features/support/steering_world.py
@@ -99,7 +99,7 @@
 
     def report(self, free_slots: dict[str, float]) -> None:
         for region, free in free_slots.items():
-            self.steering.regions.observe(
+            self.steering.regions.record_load_report(
                 region=region,
                 service=SERVICE,
                 source=f"entry-{region}",
