--- a/features/steps/gateway_core_steps.py
+++ b/features/steps/gateway_core_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the decisions of the gateway, without sockets."""
+"""Steps for the routing decisions of the gateway, without sockets."""
 
 import time
 
@@ -54,8 +54,8 @@
     return UpstreamState(record=record, region=region, peer_loads=PeerLoads())
 
 
-def _hold(upstreams, count):
-    """Has other entries tell of requests at upstreams."""
+def _report_peer_loads(upstreams, count):
+    """Makes other entries report requests at upstreams."""
     for upstream in upstreams:
         upstream._peer_loads.update({upstream.name_hash: count}, own={})
 
@@ -63,21 +63,21 @@
 @when("{count:d} requests are dealt out over parts of 70, 20 and 10")
 def step_deal(context, count):
     route = _route("/a/", (("x", 70), ("y", 20), ("z", 10)))
-    turns = WeightedRoundRobin()
+    round_robin = WeightedRoundRobin()
     context.dealt = {"x": 0, "y": 0, "z": 0}
     context.count = count
     for _ in range(count):
-        context.dealt[turns.next_service(route=route)] += 1
+        context.dealt[round_robin.next_service(route=route)] += 1
 
 
 @then("each part is within 1 request of its weight")
 def step_dealt(context):
     for name, weight in (("x", 70), ("y", 20), ("z", 10)):
-        wanted = context.count * weight / 100
-        assert abs(context.dealt[name] - wanted) <= 1, context.dealt
+        expected = context.count * weight / 100
+        assert abs(context.dealt[name] - expected) <= 1, context.dealt
 
 
-def _match_s(count):
+def _measure_match_s(count):
     routes = [_route(f"/p{number}/") for number in range(count)]
     table = RoutingTable(configuration=_configuration(1, routes))
     best_s = 1.0
@@ -94,7 +94,7 @@
     "among {few:d}"
 )
 def step_flat(context, many, factor, few):
-    assert _match_s(many) < factor * _match_s(few)
+    assert _measure_match_s(many) < factor * _measure_match_s(few)
 
 
 @given('the routes "{first}", "{second}" and "{third}"')
@@ -117,10 +117,10 @@
     for number in range(count):
         context.upstreams.append(_upstream(f"u{number}", f"r{number % 3}"))
     context.keys = [str(number) for number in range(keys)]
-    context.first = _firsts(context)
+    context.first = _first_upstreams(context)
 
 
-def _firsts(context):
+def _first_upstreams(context):
     demand = {"r0": 1, "r1": 1, "r2": 1}
     orders = placement.PlacementOrders(own_region="r0", demand=demand)
     firsts = {}
@@ -138,12 +138,12 @@
 @then("every key that had another first upstream keeps it")
 def step_keep(context):
     moved = 0
-    for key, first in _firsts(context).items():
+    for key, first in _first_upstreams(context).items():
         if context.first[key] == context.gone:
             moved += 1
             continue
         assert first == context.first[key], key
-    assert moved, "the upstream had no key"
+    assert moved, "the removed upstream was first for no key"
 
 
 @given("regions with 50, 40 and 10 slots and even callers")
@@ -152,7 +152,7 @@
     context.demand = {"big": 1.0, "middle": 1.0, "small": 1.0}
 
 
-def _kept(context, region):
+def _kept_share(context, region):
     return placement.compute_region_shares(
         own_region=region, capacity=context.capacity, demand=context.demand
     )[region]
@@ -160,12 +160,14 @@
 
 @then("the small region keeps between {low:g} and {high:g} of its keys")
 def step_small(context, low, high):
-    assert low <= _kept(context, "small") <= high, _kept(context, "small")
+    assert low <= _kept_share(context, "small") <= high, _kept_share(
+        context, "small"
+    )
 
 
 @then("the region with 50 slots keeps all of its keys")
 def step_big(context):
-    assert _kept(context, "big") == 1.0
+    assert _kept_share(context, "big") == 1.0
 
 
 @then(
@@ -173,7 +175,7 @@
     "bound of {slack:d}"
 )
 def step_tries(context, entries, requests, slack):
-    taken = 0
+    retries = 0
     for _ in range(entries):
         budget = SharedRetryBudget(ratio=0.2, slack=slack, window_s=10.0)
         for _ in range(requests):
@@ -181,8 +183,8 @@
         while budget.try_acquire(
             service="s", entries=entries, joined=True, now_s=2.0
         ):
-            taken += 1
-    assert 0 < taken <= 0.2 * requests * entries + slack, taken
+            retries += 1
+    assert 0 < retries <= 0.2 * requests * entries + slack, retries
 
 
 @then("{entries:d} entries send at most {most:d} a second to a cold upstream")
@@ -202,19 +204,19 @@
 @when("versions 5, 3 and 8 arrive in this order")
 def step_versions(context):
     fleet = Fleet(own_name="e", own_region="r", zones={"z": "r"})
-    context.taken = []
+    context.applied = []
     for version in (5, 3, 8):
         if fleet.apply_configuration(_configuration(version, [])):
-            context.taken.append(version)
+            context.applied.append(version)
 
 
 @then("versions 5 and 8 were put in force, and 3 was not")
 def step_taken(context):
-    assert context.taken == [5, 8], context.taken
+    assert context.applied == [5, 8], context.applied
 
 
-def _choose(upstreams, *, use=0.0, known=(), now_s=100.0):
-    wanted = SelectionCriteria(
+def _select(upstreams, *, use=0.0, known=(), now_s=100.0):
+    criteria = SelectionCriteria(
         route=_route("/a/"),
         service=None,
         tried=(),
@@ -233,7 +235,7 @@
     )
     cold = ColdStartLimiter(own_name="e", rate_factor=1.5, slack=5)
     found = select_upstream(
-        order=upstreams, criteria=wanted, cold_start_limiter=cold
+        order=upstreams, criteria=criteria, cold_start_limiter=cold
     )
     return found.upstream.record.upstream_id if found else None
 
@@ -241,21 +243,22 @@
 @given("a service whose upstreams have 90 of 100 slots in use")
 def step_crowd(context):
     context.upstreams = [_upstream(f"u{number}") for number in range(4)]
-    # Home and the place that knows the object have a queue; others are free.
-    _hold(context.upstreams[:2], 4)
+    # The home and the upstream with the cached object have a queue; the
+    # others are free.
+    _report_peer_loads(context.upstreams[:2], 4)
 
 
 @then("a new object is sent to its home only")
 def step_home(context):
-    assert _choose(context.upstreams, use=0.9) == "u0"
-    assert _choose(context.upstreams, use=0.1) in ("u0", "u2")
-    _hold(context.upstreams[:1], 40)
-    assert _choose(context.upstreams, use=0.9) is None
+    assert _select(context.upstreams, use=0.9) == "u0"
+    assert _select(context.upstreams, use=0.1) in ("u0", "u2")
+    _report_peer_loads(context.upstreams[:1], 40)
+    assert _select(context.upstreams, use=0.9) is None
 
 
 @then("a known object is sent where it is known")
 def step_known(context):
-    assert _choose(context.upstreams, use=0.9, known=("u1",)) == "u1"
+    assert _select(context.upstreams, use=0.9, known=("u1",)) == "u1"
 
 
 @given("a service with 2 upstreams of 3 slots each")
@@ -345,8 +348,8 @@
 def step_has_gone(context):
     for _ in range(30):
         context.shares.record_sent("other", now_s=context.now_s)
-    barred = context.shares.limits(now_s=context.now_s).excluded
-    assert barred == {"other"}, barred
+    excluded = context.shares.limits(now_s=context.now_s).excluded
+    assert excluded == {"other"}, excluded
     context.shares.record_disruption(now_s=context.now_s)
 
 
@@ -370,7 +373,7 @@
 @then("requests go to the second one")
 def step_second(context):
     known = ("u0", "u1")
-    found = _choose(context.upstreams, known=known, now_s=context.now_s)
+    found = _select(context.upstreams, known=known, now_s=context.now_s)
     assert found == "u1", found
 
 
@@ -382,5 +385,5 @@
 @then("requests go to the first one again")
 def step_first(context):
     known = ("u0", "u1")
-    found = _choose(context.upstreams, known=known, now_s=context.now_s)
+    found = _select(context.upstreams, known=known, now_s=context.now_s)
     assert found == "u0", found
--- a/features/steps/gateway_crashing_steps.py
+++ b/features/steps/gateway_crashing_steps.py
@@ -15,8 +15,8 @@
 from features.support.gateway_world import ZONES
 from features.support.gateway_world import GatewayWorld
 
-LOOK_UP = "/safe/popular"
-# Long enough for the kill to come while the look-up runs everywhere.
+LOOKUP_PATH = "/safe/popular"
+# Long enough that the kill comes while every upstream runs the lookup.
 WORK_S = 0.3
 SETTLE_S = 1.0
 
@@ -51,12 +51,14 @@
     )
 
 
-def _send_side_by_side(context, *, count, width, method="GET", path=LOOK_UP):
+def _send_concurrently(
+    context, *, count, width, method="GET", path=LOOKUP_PATH
+):
     with futures.ThreadPoolExecutor(width) as pool:
-        waiting = []
+        pending = []
         for number in range(count):
-            waiting.append(pool.submit(_send, context, method, path, number))
-        return [future.result() for future in waiting]
+            pending.append(pool.submit(_send, context, method, path, number))
+        return [future.result() for future in pending]
 
 
 @given("resends come {width:d} at a time, {pause_s:g} s apart")
@@ -86,14 +88,14 @@
 def step_refusals(context):
     refused = 0
     for answer in context.answers:
-        told = answer.json()
-        if told["kind"] != "quarantined":
+        body = answer.json()
+        if body["kind"] != "quarantined":
             continue
         refused += 1
         assert answer.status == 503, answer
-        assert told["ran"] == "no", told
+        assert body["ran"] == "no", body
         assert float(answer.headers["Retry-After"]) > 0, answer
-    assert refused, "none was refused as quarantined"
+    assert refused, "no request was refused as quarantined"
 
 
 @then('"{path}" is answered 200 through every gateway within {limit_s:g} s')
@@ -113,20 +115,22 @@
     for name in world.upstreams:
         world.upstream_faults(name, slower=WORK_S / 0.02)
     with futures.ThreadPoolExecutor(36) as pool:
-        waiting = []
+        pending = []
         for number in range(36):
-            waiting.append(pool.submit(_send, context, "GET", LOOK_UP, number))
+            pending.append(
+                pool.submit(_send, context, "GET", LOOKUP_PATH, number)
+            )
         time.sleep(WORK_S / 2)
         running = []
         for name in world.upstreams:
             for run in world.runs(name):
-                if run["path"] == LOOK_UP and not run["ended"]:
+                if run["path"] == LOOKUP_PATH and not run["ended"]:
                     running.append(name)
         victims = sorted(set(running))[:count]
         assert len(victims) == count, running
         for name in victims:
             context.processes.children[name].kill()
-        for future in waiting:
+        for future in pending:
             future.result()
     for name in world.upstreams:
         if context.processes.children[name].is_running():
@@ -135,7 +139,7 @@
 
 @then("that look-up is answered through every gateway within {limit_s:g} s")
 def step_look_up_answered(context, limit_s):
-    step_answered(context, LOOK_UP, limit_s)
+    step_answered(context, LOOKUP_PATH, limit_s)
 
 
 @then(
@@ -143,7 +147,7 @@
     "not answered"
 )
 def step_not_answered(context, count, width, most):
-    answers = _send_side_by_side(context, count=count, width=width)
+    answers = _send_concurrently(context, count=count, width=width)
     failed = [answer.body for answer in answers if answer.status != 200]
     assert len(failed) <= most, failed
 
@@ -156,7 +160,7 @@
 
 @when("the same look-up is sent {count:d} times, {width:d} at a time")
 def step_same(context, count, width):
-    context.answers = _send_side_by_side(context, count=count, width=width)
+    context.answers = _send_concurrently(context, count=count, width=width)
 
 
 @then("at most {most:d} of them are refused as quarantined")
@@ -215,9 +219,9 @@
         suspects.record_lost(strike, ran_s=short_ms / 1000, now_s=now_s)
     for number in range(count):
         suspects.record_ended(number, now_s=100.05)
-    context.standing = suspects.verdict(7, now_s=100.1)
+    context.verdict = suspects.verdict(7, now_s=100.1)
 
 
 @then("that look-up is suspect, and not refused")
 def step_suspect(context):
-    assert context.standing is CrashVerdict.SUSPECT, context.standing
+    assert context.verdict is CrashVerdict.SUSPECT, context.verdict
--- a/features/steps/gateway_fleet_steps.py
+++ b/features/steps/gateway_fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the gateway's picture of the fleet, and for its stops."""
+"""Steps for the gateway's view of the fleet and for its shutdown."""
 
 import json
 import signal
@@ -17,7 +17,7 @@
 
 
 class _Traffic:
-    """Sends requests one after the other until it is stopped."""
+    """Sends requests one after another until it is stopped."""
 
     def __init__(self, world, *, path="/safe/x"):
         self.statuses = []
@@ -159,7 +159,7 @@
     context.world.configure()
 
 
-# The store in trouble.
+# Store failures.
 
 
 @when('the store is "{mode}" for {span_s:g} s')
@@ -187,7 +187,7 @@
         context.processes.children[name].freeze()
     world.operate(remove=keys)
     world.store_faults(mode="up")
-    # Both are away from the store for a moment, not from their callers.
+    # Both upstreams lose the store for a moment, but not their callers.
     for name in ("u1", "u2"):
         context.processes.children[name].thaw()
     time.sleep(1.5)
@@ -196,13 +196,19 @@
 
 @then("the gateway's log tells that the store was lost and is back")
 def step_log_store(context):
-    """A call that began in silence ends 1 s later, the next one up to 0.9 s."""
+    """Checks the log for both events; the return may take up to 1.9 s.
+
+    A call that starts while the store is silent ends 1 s later, and the next
+    one up to 0.9 s after that.
+    """
     assert context.world.log_events("g1", 421)
 
     def is_back():
         return context.world.log_events("g1", 422)
 
-    harness.wait_until(is_back, limit_s=3.0, what="the line that it is back")
+    harness.wait_until(
+        is_back, limit_s=3.0, what="the log line on the store's return"
+    )
 
 
 @when('the store is "{mode}" and the second gateway is started anew')
@@ -284,10 +290,10 @@
     harness.wait_until(check, limit_s=limit_s, what="the new route")
 
 
-# Look-ups.
+# Lookups.
 
 
-def _named(world):
+def _lookup_addresses(world):
     answer = harness.get(
         world.gateways["g1"]["lookups"],
         f"/resolve?name={HOST}&region=east&zone=a1",
@@ -298,7 +304,7 @@
 @then("look-ups name {count:d} gateways within {limit_s:g} s")
 def step_named(context, count, limit_s):
     def check():
-        return len(_named(context.world)) == count
+        return len(_lookup_addresses(context.world)) == count
 
     harness.wait_until(check, limit_s=limit_s, what=f"{count} gateways")
 
@@ -327,15 +333,15 @@
     context.named_counts = []
     for _ in range(3):
         world.store_faults(mode=mode)
-        _count_named(context, 1.0)
+        _record_named_counts(context, 1.0)
         world.store_faults(mode="up")
-        _count_named(context, 3.0)
+        _record_named_counts(context, 3.0)
 
 
-def _count_named(context, span_s):
+def _record_named_counts(context, span_s):
     ends_s = time.monotonic() + span_s
     while time.monotonic() < ends_s:
-        context.named_counts.append(len(_named(context.world)))
+        context.named_counts.append(len(_lookup_addresses(context.world)))
         time.sleep(0.05)
 
 
@@ -352,7 +358,7 @@
     world = context.world
     ends_s = time.monotonic() + span_s
 
-    def flood(gateway):
+    def send_repeatedly(gateway):
         number = 0
         while time.monotonic() < ends_s:
             number += 1
@@ -361,7 +367,7 @@
     threads = []
     for gateway in ("g1", "g2"):
         for _ in range(4):
-            thread = threading.Thread(target=flood, args=(gateway,))
+            thread = threading.Thread(target=send_repeatedly, args=(gateway,))
             thread.start()
             threads.append(thread)
     for thread in threads:
@@ -384,7 +390,7 @@
     assert context.world.runs("cold")
 
 
-# Stops.
+# Shutdown.
 
 
 def begin_request(context):
@@ -454,6 +460,8 @@
     assert context.outcomes
     for status, request_id in context.outcomes:
         if status == "closed":
-            assert request_id not in runs, "a request that ran was cut"
+            assert request_id not in runs, (
+                "the connection of a request that ran was closed"
+            )
             continue
         assert status in (200, 503), status
--- a/features/steps/gateway_health_steps.py
+++ b/features/steps/gateway_health_steps.py
@@ -1,4 +1,4 @@
-"""Steps for upstreams whose health page, connections or life mislead."""
+"""Steps for upstreams whose health, connections or restarts mislead."""
 
 import asyncio
 from concurrent import futures
@@ -56,7 +56,7 @@
     assert set(context.statuses) == {200}, context.statuses
 
 
-def _first_ran(context):
+def _count_first_runs(context):
     ran = 0
     for run in context.world.runs("u1"):
         ran += run["request"] not in context.before
@@ -65,12 +65,12 @@
 
 @then("the first upstream ran at least {least:d} of them")
 def step_ran_least(context, least):
-    assert _first_ran(context) >= least, _first_ran(context)
+    assert _count_first_runs(context) >= least, _count_first_runs(context)
 
 
 @then("the first upstream ran at most {most:d} of them")
 def step_ran_most(context, most):
-    ran = _first_ran(context)
+    ran = _count_first_runs(context)
     assert ran <= most, (ran, context.statuses)
 
 
@@ -80,10 +80,10 @@
     time.sleep(span_s)
 
 
-# Down and up.
+# Repeated restarts.
 
 
-def _flap(context, times):
+def _restart_repeatedly(context, times):
     world = context.world
     address = world.upstreams["u1"]
     for _ in range(times):
@@ -99,7 +99,7 @@
 )
 def step_flap(context, rate, span_s, times):
     traffic = SteadyTraffic(context.world)
-    thread = threading.Thread(target=_flap, args=(context, times))
+    thread = threading.Thread(target=_restart_repeatedly, args=(context, times))
     thread.start()
     traffic.send_for(span_s, rate)
     thread.join()
@@ -110,11 +110,11 @@
 @then("second tries stayed within the operators' bound")
 def step_bound(context):
     sent = len(context.statuses)
-    tries = 0
+    retries = 0
     for line in context.world.log_events("g1", 411):
-        tries += line["verdict"] in ("not_run", "unknown")
+        retries += line["verdict"] in ("not_run", "unknown")
     allowed = BOUNDS["retryBudgetRatio"] * sent + BOUNDS["retryBudgetSlack"]
-    assert tries <= allowed, (tries, allowed)
+    assert retries <= allowed, (retries, allowed)
 
 
 # Idle connections.
@@ -186,7 +186,8 @@
     listener.listen(0)
     address = listener.getsockname()
     context.sockets = [listener]
-    # The kernel takes some until its queue is full; later ones get no answer.
+    # The kernel accepts connections until its queue is full; later ones get
+    # no answer.
     while True:
         filler = socket.socket()
         filler.settimeout(0.3)
@@ -234,10 +235,10 @@
     "{limit_s:g} s"
 )
 def step_quick_later(context, later_s, limit_s):
-    for held in context.sockets:
-        held.close()
+    for open_socket in context.sockets:
+        open_socket.close()
     slow = [began_s for began_s, took_s in context.times if took_s >= limit_s]
-    assert slow, "no request went to the address that takes no connections"
+    assert slow, "no request went to the address that accepts no connections"
     late = [began_s - min(slow) for began_s in slow]
     assert max(late) <= later_s, late
 
@@ -271,10 +272,10 @@
             context.paused.append(context.upstream.is_paused())
             await asyncio.sleep(0.005)
 
-    _with_short_pauses(find)
+    _run_with_short_pauses(find)
 
 
-def _with_short_pauses(work):
+def _run_with_short_pauses(work):
     with (
         mock.patch.object(upstream_connector, "FIRST_PROBE_PAUSE_S", 0.01),
         mock.patch.object(upstream_connector, "LOSS_WATCH_S", 0.01),
@@ -286,7 +287,7 @@
 def step_kept(context):
     paused = context.paused
     assert paused[0] and not paused[-1], paused
-    # Once it gets work it goes on getting it.
+    # Once it is eligible again it stays eligible.
     assert paused == sorted(paused, reverse=True), paused
     assert context.pool.release.called
 
@@ -307,7 +308,7 @@
         context.connector.probe_after_loss(upstream)
         await asyncio.sleep(0.1)
 
-    _with_short_pauses(find)
+    _run_with_short_pauses(find)
 
 
 @then("a look reaches it again")
--- a/features/steps/gateway_regions_steps.py
+++ b/features/steps/gateway_regions_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests, regions, and the return of everything."""
+"""Steps for traffic between regions and recovery after a full restart."""
 
 import collections
 from concurrent import futures
@@ -21,10 +21,10 @@
 _OTHER_ZONE = "b1"
 _WINDOW_S = 2.0
 _JOIN_S = 1.5
-_TRY_FAILED = 411
+_ATTEMPT_FAILED = 411
 
 
-def _world(context, *, own, other, **plan):
+def _start_world(context, *, own, other, **plan):
     world = GatewayWorld(processes=context.processes)
     context.world = world
     context.regions = {}
@@ -40,7 +40,7 @@
 
 @given("a gateway with an upstream in its own region and one in another")
 def step_two_regions(context):
-    _world(context, own=1, other=1)
+    _start_world(context, own=1, other=1)
 
 
 @given(
@@ -48,10 +48,10 @@
     "another"
 )
 def step_more_upstreams(context, own, other):
-    _world(context, own=own, other=other, slots=12, queue=36, work_s=0.2)
+    _start_world(context, own=own, other=other, slots=12, queue=36, work_s=0.2)
 
 
-# Kept routes.
+# Routes that are restricted to a region.
 
 
 @when(
@@ -97,23 +97,23 @@
     assert set(context.statuses) <= {200, 502, 503, 504}, context.statuses
 
 
-# Look-ups.
+# Lookups.
 
 
 @given("two gateways in one region and one in another")
 def step_three_gateways(context):
-    _world(context, own=1, other=0)
+    _start_world(context, own=1, other=0)
     context.world.start_gateway("g2", "a2")
     context.world.start_gateway("g3", _OTHER_ZONE)
 
 
-def _named(world, zone, region):
+def _lookup_addresses(world, zone, region):
     path = f"/resolve?name={HOST}&region={region}&zone={zone}"
-    told = json.loads(harness.get(world.gateways["g1"]["lookups"], path).body)
-    return set(told["addresses"])
+    body = json.loads(harness.get(world.gateways["g1"]["lookups"], path).body)
+    return set(body["addresses"])
 
 
-def _callers(world, *names):
+def _caller_addresses(world, *names):
     return {world.gateways[name]["callers"] for name in names}
 
 
@@ -122,11 +122,17 @@
     world = context.world
 
     def check():
-        here = _named(world, _OWN_ZONE, "east") == _callers(world, "g1", "g2")
-        there = _named(world, _OTHER_ZONE, "west") == _callers(world, "g3")
+        here = _lookup_addresses(world, _OWN_ZONE, "east") == _caller_addresses(
+            world, "g1", "g2"
+        )
+        there = _lookup_addresses(
+            world, _OTHER_ZONE, "west"
+        ) == _caller_addresses(world, "g3")
         return here and there
 
-    harness.wait_until(check, limit_s=4.0, what="each region's own")
+    harness.wait_until(
+        check, limit_s=4.0, what="lookups to name each region's own gateways"
+    )
 
 
 @when("the gateway of the other region is killed")
@@ -139,10 +145,10 @@
     world = context.world
 
     def check():
-        named = _named(world, _OTHER_ZONE, "west")
-        return named == _callers(world, "g1", "g2")
+        named = _lookup_addresses(world, _OTHER_ZONE, "west")
+        return named == _caller_addresses(world, "g1", "g2")
 
-    harness.wait_until(check, limit_s=limit_s, what="the two that are left")
+    harness.wait_until(check, limit_s=limit_s, what="the other two gateways")
 
 
 # Bursts.
@@ -184,7 +190,7 @@
     context.statuses = first.statuses + kept.statuses
 
 
-def _other_shares(context):
+def _other_region_shares(context):
     """Returns the share that ran in the other region, by window."""
     counts = {}
     for name, zone in context.regions.items():
@@ -197,8 +203,8 @@
             counts[window] = (here + 1, there)
     shares = []
     for window in range(int(context.span_s / _WINDOW_S)):
-        # On a machine that stands still for 2 s a window may be empty: it has
-        # no share, and the next one is compared with the one before.
+        # A stall of 2 s can leave a window empty: it has no share, and the
+        # next window is compared with the one before.
         here, there = counts.get(window, (0, 0))
         if here + there:
             shares.append(there / (here + there))
@@ -214,15 +220,18 @@
     for name in context.regions:
         first += [run["at_s"] for run in context.world.runs(name)]
     context.first_run_s = min(first)
-    shares = _other_shares(context)
+    shares = _other_region_shares(context)
     for before, after in itertools.pairwise(shares):
-        assert abs(after - before) <= most, (shares, _tries(context))
+        assert abs(after - before) <= most, (
+            shares,
+            _count_failed_attempts(context),
+        )
 
 
-def _tries(context):
-    """Returns why tries failed, by how often: a failed one frees the moves."""
+def _count_failed_attempts(context):
+    """Returns failed attempts by cause; each lifts the limit on moves."""
     causes = {}
-    for line in context.world.log_events("g1", _TRY_FAILED):
+    for line in context.world.log_events("g1", _ATTEMPT_FAILED):
         causes[line["cause"]] = causes.get(line["cause"], 0) + 1
     return causes
 
@@ -231,10 +240,13 @@
 def step_served_share(context, least):
     served = context.statuses.count(200)
     ends = collections.Counter(context.statuses)
-    assert served >= least * len(context.statuses), (ends, _tries(context))
+    assert served >= least * len(context.statuses), (
+        ends,
+        _count_failed_attempts(context),
+    )
 
 
-# Return.
+# Recovery.
 
 
 @when(
--- a/features/steps/gateway_settings_steps.py
+++ b/features/steps/gateway_settings_steps.py
@@ -20,7 +20,7 @@
 _FAR_ZONE = {"c1": "north"}
 
 
-def _signal(context):
+def _send_sighup(context):
     process = context.processes.children["g1"].process
     process.send_signal(signal.SIGHUP)
 
@@ -45,10 +45,10 @@
 
     def check():
         path = f"/resolve?name={HOST}&region=east&zone=a1"
-        told = json.loads(harness.get(address, path).body)
-        return told["ttlS"] == ttl_s
+        body = json.loads(harness.get(address, path).body)
+        return body["ttlS"] == ttl_s
 
-    harness.wait_until(check, limit_s=limit_s, what="the new time")
+    harness.wait_until(check, limit_s=limit_s, what="the new TTL")
 
 
 @when("a route is kept to that zone's region")
@@ -66,7 +66,7 @@
 @when("its settings name that zone and it gets SIGHUP")
 def step_named(context):
     context.world.change_settings(zones=_FAR_ZONE)
-    _signal(context)
+    _send_sighup(context)
 
 
 @when("a second store with a newer configuration takes the first one's place")
@@ -83,7 +83,7 @@
     path = context.world.settings_path("g1")
     text = path.read_text(encoding="utf-8")
     path.write_text(text[: len(text) // 2], encoding="utf-8")
-    _signal(context)
+    _send_sighup(context)
 
 
 @then("its log names the settings file and a remedy")
@@ -105,7 +105,7 @@
 def step_other_address(context):
     begin_request(context)
     context.world.change_settings(addresses={"callers": harness.free_address()})
-    _signal(context)
+    _send_sighup(context)
 
 
 @then('its log says that "{field}" needs a restart')
@@ -119,8 +119,8 @@
 
 # Signals during a start.
 
-# Sends itself a signal at the import of the daemon, as the platform may.
-_STARTS_AND_IS_SIGNALLED = """
+# Signals its own process when the daemon is imported, as the platform may do.
+_SIGNAL_AT_IMPORT_SCRIPT = """
 import os
 import runpy
 import sys
@@ -141,7 +141,7 @@
 @when("{name} comes as the gateway's modules are imported")
 def step_signal_at_import(context, name):
     number = int(signal.Signals[name])
-    script = _STARTS_AND_IS_SIGNALLED.replace("{number}", str(number))
+    script = _SIGNAL_AT_IMPORT_SCRIPT.replace("{number}", str(number))
     context.done = subprocess.run(
         [sys.executable, "-c", script],
         cwd=harness.ROOT,
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the gateway: deployments, requests, answers."""
+"""Steps for the gateway: deployments, requests and responses."""
 
 from concurrent import futures
 import http.client
@@ -15,13 +15,15 @@
 from features.support.gateway_world import GatewayWorld
 
 _RECEIVE_BYTES = 65536
-# Until a crashed upstream has ended, also on a busy machine.
+# Time in which a crashed upstream ends, also on a busy host.
 _CRASH_ENDS_S = 1.5
-# Until each gateway counts the other among those that share a bound.
+# Time until each gateway counts the other as sharing its limits.
 _JOIN_S = 5.0
 
 
-def _start(context, *, upstreams=1, gateways=1, zones=("a1", "a1"), **plan):
+def _start_world(
+    context, *, upstreams=1, gateways=1, zones=("a1", "a1"), **plan
+):
     world = GatewayWorld(processes=context.processes)
     context.world = world
     for number in range(upstreams):
@@ -36,33 +38,35 @@
 @given("a gateway with {count:d} upstream")
 @given("a gateway with {count:d} upstreams")
 def step_gateway(context, count):
-    _start(context, upstreams=count)
+    _start_world(context, upstreams=count)
 
 
 @given("a gateway with {count:d} upstream that works {work_s:g} s")
 def step_gateway_works(context, count, work_s):
-    _start(context, upstreams=count, work_s=work_s)
+    _start_world(context, upstreams=count, work_s=work_s)
 
 
 @given("a gateway with 2 upstreams in different zones")
 def step_gateway_zones(context):
-    _start(context, upstreams=2, zones=("a2", "a1"))
+    _start_world(context, upstreams=2, zones=("a2", "a1"))
 
 
 @given("{gateways:d} gateways with 1 upstream")
 def step_gateways(context, gateways):
-    _start(context, gateways=gateways)
+    _start_world(context, gateways=gateways)
 
 
 @given("2 gateways with 1 upstream that is cold for {cold_s:g} s")
 def step_cold(context, cold_s):
-    _start(context, gateways=2)
+    _start_world(context, gateways=2)
     step_cold_takes_place(context, cold_s)
 
 
 @given("{gateways:d} gateways with {upstreams:d} upstreams")
 def step_gateways_upstreams(context, gateways, upstreams):
-    _start(context, gateways=gateways, upstreams=upstreams, zones=("a1",) * 9)
+    _start_world(
+        context, gateways=gateways, upstreams=upstreams, zones=("a1",) * 9
+    )
 
 
 @given('requests to "{path}" end the upstreams that run them')
@@ -81,7 +85,7 @@
         time.sleep(pause_s)
 
 
-def _ended(context):
+def _ended_upstreams(context):
     ended = set()
     for name in context.world.upstreams:
         if not context.processes.children[name].is_running():
@@ -91,15 +95,15 @@
 
 @then("at most {most:d} upstreams have ended")
 def step_ended(context, most):
-    # A process that was crashed goes on for a moment.
+    # A crashed process keeps running for a moment.
     time.sleep(_CRASH_ENDS_S)
-    ended = _ended(context)
+    ended = _ended_upstreams(context)
     assert len(ended) <= most, ended
 
 
 @given("2 gateways with 1 upstream that know each other")
 def step_joined(context):
-    _start(context, gateways=2)
+    _start_world(context, gateways=2)
     time.sleep(_JOIN_S)
 
 
@@ -175,7 +179,7 @@
         context.answers = [future.result() for future in waiting]
 
 
-def _head(context, path, **more):
+def _encode_request(context, path, **more):
     headers = context.world.headers(**more)
     lines = [f"GET {path} HTTP/1.1"]
     for name, value in headers.items():
@@ -184,7 +188,7 @@
     return headers["X-Almondstair-Request-Id"], text.encode()
 
 
-def _open(context):
+def _open_connection(context):
     ip, port = context.world.gateways["g1"]["callers"].split(":")
     return socket.create_connection((ip, int(port)), timeout=10)
 
@@ -194,11 +198,11 @@
     context.ids = []
     data = b""
     for number in range(count):
-        request_id, head = _head(context, f"{path}{number}")
+        request_id, head = _encode_request(context, f"{path}{number}")
         context.ids.append(request_id)
         data += head
     began_s = time.monotonic()
-    with _open(context) as connection:
+    with _open_connection(context) as connection:
         connection.sendall(data)
         received = b""
         while received.count(b"HTTP/1.1 200") < count or not received.endswith(
@@ -230,8 +234,8 @@
 @when("a body of {size:d} bytes is sent in chunks")
 def step_body_chunks(context, size):
     body = _body(size)
-    pieces = iter([body[: size // 3], body[size // 3 :]])
-    _send_body(context, size, pieces)
+    chunks = iter([body[: size // 3], body[size // 3 :]])
+    _send_body(context, size, chunks)
 
 
 def _send_body(context, size, body):
@@ -254,18 +258,18 @@
 @when('the bytes of a request with "{header}" are sent')
 def step_raw(context, header):
     text = header.replace("\\r\\n", "\r\n")
-    request_id, _ = _head(context, "/unsafe/x")
+    request_id, _ = _encode_request(context, "/unsafe/x")
     context.raw_id = request_id
     data = (
         f"POST /unsafe/x HTTP/1.1\r\nHost: {HOST}\r\n"
         f"X-Almondstair-Request-Id: {request_id}\r\n{text}\r\n\r\n"
         "0\r\n\r\nGET /safe/smuggled HTTP/1.1\r\nHost: x\r\n\r\n"
     )
-    with _open(context) as connection:
+    with _open_connection(context) as connection:
         connection.sendall(data.encode())
         received = b""
-        while piece := connection.recv(_RECEIVE_BYTES):
-            received += piece
+        while chunk := connection.recv(_RECEIVE_BYTES):
+            received += chunk
     context.received = received
 
 
@@ -277,8 +281,8 @@
 
 @when("half of a head is sent")
 def step_half_head(context):
-    _, head = _head(context, "/safe/x")
-    context.connection = _open(context)
+    _, head = _encode_request(context, "/safe/x")
+    context.connection = _open_connection(context)
     context.add_cleanup(context.connection.close)
     context.connection.sendall(head[:40])
 
@@ -296,7 +300,7 @@
         assert "smuggled" not in run["path"], run
 
 
-# Answers.
+# Responses.
 
 
 @then("each answer is the whole one of its own request")
@@ -338,7 +342,7 @@
         refused += 1
         assert float(answer.headers["Retry-After"]) > 0, answer
         assert took_s < limit_s + 0.5, took_s
-    assert refused, "none was refused"
+    assert refused, "no request was refused"
 
 
 @then("no refused request ran")
@@ -376,10 +380,10 @@
     data = b""
     context.ids = []
     for path in paths:
-        request_id, head = _head(context, path)
+        request_id, head = _encode_request(context, path)
         context.ids.append(request_id)
         data += head
-    with _open(context) as connection:
+    with _open_connection(context) as connection:
         connection.sendall(data)
         time.sleep(after_s)
     context.left_at_s = time.monotonic()
@@ -415,11 +419,11 @@
         assert least_s <= took_s < most_s, took_s
 
 
-# Open connections that go on during a stop.
+# Connections that stay open during a shutdown.
 
 
 def keep_sending(context, connection, until_s):
-    """Sends on one connection until it closes; returns what became of it."""
+    """Sends requests until the connection closes; returns their outcomes."""
     outcomes = []
     while time.monotonic() < until_s:
         try:
--- a/features/steps/gateway_turned_away_steps.py
+++ b/features/steps/gateway_turned_away_steps.py
@@ -1,4 +1,4 @@
-"""Steps for gateways that the store turns away while it serves others."""
+"""Steps for gateways that the store rejects while it serves others."""
 
 import asyncio
 from pathlib import Path
@@ -38,29 +38,29 @@
     )
 
 
-async def _status(address, path):
+async def _request_status(address, path):
     ip, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(ip, int(port))
-    ask = Ask(
+    request = Ask(
         request=f"{time.monotonic_ns():x}", path=path, key="1", deadline_ms=2000
     )
-    writer.write(write_ask(ask))
-    reply = await read_reply(reader)
+    writer.write(write_ask(request))
+    response = await read_reply(reader)
     writer.close()
-    return reply.status
+    return response.status
 
 
-async def _known_after_s(world, name, prefix, began_s):
-    """Returns how long after its writing a route is known to a gateway."""
+async def _measure_route_delay_s(world, name, prefix, began_s):
+    """Returns the seconds until a gateway knows a newly written route."""
     while time.monotonic() < began_s + _LIMIT_S:
-        status = await _status(world.callers[name], f"{prefix}x")
+        status = await _request_status(world.callers[name], f"{prefix}x")
         if status != _NOT_FOUND:
             return time.monotonic() - began_s
         await asyncio.sleep(_POLL_S)
     return _LIMIT_S
 
 
-async def _play(deployment, directory, harm, count, pause_s):
+async def _run_deployment(deployment, directory, harm, count, pause_s):
     world = World(deployment=deployment, directory=directory)
     delays_s = {}
     try:
@@ -80,7 +80,7 @@
             began_s = time.monotonic()
             found = await asyncio.gather(
                 *(
-                    _known_after_s(world, name, prefix, began_s)
+                    _measure_route_delay_s(world, name, prefix, began_s)
                     for name in world.gateways
                 )
             )
@@ -101,7 +101,7 @@
 def step_configurations(context, harm, count, pause_s):
     directory = Path(control.directory(context))
     context.delays_s = asyncio.run(
-        _play(context.deployment, directory, harm, count, pause_s)
+        _run_deployment(context.deployment, directory, harm, count, pause_s)
     )
 
 
