--- a/features/steps/gateway_change_lines_steps.py
+++ b/features/steps/gateway_change_lines_steps.py
@@ -1,4 +1,4 @@
-"""Steps of gateway_change_lines.feature."""
+"""Steps for the log lines that a gateway writes on changes of the store."""
 
 import json
 from unittest import mock
@@ -38,7 +38,7 @@
     return Item(key, documents.encode_entry(record), 900 + number)
 
 
-def _take(context, items, *, listing):
+def _apply_items(context, items, *, listing):
     context.revision += 1000
     batch = Batch(items, listing, context.revision, 0.0, from_store=True)
     with mock.patch.object(log, "event") as event:
@@ -66,7 +66,7 @@
 
 @when("it takes the first listing")
 def step_first(context):
-    _take(context, context.items, listing=True)
+    _apply_items(context, context.items, listing=True)
 
 
 @when("{count:d} upstreams drain")
@@ -76,7 +76,7 @@
     for number in range(count):
         item = _upstream(number, "draining")
         items.append(item._replace(revision=context.revision + number + 1))
-    _take(context, items, listing=False)
+    _apply_items(context, items, listing=False)
 
 
 @then("it has written {most:d} lines at most")
@@ -86,8 +86,8 @@
 
 @then("it has written a line for each of them")
 def step_each(context):
-    told = {call.kwargs["upstream"] for call in context.lines}
-    assert len(told) == len(context.lines) == context.count, told
+    reported = {call.kwargs["upstream"] for call in context.lines}
+    assert len(reported) == len(context.lines) == context.count, reported
 
 
 @then("one of them counts {changes:d} changes, by service and zone")
--- a/features/steps/gateway_explaining_steps.py
+++ b/features/steps/gateway_explaining_steps.py
@@ -1,4 +1,4 @@
-"""Steps for logs, the story of a request, and the status of gateways."""
+"""Steps for logs, request explanations and the status of gateways."""
 
 import json
 import os
@@ -51,22 +51,22 @@
 @then('"why" tells of that request "{words}"')
 def step_why_that(context, words):
     log = str(context.log)
-    told = operator_tool.run("gateway", "why", context.request, log)
-    assert f"request {context.request}" in told, told
-    assert words in told, told
+    output = operator_tool.run("gateway", "why", context.request, log)
+    assert f"request {context.request}" in output, output
+    assert words in output, output
 
 
 @then(
     "\"gateway status\" shows the first one's picture and the second's silence"
 )
 def step_status(context):
-    # Both gateways share the operators' port on one address; the second is
-    # gone and the first keeps the port.
+    # Both gateways share the operators' port on one address; the second has
+    # ended and the first keeps the port.
     port = context.world.operator_address("g1")
     silent = harness.free_address()
-    shown = operator_tool.run("gateway", "status", port, silent)
-    assert "does not answer" in shown, shown
-    assert "g1" in shown and "ready" in shown, shown
+    output = operator_tool.run("gateway", "status", port, silent)
+    assert "does not answer" in output, output
+    assert "g1" in output and "ready" in output, output
 
 
 @given("a gateway whose log goes to a pipe that nobody reads")
@@ -102,13 +102,13 @@
 
 @when("the pipe is read again")
 def step_read(context):
-    pieces = []
-    context.pieces = pieces
+    chunks = []
+    context.chunks = chunks
     pipe = context.pipe
 
     def read():
-        while piece := os.read(pipe, 65536):
-            pieces.append(piece)
+        while chunk := os.read(pipe, 65536):
+            chunks.append(chunk)
 
     threading.Thread(target=read, daemon=True).start()
 
@@ -116,15 +116,15 @@
 @then("the log tells how many lines were left out")
 def step_left_out(context):
     def check():
-        return b'"lines_left_out"' in b"".join(context.pieces)
+        return b'"lines_left_out"' in b"".join(context.chunks)
 
-    harness.wait_until(check, limit_s=10, what="a line about lines left out")
+    harness.wait_until(check, limit_s=10, what="a log line on dropped lines")
 
 
-# Answers that wait for others.
+# Responses that wait for earlier ones on their connection.
 
 
-def _pipelined(context, path, key):
+def _encode_request(context, path, key):
     headers = context.world.headers(X_Almondstair_Affinity_Key=key)
     lines = [f"GET {path} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
@@ -139,8 +139,8 @@
 def step_together(context, leaves):
     known = {"X_Almondstair_Affinity_Key": "known"}
     context.world.send("GET", "/safe/known", headers=known)
-    _, new = _pipelined(context, "/safe/new", "new")
-    context.second_id, quick = _pipelined(context, "/safe/known", "known")
+    _, new = _encode_request(context, "/safe/new", "new")
+    context.second_id, quick = _encode_request(context, "/safe/known", "known")
     ip, port = context.world.gateways["g1"]["callers"].split(":")
     with socket.create_connection((ip, int(port)), timeout=10) as connection:
         connection.sendall(new + quick)
@@ -157,8 +157,10 @@
     log = str(context.processes.children["g1"].log)
 
     def check():
-        story = operator_tool.run("gateway", "why", context.second_id, log)
-        return words in story
+        explanation = operator_tool.run(
+            "gateway", "why", context.second_id, log
+        )
+        return words in explanation
 
     harness.wait_until(check, what=words)
 
@@ -187,10 +189,12 @@
                 return line["request"]
         return ""
 
-    request = harness.wait_until(check, what="a refusal that was held back")
+    request = harness.wait_until(
+        check, what="a refusal with a held-back region"
+    )
     log = str(context.processes.children["g1"].log)
-    told = operator_tool.run("gateway", "why", request, log)
-    assert "held back from west" in told, told
+    output = operator_tool.run("gateway", "why", request, log)
+    assert "held back from west" in output, output
 
 
 # Lost and late requests.
@@ -239,15 +243,15 @@
     _write_log(context, line)
 
 
-def _losses(log):
+def _read_losses(log):
     return json.loads(operator_tool.run("gateway", "losses", log, "--json"))
 
 
 @then('"losses" counts {count:d} request, "{cause}"')
 def step_losses(context, count, cause):
-    told = _losses(str(context.log))
-    assert told["total"]["causes"] == {cause: count}, told
-    assert told["routes"][0]["asked"] == count, told
+    output = _read_losses(str(context.log))
+    assert output["total"]["causes"] == {cause: count}, output
+    assert output["routes"][0]["asked"] == count, output
 
 
 @then('"losses" counts {count:d} late requests of its log')
@@ -255,7 +259,7 @@
     log = str(context.processes.children["g1"].log)
 
     def check():
-        causes = _losses(log)["total"]["causes"]
+        causes = _read_losses(log)["total"]["causes"]
         late = [causes[cause] for cause in causes if cause.startswith("late")]
         return sum(late) == count
 
--- a/features/steps/gateway_following_steps.py
+++ b/features/steps/gateway_following_steps.py
@@ -1,4 +1,4 @@
-"""Steps for an entry that learns from a peer's mirror."""
+"""Steps for an entry that reads the store through a peer's mirror."""
 
 import asyncio
 import contextlib
@@ -25,7 +25,7 @@
 from emulator.ports import free_address
 
 _PEER = "127.0.0.1:1"
-_PIECE = b"piece" * 1000
+_CHUNK = b"piece" * 1000
 
 
 def _put(context, version):
@@ -36,11 +36,11 @@
     )
 
 
-def _ask(context, age_s):
-    """Has the entry do one round with a peer's word of an age."""
+def _poll_peer(context, age_s):
+    """Makes the entry poll once, with a peer whose data has the given age."""
     peer = context.peer
 
-    async def answer(path):
+    async def fetch_page(path):
         query = dict(part.split("=") for part in path.split("?")[1].split("&"))
         return context.mirror.page(
             source=query["source"],
@@ -50,7 +50,7 @@
         )
 
     with (
-        mock.patch.object(peer, "_fetch_page", answer),
+        mock.patch.object(peer, "_fetch_page", fetch_page),
         mock.patch.object(context.follower, "_sources", lambda: [peer]),
     ):
         return asyncio.run(context.follower._poll())
@@ -73,7 +73,7 @@
         seeds=[],
     )
     _put(context, version)
-    assert _ask(context, 0.0)
+    assert _poll_peer(context, 0.0)
     assert context.fleet.ready
     assert context.fleet.table.version == version
 
@@ -85,12 +85,12 @@
 def step_old_word(context, version, age_s):
     _put(context, version)
     context.asked_s = now_s()
-    context.answered = _ask(context, age_s)
+    context.answered = _poll_peer(context, age_s)
 
 
 @when("the peer's word is fresh when it is asked again")
 def step_fresh_word(context):
-    assert _ask(context, 0.0)
+    assert _poll_peer(context, 0.0)
 
 
 @then("configuration {version:d} is in force")
@@ -120,14 +120,14 @@
     page = context.mirror.page(
         source="", after=0, revision=context.revision, age_s=0.0
     )
-    context.told_bytes = len(msgspec.msgpack.encode(page))
-    assert _ask(context, 0.0)
+    context.page_bytes = len(msgspec.msgpack.encode(page))
+    assert _poll_peer(context, 0.0)
 
 
 @then("the peer told it in less than a tenth of its size")
 def step_few_bytes(context):
-    assert context.told_bytes * 10 < context.text_bytes, (
-        context.told_bytes,
+    assert context.page_bytes * 10 < context.text_bytes, (
+        context.page_bytes,
         context.text_bytes,
     )
 
@@ -140,28 +140,28 @@
     context.pause_s = pause_s
 
 
-async def _call_slow(pieces, pause_s, timeout_s):
-    async def answer(reader, writer):
+async def _call_slow_server(pieces, pause_s, timeout_s):
+    async def serve_slowly(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
-        size = pieces * len(_PIECE)
+        size = pieces * len(_CHUNK)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
         with contextlib.suppress(asyncio.CancelledError):
             for _ in range(pieces):
-                writer.write(_PIECE)
+                writer.write(_CHUNK)
                 await asyncio.sleep(pause_s)
         writer.close()
 
     address = free_address()
     ip, _, port = address.rpartition(":")
-    server = await asyncio.start_server(answer, ip, int(port))
-    caller = SimpleHttpClient(address=address)
+    server = await asyncio.start_server(serve_slowly, ip, int(port))
+    client = SimpleHttpClient(address=address)
     began_s = now_s()
     try:
-        _, body = await caller.call(method="GET", path="/", timeout_s=timeout_s)
+        _, body = await client.call(method="GET", path="/", timeout_s=timeout_s)
     except (OSError, TimeoutError):
         body = b""
     took_s = now_s() - began_s
-    caller.close()
+    client.close()
     server.close()
     return body, took_s
 
@@ -169,13 +169,13 @@
 @when("it is called with a time of {timeout_s:g} s")
 def step_call(context, timeout_s):
     context.body, context.took_s = asyncio.run(
-        _call_slow(context.pieces, context.pause_s, timeout_s)
+        _call_slow_server(context.pieces, context.pause_s, timeout_s)
     )
 
 
 @then("the call brings the whole")
 def step_whole(context):
-    assert context.body == _PIECE * context.pieces, len(context.body)
+    assert context.body == _CHUNK * context.pieces, len(context.body)
 
 
 @then("the call is given up in {limit_s:g} s")
@@ -208,7 +208,7 @@
         assert first.link_mbps == most, (names, first)
 
 
-# What is known already.
+# State that the entry has already.
 
 
 @given(
@@ -232,7 +232,7 @@
         json.dumps(record).encode(),
         context.revision,
     )
-    assert _ask(context, 0.0)
+    assert _poll_peer(context, 0.0)
     [context.upstream] = context.fleet.upstreams()
     assert context.upstream.is_cold(now_s=now_s())
     context.upstream.cold_until_s = now_s()
@@ -243,7 +243,7 @@
 )
 def step_another_peer(context, age_s):
     context.peer = PeerSource(address=_PEER)
-    _ask(context, age_s)
+    _poll_peer(context, age_s)
 
 
 @then("the upstream is not cold")
@@ -257,7 +257,7 @@
 )
 def step_missed(context, heard, written):
     context.revision = heard
-    assert _ask(context, 0.0)
+    assert _poll_peer(context, 0.0)
     assert context.follower.revision == heard
     record = dict(context.record, state="draining", coldLeftS=0.0)
     context.mirror.put(
@@ -266,7 +266,7 @@
         written,
     )
     context.peer = PeerSource(address=_PEER)
-    assert _ask(context, 0.0)
+    assert _poll_peer(context, 0.0)
 
 
 @then("the upstream is leaving")
--- a/features/steps/gateway_incarnations_steps.py
+++ b/features/steps/gateway_incarnations_steps.py
@@ -1,4 +1,4 @@
-"""Steps for upstreams that start again, and for registrations of others."""
+"""Steps for restarted upstreams and registrations of other writers."""
 
 import base64
 import contextlib
@@ -62,8 +62,8 @@
     return Item(_PREFIX + name, data, revision)
 
 
-def _take(context, items, *, listing=False):
-    """Has the follower take an answer of the store."""
+def _apply_items(context, items, *, listing=False):
+    """Makes the follower apply a batch of items from the store."""
     context.revision += 10
     batch = Batch(
         items=items,
@@ -96,7 +96,7 @@
         documents.CONFIGURATION_KEY, json.dumps(_CONFIGURATION).encode(), 50
     )
     first = _item(name, _registration(born), 101)
-    _take(context, [configuration, first], listing=True)
+    _apply_items(context, [configuration, first], listing=True)
     [context.upstream] = context.fleet.eligible_upstreams("s")
 
 
@@ -108,22 +108,24 @@
     upstream.record_response(good=False, now_s=now)
     upstream.record_unreachable()
     context.fleet.peer_loads.update({upstream.name_hash: 9}, own={})
-    context.places = CachedLocations()
+    context.locations = CachedLocations()
     context.object = object_hash(service="s", key=key)
-    context.places.record_sent(context.object, upstream.name_hash, now_s=now)
+    context.locations.record_sent(context.object, upstream.name_hash, now_s=now)
     draining = _registration(upstream.record.started_ms, "draining")
-    _take(context, [_item("i-1", draining, 111)])
+    _apply_items(context, [_item("i-1", draining, 111)])
     assert not context.fleet.eligible_upstreams("s")
 
 
 @when('a registration of "{name}" born at {born:d} comes')
 def step_comes(context, name, born):
-    _take(context, [_item(name, _registration(born), context.revision + 1)])
+    _apply_items(
+        context, [_item(name, _registration(born), context.revision + 1)]
+    )
 
 
 @when('a listing has "{name}" born at {born:d}')
 def step_listing(context, name, born):
-    _take(context, [_item(name, _registration(born), 99)], listing=True)
+    _apply_items(context, [_item(name, _registration(born), 99)], listing=True)
 
 
 @when('one answer has "{name}" born at {first:d}, then born at {second:d}')
@@ -131,17 +133,17 @@
     items = []
     for born in (first, second):
         items.append(_item(name, _registration(born), 105 + len(items)))
-    _take(context, items)
+    _apply_items(context, items)
 
 
-def _removed(context, name):
-    _take(context, [Item(_PREFIX + name, None, context.revision + 1)])
+def _remove(context, name):
+    _apply_items(context, [Item(_PREFIX + name, None, context.revision + 1)])
 
 
 @when('"{name}" is removed, and its registration born at {born:d} comes late')
 @when('"{name}" is removed, and its registration born at {born:d} comes')
 def step_removed(context, name, born):
-    _removed(context, name)
+    _remove(context, name)
     step_comes(context, name, born)
 
 
@@ -150,14 +152,14 @@
 )
 def step_drained(context, name, born):
     draining = _registration(2000, "draining")
-    _take(context, [_item(name, draining, context.revision + 1)])
-    _removed(context, name)
+    _apply_items(context, [_item(name, draining, context.revision + 1)])
+    _remove(context, name)
     step_comes(context, name, born)
 
 
 @when("a removal of an older revision than its registration comes")
 def step_old_removal(context):
-    _take(context, [Item(_PREFIX + "i-1", None, 100)])
+    _apply_items(context, [Item(_PREFIX + "i-1", None, 100)])
 
 
 @when('the store is away, and its listing then has "{name}" born at {born:d}')
@@ -184,7 +186,7 @@
     cold = _registration(context.upstream.record.started_ms)
     cold["coldLeftS"] = left_s
     context.cold_item = _item(name, cold, context.revision + 1)
-    _take(context, [context.cold_item])
+    _apply_items(context, [context.cold_item])
 
 
 @when('that is over, and "{name}" says that it is not cold')
@@ -198,7 +200,7 @@
 @when('a listing has "{name}" as it was when it was cold')
 def step_listed_cold(context, name):
     del name
-    _take(context, [context.cold_item], listing=True)
+    _apply_items(context, [context.cold_item], listing=True)
 
 
 @then('"{name}" is cold')
@@ -234,7 +236,7 @@
     assert state.failure_share(now_s=now) == 0
     assert state.slowness(now_s=now) == 1
     assert state.estimated_load(now_s=now, peer_loads_complete=False) == 0
-    known = context.places.upstreams_for(context.object, now_s=now)
+    known = context.locations.upstreams_for(context.object, now_s=now)
     assert known and state.name_hash not in known, known
 
 
@@ -268,11 +270,11 @@
 @when('"{name}" cannot be reached, and takes a connection {later_s:g} s later')
 def step_unreachable(context, name, later_s):
     [state] = context.fleet.eligible_upstreams("s")
-    # Its coldness as a new one is over.
+    # Its cold start after the registration is over.
     context.then_s = now_s() + 100
     assert not state.is_cold(now_s=context.then_s)
     state.record_unreachable()
-    # It gets nothing, cold or not, until it takes a connection.
+    # It gets no work, cold or not, until it accepts a connection.
     assert state.is_paused()
     context.then_s += later_s
     context.fleet.record_reached(state, now_s=context.then_s)
@@ -285,28 +287,28 @@
     assert not state.is_cold(now_s=context.then_s + span_s + 1)
 
 
-# Registrations of another writer.
+# Registrations of other writers.
 
 
 @contextlib.contextmanager
-def _lines():
-    told = []
+def _capture_bad_keys():
+    reported_keys = []
 
-    def note(event, **fields):
+    def record_event(event, **fields):
         if event is log.Event.REGISTRATION_BAD:
-            told.append(fields["key"])
+            reported_keys.append(fields["key"])
 
-    with mock.patch.object(log, "event", note):
-        yield told
+    with mock.patch.object(log, "event", record_event):
+        yield reported_keys
 
 
-def _takes_bad(context, items):
-    """Gives a bad registration for a new id and for the known one, twice."""
+def _apply_bad_items(context, items):
+    """Applies bad registrations of a new id and of the known one, twice."""
     context.bad_keys = {item.key for item in items}
-    with _lines() as told:
-        _take(context, items)
-        _take(context, items)
-    context.told = told
+    with _capture_bad_keys() as reported_keys:
+        _apply_items(context, items)
+        _apply_items(context, items)
+    context.reported_keys = reported_keys
 
 
 @when("the store has a registration whose {field} is {value}")
@@ -317,9 +319,9 @@
     else:
         record[field] = json.loads(value)
     good = _item("i-2", _registration(1), 130)
-    _take(context, [good])
+    _apply_items(context, [good])
     items = [_item("i-1", record, 131), _item("i-9", record, 132)]
-    _takes_bad(context, items)
+    _apply_bad_items(context, items)
 
 
 @when("the store has {what} among the upstreams")
@@ -335,9 +337,9 @@
             json.dumps(_registration(1)).encode(),
         ),
     }
-    _take(context, [_item("i-2", _registration(1), 130)])
+    _apply_items(context, [_item("i-2", _registration(1), 130)])
     name, value = values[what]
-    _takes_bad(context, [_item(name, value, 131)])
+    _apply_bad_items(context, [_item(name, value, 131)])
 
 
 @then("the upstreams are as before, and one line tells of the key")
@@ -346,7 +348,9 @@
     for state in context.fleet.eligible_upstreams("s"):
         found[state.record.upstream_id] = state.record.started_ms
     assert found == {"i-1": 2000, "i-2": 1}, found
-    assert sorted(context.told) == sorted(context.bad_keys), context.told
+    assert sorted(context.reported_keys) == sorted(context.bad_keys), (
+        context.reported_keys
+    )
 
 
 @when("an answer of the store has a value that is no base64 and a good one")
@@ -418,15 +422,15 @@
         cut=strategies.integers(min_value=0, max_value=200),
         for_entry=strategies.booleans(),
     )
-    def play(name, changes, cut, for_entry):
+    def check_mutation(name, changes, cut, for_entry):
         base = _ENTRY if for_entry else _registration(1)
         prefix = documents.ENTRY_PREFIX if for_entry else _PREFIX
         value = json.dumps({**base, **changes}).encode("utf-8", "replace")
         item = Item(prefix + name, value[: 200 + cut], context.revision + 1)
-        _take(context, [item])
+        _apply_items(context, [item])
         _check_usable(context)
 
-    play()
+    check_mutation()
     assert "i-1" in {
         state.record.upstream_id for state in context.fleet.upstreams()
     }
--- a/features/steps/gateway_known_places_steps.py
+++ b/features/steps/gateway_known_places_steps.py
@@ -1,4 +1,4 @@
-"""Steps of gateway_known_places.feature."""
+"""Steps for cached object locations and their exchange between entries."""
 
 from unittest import mock
 
@@ -22,7 +22,7 @@
 
 @when('the entry of "{zone}" sends object "o" to an upstream and both tell')
 def step_sends(context, zone):
-    context.sharing[zone]._cached_locations.record_sent(
+    context.exchanges[zone]._cached_locations.record_sent(
         _OBJECT, _UPSTREAM, now_s=now_s()
     )
     for _ in range(2):
@@ -31,16 +31,18 @@
 
 @then('the entry of "{zone}" takes that upstream to know "o"')
 def step_takes(context, zone):
-    context.places = context.sharing[zone]._cached_locations
-    assert context.places.upstreams_for(_OBJECT, now_s=now_s()) == {_UPSTREAM}
+    context.locations = context.exchanges[zone]._cached_locations
+    assert context.locations.upstreams_for(_OBJECT, now_s=now_s()) == {
+        _UPSTREAM
+    }
 
 
 @then("it does not tell it as a place that it found")
 def step_not_found(context):
-    assert not context.places.locations_to_report(now_s=now_s())
+    assert not context.locations.locations_to_report(now_s=now_s())
 
 
-class _Wire:
+class _RecordingTransport:
     def __init__(self):
         self.sent = []
 
@@ -52,11 +54,11 @@
     return Entry(f"e{number}", "", f"10.0.0.1:{number}", "r", "z")
 
 
-def _sharing(number):
+def _make_exchange(number):
     fleet = Fleet(own_name=f"e{number}", own_region="r", zones={"z": "r"})
     for other in range(2):
         fleet.apply_entry(_entry(other))
-    sharing = LoadExchange(
+    exchange = LoadExchange(
         fleet=fleet,
         pool=mock.Mock(),
         suspects=mock.Mock(**{"recent_strikes.return_value": []}),
@@ -64,13 +66,13 @@
         own_name=f"e{number}",
         own_zone="z",
     )
-    sharing.connection_made(_Wire())
-    return sharing
+    exchange.connection_made(_RecordingTransport())
+    return exchange
 
 
 @given("entries of one zone that tell each other their loads")
 def step_one_zone(context):
-    context.entries = [_sharing(number) for number in range(2)]
+    context.entries = [_make_exchange(number) for number in range(2)]
     first = context.entries[0]._ordered_entries("z")[0]
     context.reporter = context.entries[int(first.name[1:])]
     context.other = 1 - int(first.name[1:])
@@ -86,7 +88,7 @@
 
 @when("the other entry is started again and tells its loads")
 def step_again(context):
-    context.started = _sharing(context.other)
+    context.started = _make_exchange(context.other)
     context.started._tick(now_s())
     for data, _ in context.started._transport.sent:
         context.reporter.datagram_received(data, ("10.0.0.1", 1))
@@ -98,19 +100,19 @@
 
 @then("it knows the places of {count:d} objects")
 def step_knows_all(context, count):
-    places = context.started._cached_locations.all_locations(now_s=now_s())
-    assert len(places) == count, len(places)
+    locations = context.started._cached_locations.all_locations(now_s=now_s())
+    assert len(locations) == count, len(locations)
 
 
 @when("an object is sent to an upstream each {pause_s:g} s for {span_s:g} s")
 def step_each(context, pause_s, span_s):
-    context.places = CachedLocations()
+    context.locations = CachedLocations()
     context.found = set()
     for step in range(round(span_s / pause_s)):
         context.now_s = 100.0 + step * pause_s
-        before = set(context.places.locations_to_report(now_s=context.now_s))
-        context.places.record_sent(_OBJECT, _UPSTREAM, now_s=context.now_s)
-        after = set(context.places.locations_to_report(now_s=context.now_s))
+        before = set(context.locations.locations_to_report(now_s=context.now_s))
+        context.locations.record_sent(_OBJECT, _UPSTREAM, now_s=context.now_s)
+        after = set(context.locations.locations_to_report(now_s=context.now_s))
         if after - before:
             context.found.add(context.now_s)
 
@@ -123,20 +125,20 @@
 @then("half a second after the last time nothing is told")
 def step_nothing(context):
     last_s = max(context.found)
-    assert not context.places.locations_to_report(now_s=last_s + 0.51)
+    assert not context.locations.locations_to_report(now_s=last_s + 0.51)
 
 
 @given('an entry that was told of object "o" at "{one}" and "{other}"')
 def step_was_told(context, one, other):
-    context.places = CachedLocations()
+    context.locations = CachedLocations()
     context.now_s = 100.0
-    told = [(_OBJECT, incarnation_hash(name)) for name in (one, other)]
-    context.places.apply_reported(told, now_s=context.now_s)
+    reported = [(_OBJECT, incarnation_hash(name)) for name in (one, other)]
+    context.locations.apply_reported(reported, now_s=context.now_s)
 
 
 @when('it sends "o" to "{name}"')
 def step_it_sends(context, name):
-    context.places.record_sent(
+    context.locations.record_sent(
         _OBJECT, incarnation_hash(name), now_s=context.now_s
     )
 
@@ -144,13 +146,13 @@
 @when('it sends "o" to nobody for {span_s:g} s, and is told of "{name}" then')
 def step_later(context, span_s, name):
     context.now_s += span_s
-    told = [(_OBJECT, incarnation_hash(name))]
-    context.places.apply_reported(told, now_s=context.now_s)
+    reported = [(_OBJECT, incarnation_hash(name))]
+    context.locations.apply_reported(reported, now_s=context.now_s)
 
 
 @then('it takes "{names}" to know "o"')
 def step_it_takes(context, names):
-    known = context.places.upstreams_for(_OBJECT, now_s=context.now_s)
+    known = context.locations.upstreams_for(_OBJECT, now_s=context.now_s)
     assert known == {incarnation_hash(name) for name in names.split()}, known
 
 
--- a/features/steps/gateway_loads_steps.py
+++ b/features/steps/gateway_loads_steps.py
@@ -1,4 +1,4 @@
-"""Steps of gateway_loads.feature."""
+"""Steps for the exchange of upstream loads between entries."""
 
 from behave import given
 from behave import then
@@ -7,12 +7,12 @@
 from features.support.telling_world import BETWEEN_REGIONS_S
 from features.support.telling_world import TellingWorld
 
-LOOK_S = 0.01
-LONGEST_S = 3.0
+POLL_S = 0.01
+MAX_WAIT_S = 3.0
 LINK_MBPS = 100.0
 
 
-def _make(context, link_mbps):
+def _make_world(context, link_mbps):
     context.world = TellingWorld(link_mbps=link_mbps, **context.size)
 
 
@@ -26,12 +26,12 @@
         "zones": zones,
         "upstreams": upstreams,
     }
-    _make(context, LINK_MBPS)
+    _make_world(context, LINK_MBPS)
 
 
 @given("each has a link of {link_mbps:g} Mbit/s")
 def step_link(context, link_mbps):
-    _make(context, link_mbps)
+    _make_world(context, link_mbps)
 
 
 @when(
@@ -43,32 +43,32 @@
     world.draws.seed(seed)
     context.took_s = []
     with world.running(busy=True):
-        waiting = {}
+        pending = {}
         for number in range(count):
             member = world.draws.choice(list(world.members.values()))
             name = world.names[number]
             world.state(member, name).in_flight += 1
-            waiting[name] = (member, world.now_s)
-            _look(context, waiting, 0.1)
-        _look(context, waiting, LONGEST_S)
-    for _, started_s in waiting.values():
+            pending[name] = (member, world.now_s)
+            _poll_counts(context, pending, 0.1)
+        _poll_counts(context, pending, MAX_WAIT_S)
+    for _, started_s in pending.values():
         context.took_s.append(world.now_s - started_s)
 
 
-def _look(context, waiting, span_s):
+def _poll_counts(context, pending, span_s):
     world = context.world
     end_s = world.now_s + span_s
-    while waiting and world.now_s < end_s:
-        world.pass_time(LOOK_S)
-        for name, (member, started_s) in list(waiting.items()):
-            if _all_count(world, name, member):
+    while pending and world.now_s < end_s:
+        world.pass_time(POLL_S)
+        for name, (member, started_s) in list(pending.items()):
+            if _all_entries_count(world, name, member):
                 context.took_s.append(world.now_s - started_s)
-                del waiting[name]
+                del pending[name]
 
 
-def _all_count(world, name, asker):
+def _all_entries_count(world, name, sender):
     for member in world.members.values():
-        if member is asker:
+        if member is sender:
             continue
         if world.state(member, name).peer_requests != 1:
             return False
@@ -79,7 +79,7 @@
 def step_count(context, limit_s):
     took_s = sorted(context.took_s)
     print(f"counted by all after {[round(each, 2) for each in took_s]} s")
-    assert took_s[-1] <= limit_s + BETWEEN_REGIONS_S + LOOK_S, took_s
+    assert took_s[-1] <= limit_s + BETWEEN_REGIONS_S + POLL_S, took_s
 
 
 @when(
@@ -104,7 +104,7 @@
 
 @then("every entry has that plan")
 def step_plan(context):
-    # It goes on changing step by step, so some entries have the one before.
+    # The plan keeps changing step by step, so some entries have an older one.
     for member in context.world.members.values():
         weights = member.fleet.plan.weights
         assert weights.keys() == context.plan.weights.keys(), member.name
--- a/features/steps/gateway_lookup_steps.py
+++ b/features/steps/gateway_lookup_steps.py
@@ -1,4 +1,4 @@
-"""Steps for which VMs look-ups name, without sockets."""
+"""Steps for the VMs that lookups name, without sockets."""
 
 from collections import Counter
 import random
@@ -31,7 +31,7 @@
     return Entry(name, f"callers:{name}", "p", "r", zone, cores, link_mbps)
 
 
-def _lists(context):
+def _lookup_all(context):
     return [
         context.directory.addresses_for(region="r", caller=caller)
         for caller in _CALLERS
@@ -41,7 +41,7 @@
 @when("2000 callers look up and pick any of the named")
 def step_pick(context):
     draws = random.Random(5)
-    context.lists = _lists(context)
+    context.lists = _lookup_all(context)
     context.picked = Counter()
     for named in context.lists:
         context.picked[draws.choice(named)] += 1
@@ -52,8 +52,8 @@
     small = []
     large = []
     for vm in context.vms:
-        kind = large if "large" in vm.name else small
-        kind.append(context.picked[vm.callers])
+        counts = large if "large" in vm.name else small
+        counts.append(context.picked[vm.callers])
     mean_small = sum(small) / len(small)
     for count in large:
         assert least <= count / mean_small <= most, (large, small)
@@ -69,18 +69,18 @@
 @then("a caller that asks again is told the same")
 def step_same(context):
     context.directory.set_entries(context.vms)
-    assert _lists(context) == context.lists
+    assert _lookup_all(context) == context.lists
 
 
 @then("each look-up names {count:d} VMs")
 def step_all_named(context, count):
-    for named in _lists(context):
+    for named in _lookup_all(context):
         assert len(set(named)) == count, named
 
 
 @when("a small VM ends")
 def step_vm_ends(context):
-    context.lists = _lists(context)
+    context.lists = _lookup_all(context)
     context.ended = next(vm for vm in context.vms if "small" in vm.name)
     left = [vm for vm in context.vms if vm != context.ended]
     context.directory.set_entries(left)
@@ -88,7 +88,7 @@
 
 @then("only lists that named it have changed, by one VM each")
 def step_own_callers(context):
-    for before, after in zip(context.lists, _lists(context), strict=True):
+    for before, after in zip(context.lists, _lookup_all(context), strict=True):
         gone = set(before) - set(after)
         if context.ended.callers in before:
             assert gone == {context.ended.callers}, (before, after)
--- a/features/steps/gateway_placement_steps.py
+++ b/features/steps/gateway_placement_steps.py
@@ -1,4 +1,4 @@
-"""Steps for plans of placement: a load in virtual time, without sockets."""
+"""Steps for placement plans, with a load in virtual time and no sockets."""
 
 import collections
 from types import SimpleNamespace
@@ -30,8 +30,8 @@
 
 _TICK_S = 0.05
 _RUN_S = 0.2
-# What an upstream holds at most, as a multiple of its slots; it refuses more.
-_QUEUE_TIMES = 4
+# The most that an upstream holds, as a multiple of its slots; it refuses more.
+_MAX_LOAD_PER_SLOT = 4
 
 
 @given(
@@ -61,19 +61,19 @@
             own_region=region, demand=dict.fromkeys(context.regions, 1.0)
         )
     context.keys = [f"k{number}" for number in range(keys)]
-    context.places = {}
+    context.upstreams_by_key = {}
     context.now_s = 100.0
-    _tell_late(context, 0.0)
+    _set_report_delay(context, 0.0)
 
 
-def _tell_late(context, late_s):
-    """Lets loads reach the plan some time after they were counted."""
-    context.told = collections.deque(maxlen=1 + round(late_s / _TICK_S))
+def _set_report_delay(context, late_s):
+    """Sets how long after they were counted loads reach the planner."""
+    context.reports = collections.deque(maxlen=1 + round(late_s / _TICK_S))
 
 
-def _tick(context, asked):
-    """Lets requests come and end for one step, and the plan follow."""
-    for region, share in asked.items():
+def _tick(context, demand):
+    """Simulates the requests of one step, then updates the plan."""
+    for region, share in demand.items():
         per_s = share * context.region_slots / _RUN_S / len(context.keys)
         for key in context.keys:
             name = f"{region}/{key}"
@@ -81,13 +81,15 @@
                 service="s", key=name, upstreams=context.upstreams
             )[0]
             context.held[home.incarnation] += per_s * _TICK_S
-            context.places.setdefault(name, set()).add(home.incarnation)
+            context.upstreams_by_key.setdefault(name, set()).add(
+                home.incarnation
+            )
     for upstream in context.upstreams:
         held = context.held[upstream.incarnation]
         ended = min(held, context.slots) / _RUN_S * _TICK_S
-        held = min(held - ended, _QUEUE_TIMES * context.slots)
+        held = min(held - ended, _MAX_LOAD_PER_SLOT * context.slots)
         context.held[upstream.incarnation] = held
-    _tell(context)
+    _report_loads(context)
     context.now_s += _TICK_S
     context.planner.update(
         services={"s": context.upstreams}, now_s=context.now_s
@@ -96,18 +98,20 @@
         orders.set_plan(context.planner.plan)
 
 
-def _tell(context):
-    """Tells the plan the oldest loads that are under way to it."""
-    context.told.append([round(held) for held in context.held.values()])
+def _report_loads(context):
+    """Reports to the planner the oldest loads in flight to it."""
+    context.reports.append([round(held) for held in context.held.values()])
     loads = {}
-    for upstream, held in zip(context.upstreams, context.told[0], strict=True):
+    for upstream, held in zip(
+        context.upstreams, context.reports[0], strict=True
+    ):
         loads[upstream.name_hash] = held
     context.loads.update(loads, own={})
 
 
-def _run(context, asked, span_s):
+def _run(context, demand, span_s):
     for _ in range(round(span_s / _TICK_S)):
-        _tick(context, asked)
+        _tick(context, demand)
 
 
 @when("each region asks for {share:g} of its slots for {span_s:g} s")
@@ -139,7 +143,7 @@
 @given("loads are told {late_s:g} s late, with each set")
 def step_sets_late(context, late_s):
     for one in context.sets:
-        _tell_late(one, late_s)
+        _set_report_delay(one, late_s)
 
 
 @when(
@@ -197,15 +201,17 @@
 
 @then("no key was at more than {most:d} upstreams")
 def step_few_places(context, most):
-    found = max(len(places) for places in context.places.values())
+    found = max(
+        len(upstreams) for upstreams in context.upstreams_by_key.values()
+    )
     assert found <= most, found
 
 
-# Entries that tell each other.
+# Load exchange between entries.
 
 
-class _Wire:
-    """Takes what an entry sends to others."""
+class _RecordingTransport:
+    """Records the datagrams that an entry sends."""
 
     def __init__(self):
         self.sent = []
@@ -222,9 +228,9 @@
     'entries of the zones "{first}" and "{second}" that tell each other '
     "their loads"
 )
-def step_tell(context, first, second):
-    context.sharing = {}
-    context.wires = {}
+def step_exchanging_entries(context, first, second):
+    context.exchanges = {}
+    context.transports = {}
     context.fleets = {}
     for zone in (first, second):
         fleet = Fleet(
@@ -242,7 +248,7 @@
                 1, CallerLimits(1, 1, 1.0, 1.0), (), {"s": service}
             )
         )
-        sharing = LoadExchange(
+        exchange = LoadExchange(
             fleet=fleet,
             pool=mock.Mock(),
             suspects=mock.Mock(**{"recent_strikes.return_value": []}),
@@ -250,34 +256,34 @@
             own_name=f"e-{zone}",
             own_zone=zone,
         )
-        context.wires[zone] = _Wire()
-        sharing.connection_made(context.wires[zone])
-        context.sharing[zone] = sharing
+        context.transports[zone] = _RecordingTransport()
+        exchange.connection_made(context.transports[zone])
+        context.exchanges[zone] = exchange
         context.fleets[zone] = fleet
     context.zones = (first, second)
 
 
 def _exchange(context, at_s):
-    for zone, sharing in context.sharing.items():
-        sharing._tick(at_s)
-        for data in context.wires[zone].sent:
-            for other, receiver in context.sharing.items():
+    for zone, exchange in context.exchanges.items():
+        exchange._tick(at_s)
+        for data in context.transports[zone].sent:
+            for other, receiver in context.exchanges.items():
                 if other != zone:
                     receiver.datagram_received(data, ("127.0.0.1", 1))
-        context.wires[zone].sent.clear()
+        context.transports[zone].sent.clear()
 
 
 @when('the entry of "{zone}" has a plan and both tell')
 def step_has_plan(context, zone):
     plan = Plan(weights={incarnation_hash("u"): 60})
-    context.sharing[zone]._planner.set_plan(plan)
+    context.exchanges[zone]._planner.set_plan(plan)
     for _ in range(2):
         _exchange(context, now_s())
 
 
 @when('the entry of "{zone}" is silent for {span_s:g} s')
 def step_silent(context, zone, span_s):
-    del context.sharing[zone]
+    del context.exchanges[zone]
     _exchange(context, now_s() + span_s)
 
 
@@ -298,20 +304,20 @@
 
 @given("a plan in which {count:d} upstreams have weights of their own")
 def step_large_plan(context, count):
-    told = PeerLoads()
+    peer_loads = PeerLoads()
     upstreams = []
     for number in range(count):
         record = UpstreamRecord(
             f"u{number}", "s", "a:1", "r", "v", 4, False, 0.0
         )
         upstreams.append(
-            UpstreamState(record=record, region="r", peer_loads=told)
+            UpstreamState(record=record, region="r", peer_loads=peer_loads)
         )
     planner = Planner()
     for step in range(8):
         # Half of them have a queue, the others have none.
         loads = {one.name_hash: 44 + 4 * step for one in upstreams[1::2]}
-        told.update(loads, own={})
+        peer_loads.update(loads, own={})
         planner.update(services={"s": upstreams}, now_s=100.0 + step)
     context.planner = planner
 
--- a/features/steps/gateway_views_steps.py
+++ b/features/steps/gateway_views_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what operators see of gateways on the command line."""
+"""Steps for the operators' views of gateways on the command line."""
 
 import json
 import threading
@@ -16,7 +16,7 @@
 from features.support.gateway_world import GatewayWorld
 
 
-def _shown(context, view, *gateways):
+def _run_view(context, view, *gateways):
     addresses = []
     for name in gateways or ("g1",):
         addresses.append(context.world.operator_address(name))
@@ -24,7 +24,7 @@
     return json.loads(text)
 
 
-def _config(context, verb, *gateways, version=0):
+def _run_config(context, verb, *gateways, version=0):
     addresses = []
     for name in gateways or ("g1",):
         addresses.append(context.world.operator_address(name))
@@ -36,7 +36,7 @@
 
 @then('"gateway vm" of both shows "g1" and "g2" as known to 2 gateways')
 def step_vms(context):
-    shown = _shown(context, "vm", "g1", "g2")
+    shown = _run_view(context, "vm", "g1", "g2")
     known = {row["name"]: len(row["known_to"]) for row in shown["vms"]}
     assert known == {"g1": 2, "g2": 2}, shown
     for age_s in shown["store_age_s"].values():
@@ -45,7 +45,7 @@
 
 @then('"gateway vm" of both shows the second one\'s silence')
 def step_vm_silent(context):
-    shown = _shown(context, "vm", "g1", "g2")
+    shown = _run_view(context, "vm", "g1", "g2")
     address = context.world.operator_address("g2")
     rows = {row["name"]: row for row in shown["vms"]}
     assert rows[address]["answers"] is False, shown
@@ -58,7 +58,7 @@
     world = context.world
     for name in world.upstreams:
         world.upstream_faults(name, slower=work_s / 0.05)
-    # An object that no upstream knows yet; known ones take a third of the time.
+    # No upstream has this object cached; cached ones take a third of the time.
     thread = threading.Thread(target=world.send, args=("GET", "/safe/new"))
     thread.start()
     context.add_cleanup(thread.join)
@@ -76,7 +76,7 @@
 
 def _drain_rows(context, in_flight):
     def check():
-        rows = _shown(context, "drain")["draining"]
+        rows = _run_view(context, "drain")["draining"]
         return [row for row in rows if row["in_flight"] == in_flight]
 
     return check
@@ -84,7 +84,7 @@
 
 @then('"gateway drain" shows it with 1 request in flight')
 def step_drain_busy(context):
-    """Looks without a process of its own, whose start may outlast the work."""
+    """Reads the view in this process; a new one may start after the work."""
     address = context.world.operator_address("g1")
 
     def check():
@@ -106,7 +106,7 @@
 @then('"gateway evacuations" shows "{zone}" within {limit_s:g} s')
 def step_evacuation(context, zone, limit_s):
     def check():
-        return _shown(context, "evacuations")["evacuations"]
+        return _run_view(context, "evacuations")["evacuations"]
 
     rows = harness.wait_until(check, limit_s=limit_s, what="the evacuation")
     assert rows[0]["availability_zone"] == zone, rows
@@ -117,14 +117,14 @@
 @then('"gateway evacuations" shows none within {limit_s:g} s')
 def step_no_evacuation(context, limit_s):
     def check():
-        return not _shown(context, "evacuations")["evacuations"]
+        return not _run_view(context, "evacuations")["evacuations"]
 
-    harness.wait_until(check, limit_s=limit_s, what="the end of it")
+    harness.wait_until(check, limit_s=limit_s, what="the evacuation to end")
 
 
 @then('"gateway config show" prints the route "{prefix}"')
 def step_config_show(context, prefix):
-    shown = json.loads(_config(context, "show"))
+    shown = json.loads(_run_config(context, "show"))
     assert f'"{prefix}"' in shown["text"], shown
     assert shown["store_age_s"] < 5, shown
 
@@ -134,7 +134,7 @@
     "their ages"
 )
 def step_config_history(context, older, newer):
-    shown = json.loads(_config(context, "history"))
+    shown = json.loads(_run_config(context, "history"))
     versions = [row["version"] for row in shown["versions"]]
     assert versions == [newer, older], shown
     ages_s = [row["in_force_s_ago"] for row in shown["versions"]]
@@ -151,11 +151,11 @@
     "was added"
 )
 def step_config_diff(context, version, prefix):
-    shown = json.loads(_config(context, "diff", version=version))
+    shown = json.loads(_run_config(context, "diff", version=version))
     _assert_added(shown["lines"], prefix)
 
 
-# The walk of the page.
+# The walk-through of the operators' page.
 
 
 @given("2 gateways that follow different stores")
@@ -198,7 +198,7 @@
 )
 def step_status_versions(context, newer, older):
     time.sleep(1.0)
-    shown = _shown(context, "status", "g1", "g2")
+    shown = _run_view(context, "status", "g1", "g2")
     versions = [body["configuration_version"] for body in shown]
     assert versions == [newer, older], shown
     assert shown[1]["store_age_s"] > shown[0]["store_age_s"], shown
@@ -207,13 +207,13 @@
 
 @then('"gateway config diff" between the two shows that "{prefix}" was added')
 def step_diff_two(context, prefix):
-    shown = json.loads(_config(context, "diff", "g1", "g2"))
+    shown = json.loads(_run_config(context, "diff", "g1", "g2"))
     _assert_added(shown["lines"], prefix)
 
 
 @then("the second one's log says since when it has no word, and why")
 def step_log_why(context):
     lines = context.world.log_events("g2", 421)
-    assert lines, "no line"
+    assert lines, "no log line on the loss of the store"
     assert lines[-1]["age_s"] < 5, lines
     assert lines[-1]["detail"], lines
--- a/features/steps/gateway_waiting_steps.py
+++ b/features/steps/gateway_waiting_steps.py
@@ -14,7 +14,7 @@
 from features.support.mixed_load import Kind
 from features.support.mixed_load import MixedLoad
 
-# Parts of the slots that each kind asks for at a load of 1.
+# Shares of the slots that each kind uses at a load of 1.
 _SHORT_SHARE = 0.3
 _LONG_SHARE = 0.7
 
@@ -70,14 +70,14 @@
 )
 def step_bounded(context, count, most_bytes, looks):
     waits = EntryQueue()
-    places = []
+    waiting = []
     while waits.has_capacity(body_bytes=0):
-        places.append(waits.hold_waiting(body_bytes=0))
-        places[-1].__enter__()
-        assert len(places) / waits.attempt_interval_s <= looks, len(places)
-    assert len(places) == count
-    for place in places:
-        place.__exit__(None, None, None)
+        waiting.append(waits.hold_waiting(body_bytes=0))
+        waiting[-1].__enter__()
+        assert len(waiting) / waits.attempt_interval_s <= looks, len(waiting)
+    assert len(waiting) == count
+    for request in waiting:
+        request.__exit__(None, None, None)
     with waits.hold_waiting(body_bytes=most_bytes):
         assert not waits.has_capacity(body_bytes=1)
     assert waits.has_capacity(body_bytes=most_bytes)
@@ -143,7 +143,7 @@
                 found.setdefault(line["request"], []).append(line)
         return found if len(found) == len(wanted) else None
 
-    found = harness.wait_until(answered, what="all answers in the log")
+    found = harness.wait_until(answered, what="all responses in the log")
     for lines in found.values():
         assert [line["queue_ms"] for line in lines] == [0], lines
         assert lines[0]["tries"] == 1, lines
