--- a/features/steps/emulator_steps.py
+++ b/features/steps/emulator_steps.py
@@ -71,7 +71,7 @@
 
 @then('the error names the file and "{words}"')
 def step_error(context, words):
-    assert context.error is not None, "it was taken"
+    assert context.error is not None, "the deployment was accepted"
     assert str(context.path) in context.error.detail, context.error.detail
     assert words in context.error.detail, context.error.detail
 
@@ -89,18 +89,18 @@
 # Load.
 
 
-def _route(**more):
+def _route(**overrides):
     return RouteRule(
         **{
             "prefix": "/safe/",
             "service": "service",
             "rate_per_s": _RATE_PER_S,
-            **more,
+            **overrides,
         }
     )
 
 
-def _plan(seed, seconds=_LOAD_S):
+def _plan_load(seed, seconds=_LOAD_S):
     routes = [_route(), _route(prefix="/unsafe/", kind="unsafe")]
     return load.plan(
         routes=routes, zones=["a1", "b1"], seed=seed, seconds=seconds
@@ -109,17 +109,19 @@
 
 @then("two loads of seed 3 are equal, and seed 4's differs")
 def step_loads(context):
-    assert _plan(3) == _plan(3)
-    assert _plan(3) != _plan(4)
+    assert _plan_load(3) == _plan_load(3)
+    assert _plan_load(3) != _plan_load(4)
 
 
 @then("a load of 200 s has within a tenth of the requests that its rates say")
 def step_rate(context):
     expected = 2 * _RATE_PER_S * _LOAD_S
-    assert abs(len(_plan(3)) - expected) < 0.1 * expected, len(_plan(3))
+    assert abs(len(_plan_load(3)) - expected) < 0.1 * expected, len(
+        _plan_load(3)
+    )
 
 
-def _reply(text):
+def _parse_response(text):
     if text == "none":
         return None
     status, _, back = text.partition(" back in ")
@@ -129,7 +131,7 @@
 
 @then("after {status} a caller of a {kind} route with 0.9 s left waits {pause}")
 def step_pause(context, status, kind, pause):
-    found = load.pause_s(_route(kind=kind), _reply(status), 0.9)
+    found = load.pause_s(_route(kind=kind), _parse_response(status), 0.9)
     if pause == "never":
         assert found is None, found
         return
@@ -162,9 +164,9 @@
     expected = b""
     began_s = time.monotonic()
     for number in range(count):
-        piece = f"piece {number}\n".encode()
-        expected += piece
-        writer.write(piece)
+        chunk = f"piece {number}\n".encode()
+        expected += chunk
+        writer.write(chunk)
         await asyncio.sleep(0)
     received = await reader.readexactly(len(expected))
     took_s = time.monotonic() - began_s
@@ -190,21 +192,23 @@
 # Views of the store.
 
 
-async def _registered(zone, key, field):
+async def _read_registrations(zone, key, field):
     store = Store()
-    whole = store.listen("127.0.0.1", 0)
+    unfiltered = store.listen("127.0.0.1", 0)
     view = store.listen("127.0.0.1", 0, zone)
     store.ways = {"127.0.0.1:1": {zone: "127.0.0.1:2", "c1": "127.0.0.1:3"}}
     record = {field: "127.0.0.1:1", "zone": "a1"}
     await store.put_text(key, json.dumps(record))
     client = httpclient.AsyncHTTPClient()
-    shown = []
-    for port in (view, whole):
-        answer = await client.fetch(f"http://127.0.0.1:{port}/kv-key?key={key}")
-        value = json.loads(answer.body)["value"]
-        shown.append(json.loads(base64.b64decode(value)))
+    values = []
+    for port in (view, unfiltered):
+        response = await client.fetch(
+            f"http://127.0.0.1:{port}/kv-key?key={key}"
+        )
+        value = json.loads(response.body)["value"]
+        values.append(json.loads(base64.b64decode(value)))
     await store.close()
-    return shown
+    return values
 
 
 @given(
@@ -213,14 +217,16 @@
 )
 def step_view(context, zone, key, field):
     context.field = field
-    context.shown = asyncio.run(_registered(zone, key, field))
+    context.shown = asyncio.run(_read_registrations(zone, key, field))
 
 
 @then('the view shows the way from "b1", and the store what was written')
 def step_views(context):
-    view, whole = context.shown
+    view, unfiltered = context.shown
     assert view == {context.field: "127.0.0.1:2", "zone": "a1"}, view
-    assert whole == {context.field: "127.0.0.1:1", "zone": "a1"}, whole
+    assert unfiltered == {context.field: "127.0.0.1:1", "zone": "a1"}, (
+        unfiltered
+    )
 
 
 # Experiments.
@@ -266,7 +272,7 @@
     assert cost_a.runs_per_request == 0.9, cost_a
 
 
-def _small():
+def _small_deployment():
     return Deployment(
         zones={"a1": "east", "b1": "west"},
         gateways={"a1": 1, "b1": 1},
@@ -280,11 +286,11 @@
 
 @given("a small deployment whose regions are 10 ms apart")
 def step_apart(context):
-    context.deployment = _small()
+    context.deployment = _small_deployment()
 
 
-async def _ways_used(deployment, seconds):
-    """Plays a deployment; returns datagrams by zone and gateway."""
+async def _count_datagrams(deployment, seconds):
+    """Runs a deployment; returns datagram counts by zone and gateway."""
     with tempfile.TemporaryDirectory() as folder:
         world = World(deployment=deployment, directory=Path(folder))
         try:
@@ -299,7 +305,7 @@
 
 @when("its gateways have taken callers for {seconds:d} s")
 def step_play(context, seconds):
-    context.ways = asyncio.run(_ways_used(context.deployment, seconds))
+    context.ways = asyncio.run(_count_datagrams(context.deployment, seconds))
 
 
 @then(
@@ -314,7 +320,7 @@
 def step_compare(context, seconds):
     context.rounds = asyncio.run(
         experiment.compare(
-            deployment=_small(),
+            deployment=_small_deployment(),
             sides=(
                 Side("a", ROOT, {}),
                 Side("b", ROOT, {"maxShift": 0.5}),
--- a/features/steps/observing_steps.py
+++ b/features/steps/observing_steps.py
@@ -26,13 +26,13 @@
 SPANS = ("entry", "forward", "admit", "upstream")
 
 
-def _page(name):
+def _page_rows(name):
     text = (ROOT / "docs" / name).read_text(encoding="utf-8")
     return documented.page_rows(text, heading="## The table")
 
 
-def _source():
-    """Returns the code of the package but for the lists themselves."""
+def _read_source():
+    """Returns the package's code without the lists of events and metrics."""
     parts = []
     for path in sorted((ROOT / "almondstair").rglob("*.py")):
         if path.name not in ("log.py", "metrics.py"):
@@ -48,7 +48,7 @@
         level = logging.getLevelName(rule.level)
         name = f"`{event.name.lower()}`"
         expected.append((str(rule.number), name, level, rule.text))
-    rows = _page("LOG-EVENTS.md")
+    rows = _page_rows("LOG-EVENTS.md")
     assert [row[:4] for row in rows] == expected
     for row in rows:
         assert row[4], f"no words for {row}"
@@ -62,14 +62,14 @@
 
 @then("each event is logged somewhere")
 def step_events_used(context):
-    source = _source()
+    source = _read_source()
     for event in Event:
         assert re.search(rf"\blog\.Event\.{event.name}\b", source), event
 
 
 @then("the table of METRICS.md has just the metrics of the code")
 def step_metrics(context):
-    rows = _page("METRICS.md")
+    rows = _page_rows("METRICS.md")
     names = [row[0].strip("`") for row in rows]
     assert names == [metric.value for metric in Metric]
     for row in rows:
@@ -95,7 +95,7 @@
 
 @then("each metric is counted somewhere")
 def step_metrics_used(context):
-    source = _source()
+    source = _read_source()
     for metric in Metric:
         assert re.search(rf"\bMetric\.{metric.name}\b", source), metric
 
@@ -106,7 +106,7 @@
     context.listener.bind(("127.0.0.1", 0))
     context.listener.setblocking(False)
     context.add_cleanup(context.listener.close)
-    context.heard = set()
+    context.metric_names = set()
 
 
 @given("an upstream in bkk, an entry each in bkk and cnx that send it metrics")
@@ -137,7 +137,7 @@
     context.span = secrets.token_hex(8)
     context.traceparent = f"00-{context.trace}-{context.span}-01"
     wait_until(
-        lambda: _send_order(context).status == 200, what="a whole answer"
+        lambda: _send_order(context).status == 200, what="a complete response"
     )
 
 
@@ -167,8 +167,8 @@
                     break
                 span = spans[span["parent"]]  # noqa: PLW2901
             if span["parent"] != context.span:
-                # The spans of the entry before are not written yet; one that
-                # belongs to no chain is met by the limit.
+                # The spans of the previous entry are not written yet; a span
+                # that belongs to no chain ends in the timeout.
                 return None
             return list(reversed(names))
         return None
@@ -192,7 +192,7 @@
 
 @when("the platform goes out and comes back")
 def step_platform_out(context):
-    # A request that needs a claim asks the platform.
+    # A request that needs a claim calls the platform.
     def approve():
         answer = send(
             "POST",
@@ -208,10 +208,10 @@
     wait_until(lambda: approve() == 503, what="a refused approval")
     get(context.deployment.entries["cnx-e0"]["caller"], "/v1/entries?service=x")
     context.deployment.faults(down=False)
-    wait_until(lambda: approve() == 200, what="an approval again")
+    wait_until(lambda: approve() == 200, what="an approval after the outage")
 
 
-def _lines(context, entry):
+def _log_lines(context, entry):
     child = context.deployment.processes.children[entry]
     lines = []
     for line in child.log_text().splitlines():
@@ -223,7 +223,7 @@
 def step_log(context, entry, names):
     wanted = names.split(", ")
     seen = []
-    for line in _lines(context, entry):
+    for line in _log_lines(context, entry):
         if line["event_name"] in wanted:
             seen.append(line["event_name"])
     assert seen == wanted, seen
@@ -232,7 +232,7 @@
 @then("each line of the logs is JSON with the number and text of its event")
 def step_log_lines(context):
     for entry in context.deployment.entries:
-        for line in _lines(context, entry):
+        for line in _log_lines(context, entry):
             rule = Event[line["event_name"].upper()].value
             assert line["event"] == rule.number, line
             assert line["message"] == rule.text, line
@@ -240,7 +240,7 @@
             assert line["time"], line
 
 
-def _hear(context):
+def _read_samples(context):
     while True:
         try:
             packet = context.listener.recv(65536)
@@ -249,7 +249,7 @@
         for sample in packet.decode().splitlines():
             name = sample.partition(":")[0]
             assert name.startswith(f"{PREFIX}."), sample
-            context.heard.add(name[len(PREFIX) + 1 :])
+            context.metric_names.add(name[len(PREFIX) + 1 :])
 
 
 def _pattern(metric):
@@ -258,18 +258,20 @@
 
 @then("the listener hears of each metric but retries")
 def step_heard(context):
-    def heard_all():
-        _hear(context)
+    def all_received():
+        _read_samples(context)
         missing = set()
         for metric in Metric:
-            if not any(_pattern(metric).match(name) for name in context.heard):
+            if not any(
+                _pattern(metric).match(name) for name in context.metric_names
+            ):
                 missing.add(metric.name)
         return missing <= {"RETRIES"}
 
-    wait_until(heard_all, limit_s=5.0, what=f"metrics: {context.heard}")
+    wait_until(all_received, limit_s=5.0, what=f"metrics: {context.heard}")
 
 
 @then("it hears no name that is not on the page")
 def step_heard_known(context):
-    for name in context.heard:
+    for name in context.metric_names:
         assert any(_pattern(metric).match(name) for metric in Metric), name
--- a/features/steps/operating_steps.py
+++ b/features/steps/operating_steps.py
@@ -1,4 +1,4 @@
-"""Steps of operating.feature: edits against real processes."""
+"""Steps for configuration edits against real processes."""
 
 from concurrent.futures import ThreadPoolExecutor
 import json
@@ -23,10 +23,10 @@
 from features.support.operating import set_ramp
 from features.support.operating import wait_answers
 
-LOST = {"lose_prefix": CONFIGURATION_KEY}
-WELL = {"down": False, "down_after_loss": False}
+LOSE_CONFIGURATION = {"lose_prefix": CONFIGURATION_KEY}
+NO_FAULTS = {"down": False, "down_after_loss": False}
 SETTLE_LIMIT_S = 10.0
-BETWEEN_S = 0.02
+PAUSE_S = 0.02
 
 
 @given("an operated deployment of two entries in bkk and one in cnx")
@@ -42,8 +42,8 @@
     context.fraction = 0.5
 
 
-def change(context, entry="bkk-e0"):
-    """Makes an edit that no earlier one made."""
+def make_edit(context, entry="bkk-e0"):
+    """Makes an edit that differs from all earlier ones."""
     context.fraction = round(context.fraction - 0.01, 2)
     shown = context.operator.read(entry)
     text = set_ramp(shown["text"], context.fraction)
@@ -64,30 +64,30 @@
         ]
         operators = [Operator(deployment=context.deployment) for _ in entries]
         with ThreadPoolExecutor(2) as pool:
-            told = []
+            futures = []
             for operator, entry, text in zip(
                 operators, entries, texts, strict=True
             ):
-                told.append(
+                futures.append(
                     pool.submit(operator.put, entry, text, shown["version"])
                 )
-            answers = [one.result() for one in told]
-        context.races.append((operators, answers))
+            responses = [one.result() for one in futures]
+        context.races.append((operators, responses))
         wait_answers(context.operator, "bkk-e1", shown["version"] + 1)
 
 
-def parts(race):
-    """Returns the winner, and the answers of the winner and the loser."""
-    operators, answers = race
-    if answers[0].status == 200:
-        return operators[0], answers[0], answers[1]
-    return operators[1], answers[1], answers[0]
+def winner_and_responses(race):
+    """Returns the winner and the responses to the winner and the loser."""
+    operators, responses = race
+    if responses[0].status == 200:
+        return operators[0], responses[0], responses[1]
+    return operators[1], responses[1], responses[0]
 
 
 @then("each time one edit was accepted and one told edit_conflict")
 def step_one_winner(context):
     for race in context.races:
-        _, won, lost = parts(race)
+        _, won, lost = winner_and_responses(race)
         assert won.json()["state"] == "accepted", won
         assert lost.status == 409, lost
         assert lost.json()["kind"] == "edit_conflict", lost
@@ -99,7 +99,7 @@
 @then('each loser was told that "{key}" changed')
 def step_told_changes(context, key):
     for race in context.races:
-        winner, _, lost = parts(race)
+        winner, _, lost = winner_and_responses(race)
         assert lost.json()["changed"] == [key], lost.json()
         assert winner.edit_id in lost.json()["detail"], lost.json()
 
@@ -109,45 +109,47 @@
     # By now the entry has the winners' versions in force, not that one.
     shown = context.operator.read("bkk-e0")
     text = set_ramp(shown["text"], 0.9)
-    told = context.operator.put("bkk-e0", text, 1).json()
-    assert told["kind"] == "edit_conflict", told
-    assert told["changed"] == ["profiles.local.ramp_fraction_per_s"], told
+    response = context.operator.put("bkk-e0", text, 1).json()
+    assert response["kind"] == "edit_conflict", response
+    assert response["changed"] == ["profiles.local.ramp_fraction_per_s"], (
+        response
+    )
 
 
 @then("the history holds the winners alone, each as a version of its own")
 def step_winners(context):
-    winners = [parts(race)[0].edit_id for race in context.races]
-    kept = context.operator.history("bkk-e1")
-    assert [note["edit_id"] for note in kept][:-1] == winners[::-1], kept
-    assert [note["version"] for note in kept] == [4, 3, 2, 1], kept
+    winners = [winner_and_responses(race)[0].edit_id for race in context.races]
+    history = context.operator.history("bkk-e1")
+    assert [row["edit_id"] for row in history][:-1] == winners[::-1], history
+    assert [row["version"] for row in history] == [4, 3, 2, 1], history
 
 
 @when("an operator edits while the platform loses 1 answer")
 def step_lost_answer(context):
-    context.deployment.faults(lose_answers=1, **LOST)
-    change(context)
+    context.deployment.faults(lose_answers=1, **LOSE_CONFIGURATION)
+    make_edit(context)
 
 
 @when("an operator edits and the platform goes out after the lost {what}")
 def step_lost_then_out(context, what):
     context.deployment.faults(
-        **{f"lose_{what}s": 1}, down_after_loss=True, **LOST
+        **{f"lose_{what}s": 1}, down_after_loss=True, **LOSE_CONFIGURATION
     )
-    change(context)
+    make_edit(context)
 
 
 @then("the edit is told as edit_unknown, also when asked by its id")
 def step_unknown(context):
-    told = context.operator.told
-    assert told.status == 503, told
-    assert told.json()["kind"] == "edit_unknown", told
-    assert told.json()["ran"] == "unknown", told
+    response = context.operator.told
+    assert response.status == 503, response
+    assert response.json()["kind"] == "edit_unknown", response
+    assert response.json()["ran"] == "unknown", response
     step_fate_kind(context, "edit_unknown")
 
 
 @when("the platform answers again")
 def step_platform_back(context):
-    context.deployment.faults(**WELL)
+    context.deployment.faults(**NO_FAULTS)
 
 
 @then("the edit asked by its id through every entry becomes accepted")
@@ -162,8 +164,8 @@
 
 @then("the edit asked by its id is {kind}")
 def step_fate_kind(context, kind):
-    fate = context.operator.fate("bkk-e0")
-    assert fate["kind"] == kind, fate
+    status = context.operator.fate("bkk-e0")
+    assert status["kind"] == kind, status
 
 
 @when("another edit is accepted")
@@ -176,22 +178,22 @@
 
 @when("an edit is accepted")
 def step_accept(context):
-    # What the platform held before; it is rolled back to this.
+    # The platform's state before the edit, for a later rollback.
     context.before = {
         key: platform_value(context.deployment, key)
         for key in (CONFIGURATION_KEY, TABLE_KEY)
     }
-    change(context)
+    make_edit(context)
     step_is_accepted(context)
 
 
 @then("the edit is accepted")
 def step_is_accepted(context):
-    told = context.operator.told
-    assert told.status == 200, told
-    assert told.json()["state"] == "accepted", told
-    context.version = told.json()["version"]
-    # Not a moment later: accepted means in force on all of them now.
+    response = context.operator.told
+    assert response.status == 200, response
+    assert response.json()["state"] == "accepted", response
+    context.version = response.json()["version"]
+    # Checked at once: accepted means that every entry has it in force.
     step_in_force(context)
 
 
@@ -204,30 +206,30 @@
 
 @then("the history has the edit once")
 def step_once(context):
-    kept = context.operator.history("cnx-e0")
-    ids = [note["edit_id"] for note in kept]
+    history = context.operator.history("cnx-e0")
+    ids = [row["edit_id"] for row in history]
     assert ids.count(context.operator.edit_id) == 1, ids
-    # No version beside it: each is one edit, one above the last.
-    versions = [note["version"] for note in kept]
-    assert versions == list(range(len(kept), 0, -1)), kept
+    # There are no other versions: each edit adds one to the last.
+    versions = [row["version"] for row in history]
+    assert versions == list(range(len(history), 0, -1)), history
 
 
 @when('an operator edits while entry "{name}" is frozen')
 def step_edit_frozen(context, name):
     context.frozen = context.processes.children[name]
     context.frozen.freeze()
-    change(context)
+    make_edit(context)
 
 
 @then('the edit is told as edit_pending, lacking "{name}"')
 def step_pending(context, name):
-    told = context.operator.told
-    assert told.status == 202, told
-    assert told.json()["kind"] == "edit_pending", told
-    assert told.json()["lacking"] == [name], told
-    fate = context.operator.fate("cnx-e0")
-    assert fate["kind"] == "edit_pending", fate
-    assert fate["lacking"] == [name], fate
+    response = context.operator.told
+    assert response.status == 202, response
+    assert response.json()["kind"] == "edit_pending", response
+    assert response.json()["lacking"] == [name], response
+    status = context.operator.fate("cnx-e0")
+    assert status["kind"] == "edit_pending", status
+    assert status["lacking"] == [name], status
 
 
 @when("the frozen entry goes on")
@@ -294,7 +296,7 @@
     until_s = time.monotonic() + time_s
     while time.monotonic() < until_s:
         step_in_force(context)
-        time.sleep(BETWEEN_S)
+        time.sleep(PAUSE_S)
 
 
 @then("no entry left the table of the others")
@@ -307,7 +309,7 @@
 
 @when("an operator edits the version in force")
 def step_repair(context):
-    change(context)
+    make_edit(context)
 
 
 @then("the platform holds it, and the table with all {count:d} entries")
@@ -334,39 +336,39 @@
     def is_answered():
         return get(address, "/matching/orders/1").status == 200
 
-    wait_until(is_answered, limit_s=SETTLE_LIMIT_S, what="an answer")
+    wait_until(is_answered, limit_s=SETTLE_LIMIT_S, what="a response")
 
 
 @when('{count:d} requests are sent through "{name}"')
 def step_send(context, count, name):
     address = context.deployment.entries[name]["caller"]
     context.ran = []
-    # Load reports of peers that just started may be a moment away.
+    # Load reports of peers that just started may still be missing.
     step_answered(context, name)
     for number in range(count):
-        answer = get(address, f"/matching/orders/{number}")
-        assert answer.status == 200, answer
-        context.ran.append(answer.json()["upstream"])
-        time.sleep(BETWEEN_S)
+        response = get(address, f"/matching/orders/{number}")
+        assert response.status == 200, response
+        context.ran.append(response.json()["upstream"])
+        time.sleep(PAUSE_S)
 
 
-def far(context):
+def runs_in_cnx(context):
     return [name for name in context.ran if name.startswith("cnx")]
 
 
 @then("no request ran in cnx")
 def step_none_far(context):
-    assert not far(context), context.ran
+    assert not runs_in_cnx(context), context.ran
 
 
 @then("more than {count:d} requests ran in cnx")
 def step_many_far(context, count):
-    assert len(far(context)) > count, len(far(context))
+    assert len(runs_in_cnx(context)) > count, len(runs_in_cnx(context))
 
 
 @when('the service is put on profile "{profile}"')
 def step_assign(context, profile):
-    told = context.operator.edit(
+    response = context.operator.edit(
         "cnx-e0", 'profile = "local"', f'profile = "{profile}"'
     )
-    assert told.json()["state"] == "accepted", told
+    assert response.json()["state"] == "accepted", response
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps of platform.feature: the adapter against a platform process."""
+"""Steps for the platform adapter against a platform process."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
     "a long delay": {"delay_ms": LONG_DELAY_MS},
     "an outage": {"down": True},
 }
-WELL = {"lose_answers": 0, "lose_calls": 0, "delay_ms": 0, "down": False}
+NO_FAULTS = {"lose_answers": 0, "lose_calls": 0, "delay_ms": 0, "down": False}
 NO_SUCH_LEASE = 4711
 WATCH_LIMIT_S = 3.0
 
@@ -153,7 +153,7 @@
 @then("the key was {effect}")
 def effect_was(context, effect):
     run(context, asyncio.sleep(LONG_DELAY_MS / 1000))
-    set_faults(context, WELL)
+    set_faults(context, NO_FAULTS)
     record = run(context, context.service.get(key=KEY))
     assert (record is not None) == (effect == "written"), record
 
@@ -170,8 +170,8 @@
             calls.append(asyncio.ensure_future(failure_of(created)))
         return await asyncio.gather(*calls)
 
-    # The calls start a little apart on a busy machine; the one more must stop
-    # waiting before the first of them gives its place back.
+    # Calls start slightly apart on a busy host; the extra call must stop
+    # waiting before the first of them releases its slot.
     with mock.patch.object(etcd_calls, "MIN_CALL_S", context.limit_s / 2):
         context.failures = run(context, fill())
 
@@ -230,7 +230,7 @@
 )
 def outage(context, out_ms, key):
     run(context, asyncio.sleep(0.2))
-    # The outage cuts the watch; the write is applied with its answer lost.
+    # The outage closes the watch; the write is applied but its answer is lost.
     set_faults(context, {"delay_ms": 200})
     writing = context.loop.create_task(
         failure_of(context.service.create(key=key, value=b"1"))
@@ -238,7 +238,7 @@
     run(context, asyncio.sleep(0.1))
     set_faults(context, {"down": True})
     run(context, asyncio.sleep(out_ms / 1000))
-    set_faults(context, WELL)
+    set_faults(context, NO_FAULTS)
     if run(context, writing) is not None:
         run(context, context.service.create(key=key, value=b"1"))
 
@@ -274,8 +274,8 @@
     assert seen == [("a/1", True), ("a/2", True), ("a/1", False)], seen
 
 
-class Compacted(web.RequestHandler):
-    """A watch whose first revisions are gone; later ones arrive in parts."""
+class CompactedWatchHandler(web.RequestHandler):
+    """Serves a watch with compacted first revisions; the rest come in parts."""
 
     def initialize(self, asked):
         self.asked = asked
@@ -301,7 +301,7 @@
     context.notices = []
     context.asked = []
     address = harness.free_address()
-    routes = [(r"/v3/watch", Compacted, {"asked": context.asked})]
+    routes = [(r"/v3/watch", CompactedWatchHandler, {"asked": context.asked})]
 
     async def start():
         ip, port = address.split(":")
--- a/features/steps/replay_steps.py
+++ b/features/steps/replay_steps.py
@@ -17,7 +17,7 @@
 from emulator.replay import Replay
 
 _PATTERNS = Path(__file__).resolve().parents[2] / "emulator" / "patterns"
-_DOZEN = 12
+_MIN_PATTERNS = 12
 _CHANGES = {
     "an unknown key": ("slots = 6", "sloots = 6"),
     "a kind of no service": ('service = "short"', 'service = "nothing"'),
@@ -49,7 +49,7 @@
 @then("each pattern of emulator/patterns is read, a dozen at least")
 def step_all_read(context):
     paths = sorted(_PATTERNS.glob("*.toml"))
-    assert len(paths) >= _DOZEN, paths
+    assert len(paths) >= _MIN_PATTERNS, paths
     for path in paths:
         assert load_pattern.load(path).shows, path
 
@@ -59,40 +59,40 @@
 )
 def step_twice(context, name, one, other):
     context.pattern = _load(name)
-    context.plays = []
+    context.results = []
     for seed in (one, one, other):
-        context.plays.append(Replay(context.pattern, seed=seed).play())
+        context.results.append(Replay(context.pattern, seed=seed).play())
 
 
 @then("the first two plays are equal, and the third is another")
 def step_equal(context):
-    first, again, other = context.plays
+    first, again, other = context.results
     assert first == again
     assert first != other
 
 
-def _expected(pattern, kind):
+def _expected_count(pattern, kind):
     """Returns how many requests of a kind come after the warm-up."""
     count = kind.per_s * (pattern.span_s - pattern.warm_up_s)
-    for trouble in pattern.troubles:
-        if trouble.what == "burst" and trouble.kind in ("", kind.name):
-            count += kind.per_s * (trouble.times - 1) * trouble.for_s
+    for disturbance in pattern.troubles:
+        if disturbance.what == "burst" and disturbance.kind in ("", kind.name):
+            count += kind.per_s * (disturbance.times - 1) * disturbance.for_s
     return count
 
 
 @then("each kind of request was asked for within a tenth of its rate")
 def step_rates(context):
-    for play in context.plays:
+    for result in context.results:
         for kind in context.pattern.kinds:
-            expected = _expected(context.pattern, kind)
-            asked = play.kinds[kind.name].asked
+            expected = _expected_count(context.pattern, kind)
+            asked = result.kinds[kind.name].asked
             assert 0.9 * expected < asked < 1.1 * expected, (asked, expected)
 
 
 @then("as many requests ended as were asked for")
 def step_all_ended(context):
-    for play in context.plays:
-        for kind in play.kinds.values():
+    for result in context.results:
+        for kind in result.kinds.values():
             ended = kind.in_aim + kind.late + kind.refused + kind.failed
             assert ended == kind.asked, kind
 
@@ -100,15 +100,15 @@
 @when('"{name}" is replayed with seeds 1 to {last:d}')
 def step_seeds(context, name, last):
     context.pattern = _load(name)
-    context.plays = replaying.play(
+    context.results = replaying.play(
         context.pattern, seeds=last, constants=(), jobs=1
     )
 
 
 @then("the credit is at least {least:g}")
 def step_credit(context, least):
-    for play in context.plays:
-        assert play.credit >= least, play
+    for result in context.results:
+        assert result.credit >= least, result
 
 
 @then("no more was answered than the slots can run")
@@ -118,17 +118,17 @@
     for service in pattern.services:
         slots += service.slots * sum(service.upstreams.values())
     quickest_s = min(kind.known_s for kind in pattern.kinds)
-    # The last ones end after the span, and upstreams differ in speed.
+    # The last requests end after the span, and upstreams differ in speed.
     span_s = pattern.span_s + max(kind.deadline_s for kind in pattern.kinds)
-    for play in context.plays:
-        assert play.runs < 1.5 * slots * span_s / quickest_s, play
+    for result in context.results:
+        assert result.runs < 1.5 * slots * span_s / quickest_s, result
 
 
 @then("at least as many runs were new as objects ran")
 def step_new_runs(context):
-    for play in context.plays:
-        assert play.new_runs >= play.places, play
-        assert play.new_runs > 0.01 * play.runs, play
+    for result in context.results:
+        assert result.new_runs >= result.places, result
+        assert result.new_runs > 0.01 * result.runs, result
 
 
 @when('the mechanism "{name}" is switched off for a while')
@@ -160,9 +160,9 @@
     name, _, value = change.partition("=")
     wanted = {"--without": "without", "--constants": "constants"}[name]
     given = {"without": [], "constants": []} | {wanted: [value]}
-    context.said = io.StringIO()
+    context.stderr = io.StringIO()
     context.code = 0
-    with contextlib.redirect_stderr(context.said):
+    with contextlib.redirect_stderr(context.stderr):
         try:
             replaying.replay((), seeds=1, jobs=1, **given)
         except SystemExit as end:
@@ -172,7 +172,7 @@
 @then('it ends with exit code {code:d} and says "{words}"')
 def step_said(context, code, words):
     assert context.code == code, context.code
-    assert words in context.said.getvalue(), context.said.getvalue()
+    assert words in context.stderr.getvalue(), context.stderr.getvalue()
 
 
 @when(
@@ -182,13 +182,13 @@
 def step_with_and_without(context, name, last, mechanism):
     pattern = _load(name)
     constants = replay_switches.without([mechanism])
-    played = []
+    results = []
     for changed in ((), constants):
-        played.append(
+        results.append(
             replaying.play(pattern, seeds=last, constants=changed, jobs=2)
         )
     context.rows = {}
-    for row in replaying.compare(*played):
+    for row in replaying.compare(*results):
         context.rows[row.name] = row
 
 
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the soak and its checks."""
+"""Steps for the soak test and its checks."""
 
 import asyncio
 from pathlib import Path
@@ -37,7 +37,7 @@
 _END = [Span("the end", 0.0, 9.0)]
 
 
-def _faults(check, sent, ran):
+def _run_check(check, sent, ran):
     found = {
         "answers": lambda: checks.check_answers(sent),
         "once": lambda: checks.check_once(sent, ran),
@@ -51,7 +51,7 @@
     return found[check]()
 
 
-def _planted(fault):
+def _plant_fault(fault):
     sent = list(_CALM_SENT)
     ran = list(_CALM_RAN)
     one = Sent("d", "/safe/1", True, 4.0, 4.1, 200, "seal-d", True)
@@ -82,12 +82,12 @@
 
 @then('the check "{check}" passes on a calm record')
 def step_calm(context, check):
-    assert _faults(check, _CALM_SENT, _CALM_RAN) == []
+    assert _run_check(check, _CALM_SENT, _CALM_RAN) == []
 
 
 @then('the check "{check}" fails on a record with "{fault}"')
 def step_planted(context, check, fault):
-    assert _faults(check, *_planted(fault)), fault
+    assert _run_check(check, *_plant_fault(fault)), fault
 
 
 @then("ports of processes lie below those of outgoing connections")
@@ -101,11 +101,11 @@
 
 @then("no two workers share a port")
 def step_workers(context):
-    taken = []
+    assigned = []
     for worker in range(run_features.WORKERS):
         first, last = run_features.worker_ports(worker).split("-")
-        taken += range(int(first), int(last) + 1)
-    assert len(taken) == len(set(taken)), "ports are shared"
+        assigned += range(int(first), int(last) + 1)
+    assert len(assigned) == len(set(assigned)), "ports are shared"
 
 
 @then("two plans of seed 7 are equal, and seed 8's differs")
@@ -119,14 +119,14 @@
 def step_stands_still(context, length_s):
     context.watch = LoopWatch()
 
-    async def stand_still():
-        watching = asyncio.ensure_future(context.watch.run())
+    async def block_loop():
+        task = asyncio.ensure_future(context.watch.run())
         await asyncio.sleep(2 * TURN_S)
         time.sleep(length_s)
         await asyncio.sleep(2 * TURN_S)
-        watching.cancel()
+        task.cancel()
 
-    asyncio.run(stand_still())
+    asyncio.run(block_loop())
 
 
 @then("a pause of at least {length_s:g} s was noted")
@@ -135,7 +135,7 @@
     assert longest_s >= length_s, context.watch.pauses
 
 
-def _soak(context, seed, seconds, *options):
+def _run_soak(context, seed, seconds, *options):
     context.done = subprocess.run(
         [sys.executable, "-m", "soak", "run", str(seed)]
         + ["--seconds", str(seconds), *options],
@@ -149,7 +149,7 @@
 
 @when("the soak plays seed {seed:d} for {seconds:d} s")
 def step_soak(context, seed, seconds):
-    _soak(context, seed, seconds, "--first_kinds")
+    _run_soak(context, seed, seconds, "--first_kinds")
 
 
 @when("the soak plays seed {seed:d} with all kinds for {seconds:d} s")
@@ -157,7 +157,7 @@
     kinds = {step.kind for step in plan.make(seed, seconds=seconds)}
     for kind in (plan.Kind.UPSTREAM_RESTART, plan.Kind.FOREIGN_WRITER):
         assert kind in kinds, kinds
-    _soak(context, seed, seconds)
+    _run_soak(context, seed, seconds)
 
 
 @then("it broke no promise and most requests were served")
