--- a/features/steps/observing_steps.py
+++ b/features/steps/observing_steps.py
@@ -268,7 +268,9 @@
                 missing.add(metric.name)
         return missing <= {"RETRIES"}
 
-    wait_until(all_received, limit_s=5.0, what=f"metrics: {context.heard}")
+    wait_until(
+        all_received, limit_s=5.0, what=f"metrics: {context.metric_names}"
+    )
 
 
 @then("it hears no name that is not on the page")
