--- a/features/steps/emulator_steps.py
+++ b/features/steps/emulator_steps.py
@@ -300,20 +300,29 @@
             await asyncio.sleep(seconds)
         finally:
             await world.end()
-        return {way: datagrams.passed for way, datagrams in world.ways.items()}
+        return {
+            proxy_key: datagrams.passed
+            for proxy_key, datagrams in world.ways.items()
+        }
 
 
 @when("its gateways have taken callers for {seconds:d} s")
 def step_play(context, seconds):
-    context.ways = asyncio.run(_count_datagrams(context.deployment, seconds))
+    context.datagram_counts = asyncio.run(
+        _count_datagrams(context.deployment, seconds)
+    )
 
 
 @then(
     "each gateway was reached by the other's way, and by none from its own zone"
 )
 def step_ways(context):
-    used = {way for way, count in context.ways.items() if count}
-    assert used == {("a1", "g1"), ("b1", "g0")}, context.ways
+    used = {
+        proxy_key
+        for proxy_key, count in context.datagram_counts.items()
+        if count
+    }
+    assert used == {("a1", "g1"), ("b1", "g0")}, context.datagram_counts
 
 
 @when("two settings are compared on a small deployment for {seconds:g} s")
