--- a/benchmarks/blocks.py
+++ b/benchmarks/blocks.py
@@ -1,9 +1,9 @@
 """Measures the table of client blocks at three sizes up to the target.
 
 Run: python -m benchmarks.blocks
-Prints one line a size: memory a block, time to build, to write as shards and
-to read back, and time of one look-up. The arrays are built from made-up blocks
-of which nine in ten are IPv4.
+Prints one line per size: memory per block, time to build, to write as shards
+and to read back, and time of one lookup. The arrays are built from synthetic
+blocks, of which nine in ten are IPv4.
 """
 
 from collections.abc import Iterator
@@ -43,7 +43,7 @@
 
 
 def _peak_mib(*, values: tuple[bytes, ...]) -> float:
-    """Returns the most memory that reading the shards takes."""
+    """Returns the peak memory while the shards are read."""
     tracemalloc.start()
     table_from_shards(values=values)
     _, peak_bytes = tracemalloc.get_traced_memory()
@@ -72,7 +72,7 @@
     for value in values:
         largest_bytes = max(largest_bytes, len(value))
     print(
-        f"{count:>9,} blocks: {table.size_bytes / count:.2f} bytes a block, "
+        f"{count:>9,} blocks: {table.size_bytes / count:.2f} bytes per block, "
         f"{table.size_bytes / MIB:.1f} MiB arrays, "
         f"built in {build_s:.2f} s CPU, "
         f"{len(values)} shards of at most {largest_bytes:,} bytes, "
@@ -80,7 +80,7 @@
         f"read in {sum(turns_s) * 1e3:.0f} ms, "
         f"{max(turns_s) * 1e3:.0f} ms at most at a time, "
         f"peak {_peak_mib(values=values):.1f} MiB, "
-        f"look-up {_lookup_us(table=table, draw=draw):.2f} us CPU"
+        f"lookup {_lookup_us(table=table, draw=draw):.2f} us CPU"
     )
 
 
--- a/benchmarks/choices.py
+++ b/benchmarks/choices.py
@@ -1,10 +1,10 @@
-"""What it costs to decide where a request goes, by upstreams of its service.
+"""Measures the cost of a placement decision by upstreams of the service.
 
     python -m benchmarks.choices
 
-Prints microseconds a decision in the median of rounds: where the order of the
-key's upstreams is remembered, where a plan's new weights have made the entry
-forget the orders, and for a key that was never asked for.
+Prints the median over rounds of the microseconds per decision: with the order
+of the key's upstreams cached, after the new weights of a plan have invalidated
+the cached orders, and for a key without a cached order.
 """
 
 from collections.abc import Callable
@@ -23,22 +23,22 @@
 UPSTREAMS = (30, 310, 5_000)
 KEYS = 200
 ROUNDS = 7
-# Part of the slots that is in use.
-USE = 0.7
+# Fraction of the slots in use.
+USED_FRACTION = 0.7
 
 
 class Cost(NamedTuple):
-    """Microseconds a decision.
+    """Microseconds per decision.
 
     Attributes:
-      upstreams: of the service.
-      remembered_us: the key's order is remembered.
-      weighted_us: the plan has changed since.
-      new_us: the key was never asked for.
+      upstreams: number of upstreams of the service.
+      cached_us: time with the key's order cached.
+      weighted_us: time after the weights of the plan have changed.
+      new_us: time for a new key.
     """
 
     upstreams: int
-    remembered_us: float
+    cached_us: float
     weighted_us: float
     new_us: float
 
@@ -64,8 +64,8 @@
     )
 
 
-def _ask(entry: ModelledEntry, key: str) -> None:
-    asked = PlacementRequest(
+def _place(entry: ModelledEntry, key: str) -> None:
+    request = PlacementRequest(
         route=entry.routes["k"],
         service="s",
         key=key,
@@ -73,39 +73,41 @@
         deadline_s=102.0,
         tried=(),
     )
-    placed = entry.placing.place(asked, now_s=100.0)
+    placed = entry.placing.place(request, now_s=100.0)
     assert placed.choice is not None
 
 
 def _median_us(
-    entry: ModelledEntry, keys: Callable[[int], list[str]], before: bool
+    entry: ModelledEntry, keys: Callable[[int], list[str]], new_weights: bool
 ) -> float:
-    found = []
+    times_us = []
     for number in range(ROUNDS):
-        if before:
+        if new_weights:
             percent = 90 + number
             loads: dict[str, int] = {}
             entry.hear(loads, loads, Plan(weights={number: percent}))
             _load(entry)
-        asked = keys(number)
-        began_s = time.perf_counter()
-        for key in asked:
-            _ask(entry, key)
-        found.append((time.perf_counter() - began_s) / len(asked) * 1e6)
-    return statistics.median(found)
+        used_keys = keys(number)
+        started_s = time.perf_counter()
+        for key in used_keys:
+            _place(entry, key)
+        times_us.append(
+            (time.perf_counter() - started_s) / len(used_keys) * 1e6
+        )
+    return statistics.median(times_us)
 
 
 def _load(entry: ModelledEntry) -> None:
     [upstreams] = entry.takers().values()
     loads = {}
     for number, upstream in enumerate(upstreams):
-        held = round(USE * upstream.record.slots) + number % 3
+        held = round(USED_FRACTION * upstream.record.slots) + number % 3
         loads[upstream.name_hash] = held
     entry.hear(loads, {}, Plan(weights={}))
 
 
 def measure(upstreams: int) -> Cost:
-    """Measures decisions among a number of upstreams."""
+    """Measures decisions among `upstreams` upstreams."""
     pattern = _pattern(upstreams)
     entry = ModelledEntry(
         name="e", region="r0", pattern=pattern, names=("e", "f")
@@ -120,22 +122,22 @@
         return [f"new-{number}-{key}" for key in range(KEYS)]
 
     for key in same(0):
-        _ask(entry, key)
+        _place(entry, key)
     return Cost(
         upstreams=upstreams,
-        remembered_us=_median_us(entry, same, before=False),
-        weighted_us=_median_us(entry, same, before=True),
-        new_us=_median_us(entry, new, before=False),
+        cached_us=_median_us(entry, same, new_weights=False),
+        weighted_us=_median_us(entry, same, new_weights=True),
+        new_us=_median_us(entry, new, new_weights=False),
     )
 
 
 def main() -> None:
-    """Prints a row for each number of upstreams."""
-    print("upstreams  remembered us  new weights us  new key us")
+    """Prints one row per number of upstreams."""
+    print("upstreams  cached us  new weights us  new key us")
     for upstreams in UPSTREAMS:
         cost = measure(upstreams)
         print(
-            f"{cost.upstreams:9d}  {cost.remembered_us:13.1f}  "
+            f"{cost.upstreams:9d}  {cost.cached_us:9.1f}  "
             f"{cost.weighted_us:14.1f}  {cost.new_us:10.1f}"
         )
 
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,15 +1,16 @@
-"""Measures claims: platform calls a request, latency, processor time.
+"""Measures claims: platform calls per request, latency, CPU time.
 
-One request is a claim, some work, and its recorded outcome. Loads are open:
-requests start at their times whether or not earlier ones are done. The platform
-is the stand-in of the tests, in a process of its own, with a fixed delay.
+One request is a claim, some work, and its recorded outcome. The load is open
+loop: requests start on schedule whether or not earlier ones have finished. The
+platform is the stand-in of the tests, in a separate process, with a fixed
+delay.
 
-Ways: (a) each write a call of its own; (b') the writes that queue while calls
-are under way share the next one; (b'+) so, and outcomes are collected for a
-tenth of a second. (b), forwarding each request to the owner of its key, is not
-built: if one owner took the keys of ten entries, it would see ten times the
-load of one, so its calls a request are those of (b'+) at that load, and each
-request pays a hop more. The last line puts the two side by side.
+Modes of writing: (a) one call per write; (b') writes that queue while calls are
+in flight share the next call; (b'+) as (b'), and outcomes are collected for
+0.1 s. (b), forwarding each request to the owner of its key, is not implemented:
+an owner of the keys of ten entries would see ten times the load of one, so its
+calls per request are those of (b'+) at that load, and each request costs one
+more hop. The last line compares the two.
 
     python -m benchmarks.claims
 """
@@ -43,8 +44,8 @@
 ANSWER = ledger.keep_answer(status=201, headers=[], body=b"x" * 200)
 
 
-class Way(NamedTuple):
-    """How writes go to the platform."""
+class WriteMode(NamedTuple):
+    """How writes are sent to the platform."""
 
     name: str
     max_batch: int
@@ -52,16 +53,16 @@
     settle_delay_s: float
 
 
-WAYS = (
-    Way("(a) a call a write", 1, 32, 0.0),
-    Way("(b') 1 under way", 64, 1, 0.0),
-    Way("(b') 2 under way", 64, 2, 0.0),
-    Way("(b'+) 2, outcomes 0.1 s", 64, 2, 0.1),
+WRITE_MODES = (
+    WriteMode("(a) one call per write", 1, 32, 0.0),
+    WriteMode("(b') 1 in flight", 64, 1, 0.0),
+    WriteMode("(b') 2 in flight", 64, 2, 0.0),
+    WriteMode("(b'+) 2, outcomes 0.1 s", 64, 2, 0.1),
 )
 
 
 class Row(NamedTuple):
-    """Figures of one way at one load."""
+    """Results of one mode at one load."""
 
     done_per_s: float
     refused: int
@@ -76,8 +77,8 @@
     return json.loads(answer.body)["writes"]
 
 
-async def measure(*, way: Way, load_per_s: int) -> Row:
-    """Runs one way at one load."""
+async def measure(*, mode: WriteMode, load_per_s: int) -> Row:
+    """Runs one mode at one load."""
     service = EtcdService(url=f"http://{ADDRESS}", timeout_s=0.5)
     claims = Claims(
         service=service,
@@ -85,9 +86,9 @@
         incarnation="bench",
         is_live=lambda entry, incarnation: True,
         retention_s=3600,
-        max_batch=way.max_batch,
-        max_under_way=way.max_under_way,
-        settle_delay_s=way.settle_delay_s,
+        max_batch=mode.max_batch,
+        max_under_way=mode.max_under_way,
+        settle_delay_s=mode.settle_delay_s,
     )
     latencies_us = HdrHistogram(1, 60_000_000, 3)
     refused = 0
@@ -98,7 +99,7 @@
         try:
             claim = await claims.claim(
                 service="approvals",
-                key=f"{way.name}/{load_per_s}/{number}",
+                key=f"{mode.name}/{load_per_s}/{number}",
                 fingerprint=b"",
                 deadline_s=start_s + 10,
             )
@@ -140,7 +141,7 @@
 
 
 async def measure_hop() -> tuple[float, float]:
-    """Returns p50 and processor time of one small call, in ms, no delay."""
+    """Returns p50 and CPU time in ms of one small call without delay."""
     service = EtcdService(url=f"http://{ADDRESS}", timeout_s=0.5)
     await set_delay(0)
     times_ms = []
@@ -163,28 +164,28 @@
 
 
 async def run() -> None:
-    """Runs every way at every load and prints the table."""
+    """Runs every mode at every load and prints the table."""
     await set_delay(PLATFORM_DELAY_MS)
     rows: dict[tuple[str, int], Row] = {}
     table = Table(title=f"claims, platform delay {PLATFORM_DELAY_MS} ms")
-    for heading in ("way", "load/s", *Row._fields):
+    for heading in ("mode", "load/s", *Row._fields):
         table.add_column(heading, justify="right")
     for load_per_s in LOADS_PER_S:
-        for way in WAYS:
-            row = await measure(way=way, load_per_s=load_per_s)
-            rows[way.name, load_per_s] = row
+        for mode in WRITE_MODES:
+            row = await measure(mode=mode, load_per_s=load_per_s)
+            rows[mode.name, load_per_s] = row
             cells = [f"{value:.2f}" for value in row]
-            table.add_row(way.name, str(load_per_s), *cells)
+            table.add_row(mode.name, str(load_per_s), *cells)
     console = Console(width=120)
     console.print(table)
-    alone = rows[WAYS[-1].name, LOADS_PER_S[0]].calls_per_request
-    owner = rows[WAYS[-1].name, LOADS_PER_S[0] * 10].calls_per_request
+    single = rows[WRITE_MODES[-1].name, LOADS_PER_S[0]].calls_per_request
+    owner = rows[WRITE_MODES[-1].name, LOADS_PER_S[0] * 10].calls_per_request
     hop_ms, hop_cpu_ms = await measure_hop()
     console.print(
-        f"(b) ten entries at {LOADS_PER_S[0]}/s each: {alone:.2f} calls a"
-        f" request each for itself, {owner:.2f} with one owner for all; a hop"
-        f" more on loopback is {hop_ms:.2f} ms and {hop_cpu_ms:.2f} ms of"
-        " processor time at its sender, and the network's round trip on top",
+        f"(b) ten entries at {LOADS_PER_S[0]}/s each: {single:.2f} calls per"
+        f" request without an owner, {owner:.2f} with one owner for all; one"
+        f" more hop costs {hop_ms:.2f} ms on loopback and {hop_cpu_ms:.2f} ms"
+        " of CPU time at its sender, plus the round trip of the network",
         highlight=False,
     )
 
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,8 +1,8 @@
 """Measures what a new configuration costs an entry, by number of upstreams.
 
 Run: python -m benchmarks.configuration
-Processor time of reading the document, which happens in one stall of the loop,
-of taking it into homes and admission, and of unpacking it when a peer sent it.
+CPU time of reading the document, which blocks the event loop once, of applying
+it to homes and admission, and of unpacking it when a peer sent it.
 """
 
 import time
@@ -21,7 +21,7 @@
 from features.support.harness import Processes
 
 REGIONS = ("bkk", "cnx", "hkt", "nst")
-# Entries and upstreams: today, between, and the target.
+# Entries and upstreams, from the present size to the target.
 SIZES = ((12, 28), (96, 125), (192, 250), (385, 500), (770, 1000))
 REPEATS = 3
 FIRST_PORT = 20_000
@@ -61,8 +61,8 @@
     return EntryTable(1, tuple(rows))
 
 
-def take_ms(configuration: Configuration, table: EntryTable) -> float:
-    """Returns the time in which homes and admission take an edit."""
+def apply_ms(configuration: Configuration, table: EntryTable) -> float:
+    """Returns the CPU time in which homes and admission apply an edit."""
     book = SlotBook(margin_s=0.25)
     own = table.entries[0]
     homes = Homes(
@@ -84,13 +84,13 @@
 
 
 def measure(entries: int, upstreams: int) -> None:
-    """Prints the best of a few runs at one size."""
+    """Prints the lowest times of a few runs at one size."""
     text = text_of(upstreams)
     packed = messages.pack(text.encode())
     table = table_of(entries)
     unpack_ms = []
     read_ms = []
-    taken_ms = []
+    applied_ms = []
     for _ in range(REPEATS):
         started_s = time.process_time()
         messages.unpack(packed)
@@ -99,11 +99,11 @@
         read_s = time.process_time()
         unpack_ms.append((unpacked_s - started_s) * 1000)
         read_ms.append((read_s - unpacked_s) * 1000)
-        taken_ms.append(take_ms(configuration, table))
+        applied_ms.append(apply_ms(configuration, table))
     print(
         f"{entries:3} entries, {upstreams:4} upstreams: {len(text):7,} bytes, "
         f"{len(packed):6,} packed; unpack {min(unpack_ms):.2f} ms, "
-        f"read {min(read_ms):.1f} ms, take {min(taken_ms):.2f} ms CPU"
+        f"read {min(read_ms):.1f} ms, apply {min(applied_ms):.2f} ms CPU"
     )
 
 
--- a/benchmarks/delayed_daemon.py
+++ b/benchmarks/delayed_daemon.py
@@ -1,9 +1,9 @@
-"""The daemon with a delay between regions, for measurements on loopback.
+"""Runs the daemon with a delay between regions, for loopback measurements.
 
-The whole way there and back is waited for before a request is forwarded. So no
-slot is held during the delay, as the `--delay-ms` of the stand-in for upstreams
-would, and admission sees the request at most one way later than it should.
-Heartbeats are not delayed.
+A request waits for the whole round trip before it is forwarded. No slot is held
+during the delay, unlike with `--delay-ms` of the stand-in for upstreams, and
+admission sees the request at most one one-way delay late. Heartbeats are not
+delayed.
 
     python -m benchmarks.delayed_daemon --one-way-ms 12 --settings entry.toml
 """
@@ -19,7 +19,7 @@
 
 
 def delay_forwards(*, one_way_ms: float) -> None:
-    """Makes forwards to another availability zone wait."""
+    """Delays forwards to other availability zones."""
     forward = Sender.to_entry
 
     async def delayed(self: Sender, *, entry: EntryRow, **rest: Any) -> Attempt:
--- a/benchmarks/edits.py
+++ b/benchmarks/edits.py
@@ -1,12 +1,13 @@
-"""Measures the time from an edit to in force on every entry.
+"""Measures the time until an edit is in force on every entry.
 
-One command: `python -m benchmarks.edits`. Ten entries in two regions, one
-upstream each, a platform stand-in; 20 edits through changing entries. Two
-times are told, as the operator's side sees them:
+Run: python -m benchmarks.edits
+Starts ten entries in two regions, one upstream in each, and a platform
+stand-in, and makes 20 edits through different entries. Prints two times, as the
+operator observes them:
 
-* accepted: from sending the edit to the answer `accepted`.
+* accepted: from sending the edit to the response `accepted`.
 * in force: from sending it until the last entry shows the version, polled
-  every few milliseconds on a connection of each entry.
+  every few milliseconds on one connection per entry.
 """
 
 import argparse
@@ -31,14 +32,14 @@
     """Polls one entry until it has a version in force."""
 
     def __init__(self, *, address: str, version: int) -> None:
-        """Polls the operators' listener at `address`."""
+        """Initialises a watcher of the operators' listener at `address`."""
         super().__init__(daemon=True)
         self._address = address
         self._version = version
         self.seen_s: float | None = None
 
     def run(self) -> None:
-        """Polls."""
+        """Polls until the version is in force or `LIMIT_S` has passed."""
         ip, port = self._address.split(":")
         connection = http.client.HTTPConnection(ip, int(port), timeout=5)
         until_s = time.monotonic() + LIMIT_S
@@ -53,7 +54,7 @@
 
 
 def measure_one(operator: Operator, entry: str, fraction: float):
-    """Makes one edit; returns the two times in milliseconds."""
+    """Makes one edit; returns accepted and in force in milliseconds."""
     shown = operator.read(entry)
     text = set_ramp(shown["text"], fraction)
     watchers = []
@@ -65,9 +66,9 @@
         watcher.start()
     time.sleep(PAUSE_S)
     start_s = time.monotonic()
-    told = operator.put(entry, text, shown["version"])
+    response = operator.put(entry, text, shown["version"])
     accepted_s = time.monotonic()
-    assert told.status == 200, told
+    assert response.status == 200, response
     last_s = 0.0
     for watcher in watchers:
         watcher.join(LIMIT_S)
@@ -78,8 +79,8 @@
 
 def show(name: str, times_ms: list[float]) -> None:
     times_ms = sorted(times_ms)
-    middle_ms = times_ms[len(times_ms) // 2]
-    print(f"{name:<10} p50 {middle_ms:6.0f} ms   max {times_ms[-1]:6.0f} ms")
+    median_ms = times_ms[len(times_ms) // 2]
+    print(f"{name:<10} p50 {median_ms:6.0f} ms   max {times_ms[-1]:6.0f} ms")
 
 
 def main() -> None:
--- a/benchmarks/lookup_cost.py
+++ b/benchmarks/lookup_cost.py
@@ -1,9 +1,8 @@
-"""Measures the processor time of ordering a look-up and choosing a region.
+"""Measures the CPU time of ordering a lookup and of choosing a region.
 
 Run: python -m benchmarks.lookup_cost
-Look-ups are measured for buckets not asked for before and for kept ones;
-steering
-with one load report source a region and with as many as the target has.
+Lookups are measured for new and for cached buckets; steering with one source of
+load reports per region and with as many as the target size has.
 """
 
 import random
@@ -27,7 +26,7 @@
 from almondstair.core.model import Upstream
 from almondstair.core.steering import Steering
 
-# Entries in each zone and zones: today, between, and the target.
+# Entries per zone and zones, from the present size to the target.
 LAYOUTS = ((2, 6), (14, 14), (28, 14), (55, 14))
 SOURCES = (1, 48, 96, 192)
 REGIONS = 4
@@ -68,7 +67,7 @@
     return (time.process_time() - started_s) / len(blocks) * 1e6
 
 
-def _kept_mib(*, per_zone: int, zones: int, blocks: list[bytes]) -> float:
+def _cached_mib(*, per_zone: int, zones: int, blocks: list[bytes]) -> float:
     table = _table(per_zone=per_zone, zones=zones)
     tracemalloc.start()
     for block in blocks:
@@ -96,15 +95,15 @@
         started_s = time.process_time()
         table = _table(per_zone=per_zone, zones=zones)
         build_ms = (time.process_time() - started_s) * 1e3
-        fresh = _blocks_of_different_buckets()
-        kept_mib = _kept_mib(per_zone=per_zone, zones=zones, blocks=fresh)
-        fresh_us = _order_us(table=table, blocks=fresh)
-        kept_us = _order_us(table=table, blocks=fresh)
+        blocks = _blocks_of_different_buckets()
+        cached_mib = _cached_mib(per_zone=per_zone, zones=zones, blocks=blocks)
+        new_us = _order_us(table=table, blocks=blocks)
+        cached_us = _order_us(table=table, blocks=blocks)
         print(
-            f"{per_zone * zones:>4} entries, {per_zone:>2} a zone: "
-            f"order {fresh_us:.1f} us CPU, when kept {kept_us:.2f} us, "
+            f"{per_zone * zones:>4} entries, {per_zone:>2} per zone: "
+            f"order {new_us:.1f} us CPU, when cached {cached_us:.2f} us, "
             f"table built in {build_ms:.2f} ms, "
-            f"{len(fresh):,} kept answers take {kept_mib:.1f} MiB"
+            f"{len(blocks):,} cached orders take {cached_mib:.1f} MiB"
         )
 
 
@@ -148,7 +147,7 @@
 
 
 def _steering_us(*, policy: PolicyName, sources: int) -> tuple[float, float]:
-    """Returns the CPU of one choice and of one report in microseconds."""
+    """Returns the CPU time of one choice and one report in microseconds."""
     steering = Steering(configuration=_configuration(policy=policy))
     total = sources * REGIONS
     now_s = 0.0
@@ -181,7 +180,7 @@
         for sources in SOURCES:
             choose_us, report_us = _steering_us(policy=policy, sources=sources)
             print(
-                f"{policy:>11}, {sources:>3} sources a region: "
+                f"{policy:>11}, {sources:>3} sources per region: "
                 f"choose {choose_us:.1f} us CPU, report {report_us:.1f} us"
             )
 
--- a/benchmarks/membership_cost.py
+++ b/benchmarks/membership_cost.py
@@ -1,8 +1,8 @@
-"""Measures what an entry's view of the others costs, by number of entries.
+"""Measures the cost of an entry's view of the others by number of entries.
 
 Run: python -m benchmarks.membership_cost
-Processor time of one call of what the control side asks several times a second,
-and of the live entries when they were worked out a moment before.
+CPU time per call of the queries that the control plane makes several times a
+second, and of the live entries while their result is cached.
 """
 
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 def membership_of(entries: int) -> Membership:
-    """Returns the view of one entry that heard all others."""
+    """Returns the view of an entry with a heartbeat from every other."""
     rows = []
     for number in range(entries):
         rows.append(
@@ -43,7 +43,7 @@
 
 
 def call_us(call: Callable[[float], object], step_s: float) -> float:
-    """Returns the time of one call, `step_s` passing from call to call."""
+    """Returns the CPU time per call, with `step_s` between calls."""
     started_s = time.process_time()
     for number in range(CALLS):
         call(number * step_s)
@@ -51,17 +51,17 @@
 
 
 def measure(entries: int) -> None:
-    """Prints one size."""
+    """Prints the results for one number of entries."""
     view = membership_of(entries)
     last = view.table.entries[-1].name
-    anew_us = call_us(lambda now_s: view.live(now_s=now_s), LIVE_KEPT_S * 2)
-    kept_us = call_us(lambda now_s: view.live(now_s=now_s), 0.0)
+    computed_us = call_us(lambda now_s: view.live(now_s=now_s), LIVE_KEPT_S * 2)
+    cached_us = call_us(lambda now_s: view.live(now_s=now_s), 0.0)
     silent_us = call_us(lambda now_s: view.silent(now_s=now_s), 0.0)
     highest_us = call_us(lambda _: view.highest_version(own_version=1), 0.0)
     row_us = call_us(lambda _: view.table.row(name=last), 0.0)
     print(
-        f"{entries:3} entries: live entries {anew_us:.0f} us CPU, kept "
-        f"{kept_us:.1f} us, silent {silent_us:.0f} us, highest version "
+        f"{entries:3} entries: live entries {computed_us:.0f} us CPU, cached "
+        f"{cached_us:.1f} us, silent {silent_us:.0f} us, highest version "
         f"{highest_us:.0f} us, row by name {row_us:.1f} us"
     )
 
--- a/benchmarks/rolling_restarts.py
+++ b/benchmarks/rolling_restarts.py
@@ -1,9 +1,9 @@
-"""Measures rolling restarts under load: what is cut off, and how long it takes.
+"""Measures rolling restarts under load: failed requests and stop times.
 
-One command: `python -m benchmarks.rolling_restarts`. Five entries in two
-regions; callers that cache look-ups send 100 requests a second, a quarter of
-them keyed, while entries are stopped and started in turn. Prints the exit
-codes, the time of each stop, how the requests ended, and latencies.
+Run: python -m benchmarks.rolling_restarts
+Starts five entries in two regions. Callers that cache lookups send 100 requests
+per second, a quarter of them keyed, while entries are stopped and started in
+turn. Prints exit codes, stop times, the outcomes of the requests and latencies.
 """
 
 import argparse
@@ -25,7 +25,7 @@
 
 
 def restart(deployment: Deployment, name: str) -> tuple[int, float]:
-    """Restarts one entry; returns its exit code and the time of its stop."""
+    """Restarts one entry; returns its exit code and stop time in seconds."""
     start_s = time.monotonic()
     code = deployment.processes.children[name].terminate()
     stop_s = time.monotonic() - start_s
@@ -35,7 +35,7 @@
 
 
 def report(deployment: Deployment, codes: list[int], stops_s: list[float]):
-    """Prints what came of it."""
+    """Prints the results."""
     ends = read_ends(deployment)
     total = len(ends.latencies_ms)
     print(f"{len(codes)} restarts, exit codes {sorted(set(codes))}")
@@ -52,7 +52,7 @@
     print(f"keys run twice: {len(keys_run_twice(deployment))}")
     for name in deployment.upstreams:
         journal = deployment.journal(name)
-        print(f"{name}: most in flight {journal['max_in_flight']}")
+        print(f"{name}: max in flight {journal['max_in_flight']}")
 
 
 def main() -> None:
--- a/benchmarks/steering_state.py
+++ b/benchmarks/steering_state.py
@@ -1,8 +1,8 @@
-"""Measures memory and processor time of what steering keeps.
+"""Measures memory and CPU time of the steering state.
 
 Run: python -m benchmarks.steering_state
-Load reports by number of sources, in-band health by number of upstreams, and
-the quarantine by number of struck requests.
+Measures load reports by number of sources, in-band health by number of
+upstreams, and the quarantine by number of requests with strikes.
 """
 
 from collections.abc import Callable
--- a/spec/__init__.py
+++ b/spec/__init__.py
@@ -1,1 +1,1 @@
-"""Small specifications of the core protocol, checked state by state."""
+"""Specifications of the core protocols, verified by model checking."""
--- a/spec/check.py
+++ b/spec/check.py
@@ -1,8 +1,8 @@
-"""Checks every model of the specification: `python -m spec.check [NAME ...]`.
+"""Checks the models of the specification: `python -m spec.check [NAME ...]`.
 
-Each protocol must hold in every state that can be reached, and each mutant,
-which lacks one guard, must yield a counterexample. Prints the number of states
-and the result of each; exits with 1 on any surprise.
+The invariants of each protocol must hold in every reachable state, and each
+mutant, which lacks one guard, must yield a counterexample. Prints the number of
+states and the result for each model; exits with 1 if any result is unexpected.
 """
 
 from importlib import import_module
@@ -20,66 +20,67 @@
     "reserve",
     "claims",
     "shares",
-    "words",
+    "update_order",
     "incarnations",
 )
-MOST_STATES = 1_000_000
+MAX_STATES = 1_000_000
 
 
 class Finding(NamedTuple):
-    """What the checker found out about one model.
+    """Holds the result of checking one model.
 
     Attributes:
-      states: how many states it reached.
-      exhaustive: whether these are all.
-      broken: for each broken invariant the labels of the shortest way there.
-      seconds: how long it took.
+      states: number of states reached.
+      exhaustive: whether these are all reachable states.
+      violations: violated invariants, each with the step labels of the
+        shortest path to the violation.
+      seconds: duration of the check.
     """
 
     states: int
     exhaustive: bool
-    broken: dict[str, list[str]]
+    violations: dict[str, list[str]]
     seconds: float
 
 
 def check(model: CheckedModel) -> Finding:
-    """Explores one model."""
+    """Explores the states of one model."""
     started_s = time.monotonic()
-    result = minicheck.check_safety(model.protocol, max_states=MOST_STATES)
-    broken = {}
+    result = minicheck.check_safety(model.protocol, max_states=MAX_STATES)
+    violations = {}
     for invariant, verdict in result["properties"].items():
         if verdict["holds"] is not False:
             continue
         labels = []
         for step in verdict["counterexample"][1:]:
             labels.append(step["label"])
-        broken[invariant] = labels
+        violations[invariant] = labels
     seconds = time.monotonic() - started_s
     return Finding(
-        result["reachable_states"], result["exhaustive"], broken, seconds
+        result["reachable_states"], result["exhaustive"], violations, seconds
     )
 
 
 def is_as_expected(model: CheckedModel, finding: Finding) -> bool:
-    """Says whether a finding is the one that the model must give."""
+    """Returns whether a finding is the one expected of the model."""
     if model.expect_holds:
-        return finding.exhaustive and not finding.broken
-    return bool(finding.broken)
+        return finding.exhaustive and not finding.violations
+    return bool(finding.violations)
 
 
 def describe(model: CheckedModel, finding: Finding) -> str:
-    """Returns the lines that report one model."""
+    """Returns the report of one model, several lines joined."""
     result = "holds in all of them"
     if not finding.exhaustive:
         result = "NOT all states explored"
-    if finding.broken:
+    if finding.violations:
         result = "counterexample"
-    word = "ok" if is_as_expected(model, finding) else "SURPRISE"
+    status = "ok" if is_as_expected(model, finding) else "SURPRISE"
     lines = [
-        f"{word:9}{model.name}: {finding.states} states, {result}"
+        f"{status:9}{model.name}: {finding.states} states, {result}"
         f" ({finding.seconds:.1f} s)"
     ]
-    for invariant, labels in finding.broken.items():
+    for invariant, labels in finding.violations.items():
         lines.append(f"{'':11}{invariant}: {'; '.join(labels)}")
     return "\n".join(lines)
 
--- a/spec/checked_model.py
+++ b/spec/checked_model.py
@@ -1,4 +1,4 @@
-"""What each module of the specification offers to the model check."""
+"""Models as the modules of the specification offer them to the checker."""
 
 from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple
@@ -7,14 +7,14 @@
 
 
 class CheckedModel(NamedTuple):
-    """A protocol and what the check has to find out about it.
+    """Holds a protocol and the result that the check must give.
 
     Attributes:
       name: name in reports.
       protocol: the protocol, ready for `minicheck.check_safety`.
-      expect_holds: True for a right protocol, False for a mutant that must
+      expect_holds: True for a correct protocol, False for a mutant that must
         yield a counterexample.
-      guard: which guard was removed from the mutant; "" for the right one.
+      guard: the guard that the mutant lacks; "" for a correct protocol.
     """
 
     name: str
@@ -26,18 +26,18 @@
 def with_guards(
     protocol: Callable[[str, Any, Any], minicheck.Protocol], guards: Any
 ) -> Callable[[str, Any, str], minicheck.Protocol]:
-    """Returns what makes a protocol with all of its guards but one.
+    """Returns a function that builds a protocol without one of its guards.
 
     Args:
-      protocol: makes a protocol from a name, a start and its guards.
-      guards: every guard in place, as a named tuple of truths.
+      protocol: builds a protocol from a name, a start and its guards.
+      guards: a named tuple of booleans with every guard enabled.
     """
 
     def build(name: str, start: Any, without: str) -> minicheck.Protocol:
-        kept = guards
+        active = guards
         if without:
-            kept = guards._replace(**{without: False})
-        return protocol(name, start, kept)
+            active = guards._replace(**{without: False})
+        return protocol(name, start, active)
 
     return build
 
@@ -46,21 +46,21 @@
     *,
     module: str,
     build: Callable[[str, Any, str], minicheck.Protocol],
-    right: Sequence[tuple[str, Any]],
+    correct: Sequence[tuple[str, Any]],
     mutants: Sequence[tuple[str, Any]],
 ) -> tuple[CheckedModel, ...]:
-    """Returns the right models of a module and its mutants.
+    """Returns the correct models of a module and its mutants.
 
     Args:
-      module: name of the module, first in the name of each model.
-      build: makes a protocol from a name, a start and the guard to leave out,
+      module: name of the module, the prefix of each model's name.
+      build: builds a protocol from a name, a start and the guard to leave out,
         "" for none.
-      right: what distinguishes each right model, and its start.
-      mutants: the guard that each mutant lacks, and its start.
+      correct: the variant of each correct model, and its start.
+      mutants: the guard that each mutant lacks, and its start state.
     """
     models = []
-    for what, start in right:
-        name = f"{module}: {what}"
+    for variant, start in correct:
+        name = f"{module}: {variant}"
         models.append(
             CheckedModel(name, build(name, start, ""), expect_holds=True)
         )
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -1,14 +1,14 @@
 """Specification of claims: a key is dispatched at most once.
 
-A caller sends the same key two or three times, through two entries. The
-environment may at any moment lose the answer of a write that took effect, let a
-write take effect late or never, freeze an entry between any two steps (it does
-nothing while its deadline passes), end an entry, and let the next sending reach
-the entry that was started again in its place and remembers nothing.
+A caller sends the same key two or three times, through two entries. At any
+moment the environment may lose the response to a write that took effect, delay
+or drop a write, freeze an entry between any two steps (it does nothing while
+its deadline passes), terminate an entry, and route the next attempt to its
+restarted process, which has no memory of the earlier ones.
 
-"Told not run" is about one sending: the entry that said so never dispatches it.
-Nothing is dispatched after its deadline either: the account of slots counts on
-that, and so does an operator who looks up what became of the key.
+A "not run" reply concerns one attempt: the entry that sent it never dispatches
+that attempt. Nothing is dispatched after its deadline either: slot accounting
+relies on that, and so does an operator who looks up the outcome of the key.
 
 `spec/README.md` maps each action to the function of the core.
 """
@@ -26,12 +26,12 @@
 
 
 class Bounds(NamedTuple):
-    """Sizes of a model.
+    """Bounds the size of a model.
 
     Attributes:
       attempts: how often the caller sends the key.
-      writes: how often one sending writes its claim at most.
-      deaths: how often entry 0 ends.
+      writes: maximum number of claim writes in one attempt.
+      deaths: how often entry 0 may terminate.
     """
 
     attempts: int
@@ -39,8 +39,8 @@
     deaths: int
 
 
-class Mark(enum.IntEnum):
-    """State of a record; `almondstair.core.ledger.RecordState`."""
+class RecordStatus(enum.IntEnum):
+    """State of a record, as in `almondstair.core.ledger.RecordState`."""
 
     CLAIMED = 0
     DONE = 1
@@ -49,7 +49,7 @@
 
 
 class Phase(enum.IntEnum):
-    """Where one sending is."""
+    """Progress of one attempt."""
 
     NOT_SENT = 0
     WRITING = 1
@@ -60,8 +60,8 @@
     DEAD = 6
 
 
-class Told(enum.IntEnum):
-    """What its caller heard."""
+class CallerReply(enum.IntEnum):
+    """What the caller was told about an attempt."""
 
     NOTHING = 0
     NOT_RUN = 1
@@ -70,31 +70,31 @@
 
 
 class Record(NamedTuple):
-    """What the service holds under the key."""
+    """The record that the service stores under the key."""
 
     attempt: int
-    mark: Mark
+    status: RecordStatus
     revision: int
 
 
 class Write(NamedTuple):
-    """A write in the network, conditional on a revision (0: no key)."""
+    """A write in flight, conditional on a revision (0: no key)."""
 
     attempt: int
-    mark: Mark
+    status: RecordStatus
     base: int
 
 
 class Attempt(NamedTuple):
-    """One sending of the key."""
+    """One attempt to run the request of the key."""
 
     phase: Phase = Phase.NOT_SENT
-    told: Told = Told.NOTHING
-    late: bool = False
+    reply: CallerReply = CallerReply.NOTHING
+    past_deadline: bool = False
     base: int = 0
     writes: int = 0
     dispatched: bool = False
-    dispatched_late: bool = False
+    dispatched_past_deadline: bool = False
 
 
 class State(NamedTuple):
@@ -114,22 +114,22 @@
     reads_back: bool = True
     unknown_is_final: bool = True
     claim_is_exclusive: bool = True
-    closed_after_telling: bool = True
+    closes_after_reply: bool = True
 
 
 Step = tuple[str, State]
 
 
-def _with(state: State, number: int, attempt: Attempt) -> State:
+def _with_attempt(state: State, number: int, attempt: Attempt) -> State:
     if attempt.phase in (Phase.CLOSED, Phase.DEAD):
-        # Nothing reads these any more; blank, they merge states.
-        attempt = attempt._replace(base=0, writes=0, late=False)
+        # These are not read any more; clearing them merges equal states.
+        attempt = attempt._replace(base=0, writes=0, past_deadline=False)
     attempts = list(state.attempts)
     attempts[number] = attempt
     return state._replace(attempts=tuple(attempts))
 
 
-def _sending(state: State, write: Write) -> State:
+def _with_write(state: State, write: Write) -> State:
     return state._replace(network=state.network | {write})
 
 
@@ -143,17 +143,17 @@
     """The actions under one set of guards."""
 
     def __init__(self, *, bounds: Bounds, guards: Guards) -> None:
-        """Takes the sizes and the guards in place."""
+        """Initialises the model with its bounds and enabled guards."""
         self._bounds = bounds
         self._guards = guards
 
     def initial(self) -> State:
-        """Nothing sent, nothing recorded."""
+        """Returns the state with nothing sent and nothing recorded."""
         attempts = (Attempt(),) * self._bounds.attempts
         return State(attempts, None, frozenset(), self._bounds.deaths)
 
     def transitions(self, state: State) -> list[Step]:
-        """Every action of an entry, the service and the environment."""
+        """Returns every action of an entry, the service and the environment."""
         steps: list[Step] = []
         for number in range(len(state.attempts)):
             steps += self.send(state, number)
@@ -185,50 +185,61 @@
         changed = attempt._replace(
             phase=Phase.WRITING, base=base, writes=attempt.writes + 1
         )
-        after = _with(state, number, changed)
-        return _sending(after, Write(number, Mark.CLAIMED, base))
+        after = _with_attempt(state, number, changed)
+        return _with_write(after, Write(number, RecordStatus.CLAIMED, base))
 
     def _give_up(self, state: State, number: int) -> State:
-        """No claim: told not run, and the key is released if it was written."""
+        """Replies "not run" and releases the key in case it was written."""
         attempt = state.attempts[number]
         phase = Phase.CLOSED
-        if not self._guards.closed_after_telling:
+        if not self._guards.closes_after_reply:
             phase = attempt.phase
-        changed = attempt._replace(phase=phase, told=Told.NOT_RUN)
-        after = _with(state, number, changed)
-        return _sending(after, Write(number, Mark.RELEASED, attempt.base))
+        changed = attempt._replace(phase=phase, reply=CallerReply.NOT_RUN)
+        after = _with_attempt(state, number, changed)
+        return _with_write(
+            after, Write(number, RecordStatus.RELEASED, attempt.base)
+        )
 
     def apply_write(self, state: State, write: Write) -> Iterator[Step]:
-        """The service compares and swaps, and answers or its answer is lost."""
+        """The service compares and swaps; its response may be lost."""
         attempt = state.attempts[write.attempt]
         network = state.network - {write}
         after = state._replace(network=network)
         swapped = self._may_swap(state, write)
         if swapped:
-            record = Record(write.attempt, write.mark, _revision(state) + 1)
+            record = Record(write.attempt, write.status, _revision(state) + 1)
             after = after._replace(record=record)
         waits = attempt.phase is Phase.WRITING
-        if write.mark is not Mark.CLAIMED or not waits:
-            yield f"apply {write.attempt} {write.mark.name}", after
+        if write.status is not RecordStatus.CLAIMED or not waits:
+            yield f"apply {write.attempt} {write.status.name}", after
             return
         lost = attempt._replace(phase=Phase.ANSWER_LOST)
-        yield f"apply {write.attempt}, lost", _with(after, write.attempt, lost)
+        yield (
+            f"apply {write.attempt}, lost",
+            _with_attempt(after, write.attempt, lost),
+        )
         if swapped:
             held = attempt._replace(phase=Phase.HELD)
-            yield f"apply {write.attempt}", _with(after, write.attempt, held)
+            yield (
+                f"apply {write.attempt}",
+                _with_attempt(after, write.attempt, held),
+            )
             return
-        yield f"judge {write.attempt}", self._judge(after, write.attempt)
+        yield (
+            f"classify {write.attempt}",
+            self._classify_record(after, write.attempt),
+        )
 
     def _may_swap(self, state: State, write: Write) -> bool:
         if not self._guards.claim_is_exclusive:
             return True
         if _revision(state) == write.base:
             return True
-        # `Settlement.on_write`: again, on the revision of its own claim.
-        if write.mark is Mark.CLAIMED or state.record is None:
+        # `Settlement.on_write` retries on the revision of its own claim.
+        if write.status is RecordStatus.CLAIMED or state.record is None:
             return False
-        mine = state.record.attempt == write.attempt
-        return mine and state.record.mark is Mark.CLAIMED
+        is_own = state.record.attempt == write.attempt
+        return is_own and state.record.status is RecordStatus.CLAIMED
 
     def drop_write(self, state: State, write: Write) -> Iterator[Step]:
         """A write never reaches the service."""
@@ -237,67 +248,72 @@
             yield f"drop {write.attempt}", state._replace(network=network)
 
     def lose_answer(self, state: State, number: int) -> Iterator[Step]:
-        """The entry hears nothing; the write may take effect, now or later."""
+        """No response arrives; the write may take effect, now or later."""
         attempt = state.attempts[number]
         if attempt.phase is Phase.WRITING:
             changed = attempt._replace(phase=Phase.ANSWER_LOST)
-            yield f"no answer {number}", _with(state, number, changed)
+            yield f"no answer {number}", _with_attempt(state, number, changed)
 
     def service_fails(self, state: State, number: int) -> Iterator[Step]:
-        """The read back fails too: the claim is given up."""
+        """The read back fails too, so the claim is abandoned."""
         if state.attempts[number].phase is Phase.ANSWER_LOST:
             yield f"give up {number}", self._give_up(state, number)
 
     def read_back(self, state: State, number: int) -> Iterator[Step]:
-        """`Claiming.on_read`: look for one's own nonce."""
+        """`Claiming.on_read`: looks for the nonce of the own claim."""
         attempt = state.attempts[number]
         if attempt.phase is not Phase.ANSWER_LOST:
             return
         if not self._guards.reads_back:
             held = attempt._replace(phase=Phase.HELD)
-            yield f"assume {number}", _with(state, number, held)
+            yield f"assume {number}", _with_attempt(state, number, held)
             return
-        yield f"read back {number}", self._judge(state, number)
+        yield f"read back {number}", self._classify_record(state, number)
 
-    def _judge(self, state: State, number: int) -> State:
-        """`ledger.judge` and what follows from it."""
+    def _classify_record(self, state: State, number: int) -> State:
+        """`ledger.judge` and the steps that follow from its result."""
         attempt = state.attempts[number]
         record = state.record
         if record is None:
             return self._write_claim(state, number, base=0)
-        if record.attempt == number and record.mark is Mark.CLAIMED:
-            return _with(state, number, attempt._replace(phase=Phase.HELD))
+        if record.attempt == number and record.status is RecordStatus.CLAIMED:
+            return _with_attempt(
+                state, number, attempt._replace(phase=Phase.HELD)
+            )
         if self._is_claimable(record):
             return self._write_claim(state, number, base=record.revision)
-        told = Told.UNKNOWN
-        if record.mark is Mark.DONE:
-            told = Told.ANSWER
-        closed = attempt._replace(phase=Phase.CLOSED, told=told)
-        return _with(state, number, closed)
+        reply = CallerReply.UNKNOWN
+        if record.status is RecordStatus.DONE:
+            reply = CallerReply.ANSWER
+        closed = attempt._replace(phase=Phase.CLOSED, reply=reply)
+        return _with_attempt(state, number, closed)
 
     def _is_claimable(self, record: Record) -> bool:
-        if record.mark is Mark.RELEASED:
+        if record.status is RecordStatus.RELEASED:
             return True
-        return record.mark is Mark.UNKNOWN and not self._guards.unknown_is_final
+        return (
+            record.status is RecordStatus.UNKNOWN
+            and not self._guards.unknown_is_final
+        )
 
     def dispatch(self, state: State, number: int) -> Iterator[Step]:
-        """`Claim.dispatch`, right before the first byte."""
+        """`Claim.dispatch`, immediately before the first byte is sent."""
         attempt = state.attempts[number]
         allowed = attempt.phase is Phase.HELD
         if not self._guards.claims_first:
             allowed = attempt.phase in (Phase.WRITING, Phase.HELD)
-        if not self._guards.closed_after_telling:
+        if not self._guards.closes_after_reply:
             allowed = allowed and not attempt.dispatched
         if not allowed:
             return
-        if attempt.late and self._guards.checks_deadline:
+        if attempt.past_deadline and self._guards.checks_deadline:
             return
         changed = attempt._replace(
             phase=Phase.DISPATCHED,
             dispatched=True,
-            dispatched_late=attempt.late,
+            dispatched_past_deadline=attempt.past_deadline,
         )
-        yield f"dispatch {number}", _with(state, number, changed)
+        yield f"dispatch {number}", _with_attempt(state, number, changed)
 
     def release(self, state: State, number: int) -> Iterator[Step]:
         """`Claim.close` as released: no slot, or the deadline has passed."""
@@ -309,24 +325,27 @@
         attempt = state.attempts[number]
         if attempt.phase is not Phase.DISPATCHED:
             return
-        for mark, told in (
-            (Mark.DONE, Told.ANSWER),
-            (Mark.UNKNOWN, Told.UNKNOWN),
+        for status, reply in (
+            (RecordStatus.DONE, CallerReply.ANSWER),
+            (RecordStatus.UNKNOWN, CallerReply.UNKNOWN),
         ):
-            closed = attempt._replace(phase=Phase.CLOSED, told=told)
-            after = _with(state, number, closed)
-            write = Write(number, mark, attempt.base)
-            yield f"{mark.name} {number}", _sending(after, write)
+            closed = attempt._replace(phase=Phase.CLOSED, reply=reply)
+            after = _with_attempt(state, number, closed)
+            write = Write(number, status, attempt.base)
+            yield f"{status.name} {number}", _with_write(after, write)
 
     def pass_deadline(self, state: State, number: int) -> Iterator[Step]:
-        """Time passes while the entry does something else, or is frozen."""
+        """The deadline passes while the entry is busy or frozen."""
         attempt = state.attempts[number]
-        if attempt.phase is Phase.HELD and not attempt.late:
-            late = attempt._replace(late=True)
-            yield f"deadline {number}", _with(state, number, late)
+        if attempt.phase is Phase.HELD and not attempt.past_deadline:
+            past_deadline = attempt._replace(past_deadline=True)
+            yield (
+                f"deadline {number}",
+                _with_attempt(state, number, past_deadline),
+            )
 
     def die(self, state: State) -> Iterator[Step]:
-        """Entry 0 ends; a later sending meets a new process."""
+        """Entry 0 terminates; a later attempt reaches a new process."""
         if state.deaths == 0:
             return
         attempts = []
@@ -334,7 +353,7 @@
             gone = attempt.phase not in (Phase.NOT_SENT, Phase.CLOSED)
             if ENTRY_OF_ATTEMPT[number] == 0 and gone:
                 attempt = attempt._replace(  # noqa: PLW2901
-                    phase=Phase.DEAD, base=0, writes=0, late=False
+                    phase=Phase.DEAD, base=0, writes=0, past_deadline=False
                 )
             attempts.append(attempt)
         yield (
@@ -351,24 +370,24 @@
     return count <= 1
 
 
-def _told_not_run_is_true(fields: dict) -> bool:
+def _not_run_reply_is_true(fields: dict) -> bool:
     untrue = 0
     for attempt in fields["attempts"]:
-        if attempt.told is Told.NOT_RUN and attempt.dispatched:
+        if attempt.reply is CallerReply.NOT_RUN and attempt.dispatched:
             untrue += 1
     return untrue == 0
 
 
 def _nothing_dispatched_late(fields: dict) -> bool:
-    late = 0
+    past_deadline = 0
     for attempt in fields["attempts"]:
-        if attempt.dispatched_late:
-            late += 1
-    return late == 0
+        if attempt.dispatched_past_deadline:
+            past_deadline += 1
+    return past_deadline == 0
 
 
 def protocol(name: str, bounds: Bounds, guards: Guards) -> Protocol:
-    """Returns the protocol for the checker."""
+    """Returns the protocol for the model checker."""
     model = Model(bounds=bounds, guards=guards)
     return Protocol(
         name=name,
@@ -378,32 +397,32 @@
         transitions=model.transitions,
         invariants={
             "dispatched_at_most_once": _dispatched_at_most_once,
-            "told_not_run_is_true": _told_not_run_is_true,
+            "not_run_reply_is_true": _not_run_reply_is_true,
             "nothing_dispatched_late": _nothing_dispatched_late,
         },
     )
 
 
-TWICE = Bounds(attempts=2, writes=2, deaths=1)
-THRICE = Bounds(attempts=3, writes=1, deaths=1)
-ONCE = Bounds(attempts=1, writes=2, deaths=1)
+TWO_ATTEMPTS = Bounds(attempts=2, writes=2, deaths=1)
+THREE_ATTEMPTS = Bounds(attempts=3, writes=1, deaths=1)
+ONE_ATTEMPT = Bounds(attempts=1, writes=2, deaths=1)
 
 MUTANTS = (
-    ("claims_first", TWICE),
-    ("checks_deadline", TWICE),
-    ("reads_back", TWICE),
-    ("unknown_is_final", TWICE),
-    ("claim_is_exclusive", TWICE),
-    ("closed_after_telling", ONCE),
+    ("claims_first", TWO_ATTEMPTS),
+    ("checks_deadline", TWO_ATTEMPTS),
+    ("reads_back", TWO_ATTEMPTS),
+    ("unknown_is_final", TWO_ATTEMPTS),
+    ("claim_is_exclusive", TWO_ATTEMPTS),
+    ("closes_after_reply", ONE_ATTEMPT),
 )
 
 
 MODELS = checked_models(
     module="claims",
     build=with_guards(protocol, Guards()),
-    right=(
-        ("sent twice, written twice", TWICE),
-        ("sent three times", THRICE),
+    correct=(
+        ("sent twice, written twice", TWO_ATTEMPTS),
+        ("sent three times", THREE_ATTEMPTS),
     ),
     mutants=MUTANTS,
 )
--- a/spec/homes.py
+++ b/spec/homes.py
@@ -1,16 +1,16 @@
-"""Specification of how the duty of one upstream moves between entries.
+"""Specification of how the home role of an upstream moves between entries.
 
 The upstream has a single slot. Up to three entries of one region come and go.
-The later one in a table ranks higher, so each join and each loss moves the
-home. The environment may do at any moment:
+Later rows of a table rank higher, so each join and each loss moves the home. At
+any moment the environment may:
 
-* let an entry do nothing for any time (a freeze, or a cut from the platform:
-  it goes on with the table that it last applied);
-* keep, reorder, repeat or lose any report (reports stay in the network for
-  good, and nobody has to receive one);
-* end a process, whose request goes on at the upstream until its deadline;
-* start it again under a new incarnation;
-* change the entry table: join, replaced incarnation, leaving, dropped.
+* keep an entry inactive for any time (frozen, or disconnected from the
+  platform, in which case it goes on with the table that it last applied);
+* delay, reorder, duplicate or lose any report (reports stay in the network for
+  ever, and no entry has to receive one);
+* terminate a process, whose request goes on at the upstream until its deadline;
+* restart it under a new incarnation;
+* change the entry table: join, replace an incarnation, mark leaving, remove.
 
 `spec/README.md` maps each action to the function of the core.
 """
@@ -48,20 +48,20 @@
     incarnation: int
 
 
-NOBODY = Source(-1, 0)
+NO_SOURCE = Source(-1, 0)
 
 
 class Node(NamedTuple):
     """One process.
 
     Attributes:
-      alive: whether it runs.
-      incarnation: which start it is.
-      epoch: the table that it has applied.
-      held_epoch: last epoch in which it held the duty, 0 for never.
-      held_back: time until work of others is surely over.
-      source: process whose work `held_back` is for; NOBODY when it is held
-        for one that was lost.
+      alive: whether the process runs.
+      incarnation: number of its start.
+      epoch: epoch of the table that it last applied.
+      held_epoch: last epoch in which it was home, 0 for never.
+      held_back: time until work of other processes has certainly ended.
+      source: process whose work `held_back` covers; `NO_SOURCE` if that
+        process was lost.
       running: time left to the deadline of its request, 0 for none.
     """
 
@@ -70,7 +70,7 @@
     epoch: int = 0
     held_epoch: int = 0
     held_back: int = 0
-    source: Source = NOBODY
+    source: Source = NO_SOURCE
     running: int = 0
 
 
@@ -90,10 +90,10 @@
     Attributes:
       tables: the table of each epoch so far.
       nodes: the processes.
-      network: every report sent that may still count.
-      orphans: time left of requests whose process has died.
-      deaths: how many processes may still die.
-      changes: how many tables may still be made.
+      network: every report that may still be used.
+      orphans: time left of each request whose process has died.
+      deaths: number of processes that may still die.
+      changes: number of table changes that may still happen.
     """
 
     tables: tuple[Table, ...]
@@ -111,7 +111,7 @@
     holds_slots_of_lost: bool = True
     exact_epoch: bool = True
     checks_incarnation: bool = True
-    hands_on_busy: bool = True
+    reports_busy: bool = True
     frees_only_source: bool = True
 
 
@@ -128,7 +128,7 @@
 
 
 def is_member(state: State, number: int, guards: Guards) -> bool:
-    """Says whether a process is the one that its table means."""
+    """Returns whether a process is a member of the table it has applied."""
     node = state.nodes[number]
     row = state.tables[node.epoch].rows[number]
     if not node.alive or row is None:
@@ -137,7 +137,7 @@
 
 
 def is_holder(state: State, number: int, guards: Guards) -> bool:
-    """Says whether a process believes that it holds the duty."""
+    """Returns whether a process acts as the home."""
     node = state.nodes[number]
     if not is_member(state, number, guards) or node.epoch == 0:
         return False
@@ -153,11 +153,11 @@
     return state._replace(nodes=tuple(nodes))
 
 
-def without_dead_reports(state: State) -> State:
-    """Forgets the reports that can never count again.
+def without_stale_reports(state: State) -> State:
+    """Removes the reports that can never be used again.
 
-    A report counts only for the home of its epoch, until that process has
-    applied a later table or has died. This keeps the number of states down.
+    Only the home of a report's epoch uses it, until that process applies a
+    later table or dies. Removing the others keeps the number of states down.
     """
     kept = set()
     for report in state.network:
@@ -175,11 +175,11 @@
 
 
 def tick(state: State) -> Iterator[Step]:
-    """Time passes for everyone, frozen or not."""
+    """Time passes for every process, frozen or not."""
     nodes = []
     for node in state.nodes:
         held_back = max(0, node.held_back - 1)
-        source = node.source if held_back else NOBODY
+        source = node.source if held_back else NO_SOURCE
         nodes.append(
             node._replace(
                 held_back=held_back,
@@ -198,7 +198,7 @@
 
 
 def apply_table(state: State, number: int) -> Iterator[Step]:
-    """`Homes.update_table`: any newer table, the ones between left out."""
+    """`Homes.update_table`: applies any newer table, perhaps skipping some."""
     node = state.nodes[number]
     if not node.alive:
         return
@@ -212,14 +212,14 @@
 
 
 def send_report(state: State, number: int, guards: Guards) -> Iterator[Step]:
-    """`Homes.report_to`: what this entry held, and what still runs of it."""
+    """`Homes.report_to`: the last home epoch and the work still running."""
     node = state.nodes[number]
     if not is_member(state, number, guards) or node.epoch == 0:
         return
     if home_of(state.tables[node.epoch]) in (number, None):
         return
     busy_left = max(node.running, node.held_back)
-    if not guards.hands_on_busy:
+    if not guards.reports_busy:
         busy_left = 0
     report = Report(
         number, node.incarnation, node.epoch, node.held_epoch, busy_left
@@ -232,7 +232,7 @@
 def usable_reports(
     state: State, number: int, sender: int, guards: Guards
 ) -> list[Report]:
-    """`Homes.heard`: reports that count for a process under its epoch."""
+    """`Homes.heard`: reports that a process accepts under its epoch."""
     epoch = state.nodes[number].epoch
     row = state.tables[epoch].rows[sender]
     reports = []
@@ -248,7 +248,7 @@
 
 
 def take_over(state: State, number: int, guards: Guards) -> Iterator[Step]:
-    """`Homes._take_over`: start once the last holder is accounted for."""
+    """`Homes._take_over`: starts once the last home is accounted for."""
     node = state.nodes[number]
     if not is_member(state, number, guards) or node.epoch == 0:
         return
@@ -259,22 +259,22 @@
         changed = node._replace(
             held_epoch=node.epoch,
             held_back=held_back,
-            source=source if held_back else NOBODY,
+            source=source if held_back else NO_SOURCE,
         )
         yield f"take over {number}", with_node(state, number, changed)
 
 
-def free_ended(state: State, number: int, guards: Guards) -> Iterator[Step]:
-    """`Homes._free_ended_work`: the former holder says that less runs."""
+def release_ended(state: State, number: int, guards: Guards) -> Iterator[Step]:
+    """`Homes._free_ended_work`: the former home reports less work running."""
     node = state.nodes[number]
-    if not is_holder(state, number, guards) or node.source == NOBODY:
+    if not is_holder(state, number, guards) or node.source == NO_SOURCE:
         return
     for report in usable_reports(state, number, node.source.entry, guards):
         same = report.incarnation == node.source.incarnation
         if guards.frees_only_source and not same:
             continue
         if report.busy_left < node.held_back:
-            source = node.source if report.busy_left else NOBODY
+            source = node.source if report.busy_left else NO_SOURCE
             changed = node._replace(held_back=report.busy_left, source=source)
             yield f"free {number}", with_node(state, number, changed)
 
@@ -282,27 +282,27 @@
 def held_back_choices(
     state: State, number: int, guards: Guards
 ) -> Iterator[tuple[int, Source]]:
-    """Yields, for each way to be sure of the last holder, the time to wait.
+    """Yields the time to wait for each way to identify the last home.
 
     With it comes the process whose later reports may shorten that time.
     """
     if not guards.waits_for_holder:
-        yield 0, NOBODY
+        yield 0, NO_SOURCE
         return
     node = state.nodes[number]
     table = state.tables[node.epoch]
     choices: list[list[Report]] = []
-    settled = True
+    all_reported = True
     for sender, row in enumerate(table.rows):
         if row is None or sender == number:
             continue
         reports = usable_reports(state, number, sender, guards)
         choices.append(reports)
-        settled = settled and bool(reports)
+        all_reported = all_reported and bool(reports)
         for report in reports:
             if report.held_epoch == node.epoch - 1 and report.held_epoch > 0:
                 yield report.busy_left, Source(sender, report.incarnation)
-    if not settled:
+    if not all_reported:
         return
     own = Report(number, 0, 0, node.held_epoch, node.held_back)
     for best in best_choices(choices, own):
@@ -310,13 +310,13 @@
         if known or not guards.holds_slots_of_lost:
             yield best.busy_left, Source(best.sender, best.incarnation)
         elif guards.frees_only_source:
-            yield LONGEST_DEADLINE, NOBODY
+            yield LONGEST_DEADLINE, NO_SOURCE
         else:
             yield LONGEST_DEADLINE, Source(best.sender, best.incarnation)
 
 
 def best_choices(choices: list[list[Report]], own: Report) -> set[Report]:
-    """Returns every report that may be the latest holder's of a reading."""
+    """Returns each report that may have the highest epoch of a choice."""
     best = {own}
     for reports in choices:
         after = set()
@@ -328,7 +328,7 @@
 
 
 def dispatch(state: State, number: int, guards: Guards) -> Iterator[Step]:
-    """`SlotTable.admit`: a request with the longest deadline."""
+    """`SlotTable.admit`: dispatches a request with the longest deadline."""
     node = state.nodes[number]
     if not is_holder(state, number, guards):
         return
@@ -339,7 +339,7 @@
 
 
 def finish(state: State, number: int) -> Iterator[Step]:
-    """`SlotTable.release`: the answer came before the deadline."""
+    """`SlotTable.release`: the response comes before the deadline."""
     node = state.nodes[number]
     if node.alive and node.running:
         changed = node._replace(running=0)
@@ -347,7 +347,7 @@
 
 
 def die(state: State, number: int) -> Iterator[Step]:
-    """The process ends; what it dispatched goes on at the upstream."""
+    """The process terminates; its request goes on at the upstream."""
     node = state.nodes[number]
     if not node.alive or state.deaths == 0:
         return
@@ -365,7 +365,7 @@
 
 
 def restart(state: State, number: int) -> Iterator[Step]:
-    """The process starts again and remembers nothing."""
+    """The process restarts with no memory of its former state."""
     node = state.nodes[number]
     if not node.alive:
         fresh = Node(incarnation=node.incarnation + 1)
@@ -401,7 +401,7 @@
 
 
 def _is_idle(state: State, number: int) -> bool:
-    """`Homes.idle`: a leaving entry has nothing left to hand over."""
+    """`Homes.idle`: a leaving entry has no work left to hand over."""
     node = state.nodes[number]
     row = state.tables[node.epoch].rows[number]
     if row is None or not row.leaving or not node.alive:
@@ -423,13 +423,13 @@
 
 
 def transitions(state: State, guards: Guards) -> Iterator[Step]:
-    """Every action of every process and of the environment."""
+    """Yields every action of every process and of the environment."""
     yield from tick(state)
     for number in range(len(state.nodes)):
         yield from apply_table(state, number)
         yield from send_report(state, number, guards)
         yield from take_over(state, number, guards)
-        yield from free_ended(state, number, guards)
+        yield from release_ended(state, number, guards)
         yield from dispatch(state, number, guards)
         yield from finish(state, number)
         yield from die(state, number)
@@ -438,7 +438,7 @@
 
 
 def in_flight(state: State) -> int:
-    """Returns how many requests the upstream runs."""
+    """Returns the number of requests that the upstream runs."""
     count = len(state.orphans)
     for node in state.nodes:
         if node.alive and node.running:
@@ -446,15 +446,15 @@
     return count
 
 
-def started_from_nothing(*, deaths: int, changes: int) -> State:
-    """Two entries before the first table: first start and restarts."""
+def unstarted_pair(*, deaths: int, changes: int) -> State:
+    """Returns two entries before the first table: first start, restarts."""
     tables = (Table((None, None), 0),)
     nodes = (Node(), Node())
     return State(tables, nodes, frozenset(), (), deaths, changes)
 
 
 def running_pair(*, deaths: int, changes: int) -> State:
-    """The second entry is home, the first has no duty, a third may join."""
+    """Returns two entries, of which the second is home; a third may join."""
     rows = (Row(0), Row(0), None)
     tables = (Table((None,) * 3, 0), Table(rows, 0))
     home = Node(epoch=1, held_epoch=1)
@@ -463,14 +463,14 @@
 
 
 def protocol(name: str, start: State, guards: Guards) -> Protocol:
-    """Returns the protocol for the checker."""
+    """Returns the protocol for the model checker."""
     prunes = guards.exact_epoch and guards.checks_incarnation
 
     def steps(state: State) -> list[Step]:
         found = []
         for label, after in transitions(state, guards):
             if prunes:
-                after = without_dead_reports(after)  # noqa: PLW2901
+                after = without_stale_reports(after)  # noqa: PLW2901
             found.append((label, after))
         return found
 
@@ -487,18 +487,18 @@
     )
 
 
-START = started_from_nothing(deaths=1, changes=4)
-SMALL_START = started_from_nothing(deaths=1, changes=2)
+START = unstarted_pair(deaths=1, changes=4)
+SMALL_START = unstarted_pair(deaths=1, changes=2)
 PAIR = running_pair(deaths=1, changes=2)
-SHORT_START = started_from_nothing(deaths=1, changes=3)
-UNDYING_PAIR = running_pair(deaths=0, changes=2)
+SHORT_START = unstarted_pair(deaths=1, changes=3)
+PAIR_WITHOUT_DEATHS = running_pair(deaths=0, changes=2)
 
 MUTANTS = (
     ("waits_for_holder", SMALL_START),
     ("holds_slots_of_lost", SMALL_START),
-    ("exact_epoch", UNDYING_PAIR),
+    ("exact_epoch", PAIR_WITHOUT_DEATHS),
     ("checks_incarnation", SMALL_START),
-    ("hands_on_busy", SMALL_START),
+    ("reports_busy", SMALL_START),
     ("frees_only_source", SHORT_START),
 )
 
@@ -506,7 +506,7 @@
 MODELS = checked_models(
     module="homes",
     build=with_guards(protocol, Guards()),
-    right=(
+    correct=(
         ("two entries from the first table on", START),
         ("a running pair and a third entry", PAIR),
     ),
--- a/spec/incarnations.py
+++ b/spec/incarnations.py
@@ -1,9 +1,9 @@
-"""Specification of an upstream that starts again under the id that it had.
+"""Specification of an upstream that restarts under the same id.
 
-Each start is another incarnation, told apart by its time of birth. An entry
-learns of it from the store, from another entry whose word may be older, and
-from what answers at its address. The store makes a write of an earlier start
-late; a registration lapses and the entries see that, each at its time.
+Each start is a new incarnation, identified by its start time. An entry learns
+of it from the store, from another entry whose state may be older, and from the
+response at its address. The store may apply a write of an earlier incarnation
+late. A registration may lapse, which each entry observes at its own time.
 
 `spec/README.md` maps each action to the function of the core.
 """
@@ -17,23 +17,23 @@
 from spec.checked_model import with_guards
 
 NODES = 2
-BIRTHS = 2
-REVISIONS = 5
+MAX_INCARNATIONS = 2
+MAX_REVISIONS = 5
 NONE = 0
 
 
 class Store(NamedTuple):
-    """The platform's store and what runs.
+    """The platform's store and the running upstream.
 
     Attributes:
-      revision: number of its last change.
-      born: the registered incarnation; 0 for none.
+      revision: revision of the last change.
+      incarnation: the registered incarnation; 0 for none.
       running: the newest incarnation that has started.
-      late: an incarnation whose write is still under way; 0 for none.
+      late: an incarnation whose write is still in flight; 0 for none.
     """
 
     revision: int = 1
-    born: int = 1
+    incarnation: int = 1
     running: int = 1
     late: int = NONE
 
@@ -42,19 +42,20 @@
     """One entry.
 
     Attributes:
-      revision: revision of the store that its picture is as of; 0 for none.
-      born: the incarnation that it sends to; 0 for none.
-      newest: the newest of those that ended, as it remembers them.
-      known: the newest that it ever sent to, which no guard looks at.
+      revision: store revision of its view; 0 for none.
+      incarnation: the incarnation that it sends to; 0 for none.
+      newest_ended: the newest incarnation that it remembers as ended.
+      newest_used: the newest incarnation that it ever sent to; no guard reads
+        it.
       replaced: the newest incarnation that it found replaced.
-      load: the incarnation whose load it believes in; 0 for none.
-      fault: what went wrong in this incarnation of the entry.
+      load: the incarnation whose load it uses; 0 for none.
+      fault: the violation seen in this incarnation of the entry; "" for none.
     """
 
     revision: int = 0
-    born: int = NONE
-    newest: int = NONE
-    known: int = NONE
+    incarnation: int = NONE
+    newest_ended: int = NONE
+    newest_used: int = NONE
     replaced: int = NONE
     load: int = NONE
     fault: str = ""
@@ -70,11 +71,11 @@
 class Guards(NamedTuple):
     """The guards of the protocol; a mutant lacks one."""
 
-    older_changes_nothing: bool = True
+    ignores_older: bool = True
     remembers_newest: bool = True
     remembers_replaced: bool = True
-    begins_anew: bool = True
-    names_incarnation: bool = True
+    resets_load: bool = True
+    load_names_incarnation: bool = True
 
 
 Step = tuple[str, State]
@@ -84,85 +85,98 @@
     """The actions under one set of guards."""
 
     def __init__(self, *, guards: Guards) -> None:
-        """Takes the guards in place."""
+        """Initialises the model with its enabled guards."""
         self._guards = guards
 
     @staticmethod
     def initial() -> State:
-        """The first start is registered; no entry knows anything."""
+        """Returns the state with one registration that no entry knows of."""
         return State(store=Store(), nodes=(Node(),) * NODES)
 
     def transitions(self, state: State) -> Iterator[Step]:
-        """Yields everything that may happen next."""
-        if state.store.revision < REVISIONS:
-            yield from _writes(state)
+        """Yields every possible next step."""
+        if state.store.revision < MAX_REVISIONS:
+            yield from _store_changes(state)
         for number, node in enumerate(state.nodes):
-            told = self._take(node, state.store.revision, state.store.born)
-            yield f"{number} asks the store", _put(state, number, told)
-            if node.born and node.born != state.store.running:
+            updated = self._apply(
+                node, state.store.revision, state.store.incarnation
+            )
+            yield (
+                f"{number} reads the store",
+                _with_node(state, number, updated),
+            )
+            if node.incarnation and node.incarnation != state.store.running:
                 yield (
-                    f"{number} meets another upstream there",
-                    _put(state, number, self._found_replaced(node)),
+                    f"{number} reaches another incarnation",
+                    _with_node(state, number, self._found_replaced(node)),
                 )
-            if node.born and node.load != node.born:
-                loaded = node._replace(load=node.born)
+            if node.incarnation and node.load != node.incarnation:
+                loaded = node._replace(load=node.incarnation)
                 yield (
-                    f"{number} has requests there",
-                    _put(state, number, loaded),
+                    f"{number} learns the load from its requests",
+                    _with_node(state, number, loaded),
                 )
             for other, peer in enumerate(state.nodes):
                 if other != number and peer.revision:
-                    yield from self._hears(state, number, other)
+                    yield from self._receive_from(state, number, other)
 
-    def _hears(self, state: State, number: int, other: int) -> Iterator[Step]:
+    def _receive_from(
+        self, state: State, number: int, other: int
+    ) -> Iterator[Step]:
         node = state.nodes[number]
         peer = state.nodes[other]
         if peer.revision >= node.revision:
-            told = self._take(node, peer.revision, peer.born)
-            yield f"{number} asks {other}", _put(state, number, told)
-        if peer.load and node.born:
+            updated = self._apply(node, peer.revision, peer.incarnation)
+            yield f"{number} asks {other}", _with_node(state, number, updated)
+        if peer.load and node.incarnation:
             load = node.load
-            if not self._guards.names_incarnation or peer.load == node.born:
+            if (
+                not self._guards.load_names_incarnation
+                or peer.load == node.incarnation
+            ):
                 load = peer.load
-            heard = _checked(node._replace(load=load))
-            yield f"{number} hears {other}'s load", _put(state, number, heard)
+            received = _with_load_fault(node._replace(load=load))
+            yield (
+                f"{number} receives {other}'s load",
+                _with_node(state, number, received),
+            )
 
     def _found_replaced(self, node: Node) -> Node:
         return node._replace(
-            replaced=max(node.replaced, node.born),
-            newest=max(node.newest, node.born),
-            known=max(node.known, node.born),
-            born=NONE,
+            replaced=max(node.replaced, node.incarnation),
+            newest_ended=max(node.newest_ended, node.incarnation),
+            newest_used=max(node.newest_used, node.incarnation),
+            incarnation=NONE,
             load=NONE,
         )
 
-    def _take(self, node: Node, revision: int, born: int) -> Node:
+    def _apply(self, node: Node, revision: int, incarnation: int) -> Node:
         guards = self._guards
         fault = node.fault
-        known = max(node.newest, node.born)
+        newest_used = max(node.newest_ended, node.incarnation)
         outdated = (
-            (guards.older_changes_nothing and born < node.born)
-            or (guards.remembers_newest and born < node.newest)
-            or (guards.remembers_replaced and born <= node.replaced)
+            (guards.ignores_older and incarnation < node.incarnation)
+            or (guards.remembers_newest and incarnation < node.newest_ended)
+            or (guards.remembers_replaced and incarnation <= node.replaced)
         )
-        taken = node.born if born and outdated else born
-        known = max(node.known, node.born)
-        if taken and taken < known:
-            fault = "an earlier start is back"
-        if taken and taken <= node.replaced:
-            fault = "one that was found replaced is back"
-        newest = node.newest
-        if taken != node.born:
-            newest = max(newest, node.born)
+        applied = node.incarnation if incarnation and outdated else incarnation
+        newest_used = max(node.newest_used, node.incarnation)
+        if applied and applied < newest_used:
+            fault = "an earlier incarnation is in use again"
+        if applied and applied <= node.replaced:
+            fault = "a replaced incarnation is in use again"
+        newest_ended = node.newest_ended
+        if applied != node.incarnation:
+            newest_ended = max(newest_ended, node.incarnation)
         load = node.load
-        if guards.begins_anew and taken != node.born:
+        if guards.resets_load and applied != node.incarnation:
             load = NONE
-        return _checked(
+        return _with_load_fault(
             Node(
                 revision=revision,
-                born=taken,
-                newest=newest,
-                known=max(known, taken),
+                incarnation=applied,
+                newest_ended=newest_ended,
+                newest_used=max(newest_used, applied),
                 replaced=node.replaced,
                 load=load,
                 fault=fault,
@@ -170,34 +184,43 @@
         )
 
 
-def _checked(node: Node) -> Node:
-    if node.born and node.load and node.load != node.born:
-        return node._replace(fault="it has the load of another start")
+def _with_load_fault(node: Node) -> Node:
+    if node.incarnation and node.load and node.load != node.incarnation:
+        return node._replace(fault="the load is of another incarnation")
     return node
 
 
-def _writes(state: State) -> Iterator[Step]:
-    """Yields what the upstream and the platform may have stored."""
+def _store_changes(state: State) -> Iterator[Step]:
+    """Yields the changes of the store by the upstream and the platform."""
     store = state.store
     revision = store.revision + 1
-    if store.running < BIRTHS:
-        born = store.running + 1
-        started = store._replace(revision=revision, born=born, running=born)
-        yield "it starts again", state._replace(store=started)
+    if store.running < MAX_INCARNATIONS:
+        incarnation = store.running + 1
+        started = store._replace(
+            revision=revision, incarnation=incarnation, running=incarnation
+        )
+        yield "the upstream restarts", state._replace(store=started)
         delayed = started._replace(late=store.running)
-        yield "it starts again, a write is late", state._replace(store=delayed)
-    if store.born:
-        lapsed = store._replace(revision=revision, born=NONE)
-        yield "its registration lapses", state._replace(store=lapsed)
+        yield (
+            "the upstream restarts, a write is delayed",
+            state._replace(store=delayed),
+        )
+    if store.incarnation:
+        lapsed = store._replace(revision=revision, incarnation=NONE)
+        yield "the registration lapses", state._replace(store=lapsed)
     if store.late:
-        stored = store._replace(revision=revision, born=store.late, late=NONE)
-        yield "the late write is made", state._replace(store=stored)
-    if store.born != store.running:
-        again = store._replace(revision=revision, born=store.running)
-        yield "it registers again", state._replace(store=again)
+        stored = store._replace(
+            revision=revision, incarnation=store.late, late=NONE
+        )
+        yield "the delayed write is applied", state._replace(store=stored)
+    if store.incarnation != store.running:
+        reregistered = store._replace(
+            revision=revision, incarnation=store.running
+        )
+        yield "the upstream registers again", state._replace(store=reregistered)
 
 
-def _put(state: State, number: int, node: Node) -> State:
+def _with_node(state: State, number: int, node: Node) -> State:
     nodes = list(state.nodes)
     nodes[number] = node
     return state._replace(nodes=tuple(nodes))
@@ -208,7 +231,7 @@
 
 
 def protocol(name: str, start: None, guards: Guards) -> Protocol:
-    """Returns the protocol under a set of guards; it has one start."""
+    """Returns the protocol for the model checker; it has one start."""
     del start
     model = Model(guards=guards)
     return Protocol(
@@ -217,19 +240,19 @@
         fields=State._fields,
         initial=model.initial(),
         transitions=model.transitions,
-        invariants={"no_earlier_start_is_back": _without_fault},
+        invariants={"no_earlier_incarnation_in_use": _without_fault},
     )
 
 
 MODELS = checked_models(
     module="incarnations",
     build=with_guards(protocol, Guards()),
-    right=(("starts under one id", None),),
+    correct=(("restarts under one id", None),),
     mutants=(
-        ("older_changes_nothing", None),
+        ("ignores_older", None),
         ("remembers_newest", None),
         ("remembers_replaced", None),
-        ("begins_anew", None),
-        ("names_incarnation", None),
+        ("resets_load", None),
+        ("load_names_incarnation", None),
     ),
 )
--- a/spec/loans.py
+++ b/spec/loans.py
@@ -1,13 +1,13 @@
 """Specification of link shares: allowances, epochs and loans.
 
-Three entries share a cap: A lends, B borrows, and C may join. Time moves in
-ticks. The network keeps every message for ever: one that is never taken up was
-lost, one taken up twice was duplicated, and any order is possible. A frozen
-process is one that takes no step while time ticks. An entry may die for good,
-after which a new table leaves it out, or restart with nothing but what it
-learns anew, perhaps an outdated table from a peer.
-
-The model check explores every state. Each mutant lacks one guard and must
+Three entries share a cap: A lends, B borrows, and C may join. Time passes in
+ticks. The network keeps every message for ever: one that is never received was
+lost, one received twice was duplicated, and any order is possible. A frozen
+process takes no step while time passes. An entry may die for good, after which
+a new table omits it, or restart without its former state and perhaps receive an
+outdated table from a peer.
+
+The model checker explores every state. Each mutant lacks one guard and must
 yield a counterexample. `spec/README.md` maps each action to the core.
 """
 
@@ -22,38 +22,38 @@
 # Divides evenly among one, two or three entries.
 CAP = 6
 BORROWER_TERM = 2
-# One tick more: a clock may lose one tick against another during a term.
+# One tick longer: a clock may lose one tick against another during a term.
 LENDER_TERM = 3
-LARGEST_EPOCH = 3
+MAX_EPOCH = 3
 
 Step = tuple[str, "State"]
 
 
 class Guard(enum.StrEnum):
-    """What keeps the sum of use at or under the cap; a mutant lacks one."""
+    """Guards that keep the total use within the cap; a mutant lacks one."""
 
     LOWER_BEFORE_SEND = "lower before send"
     EPOCH_ACKNOWLEDGED = "growth waits for acknowledged epochs"
-    COUNT_FROM_ASKING = "borrower counts from when it asked"
+    COUNT_FROM_REQUEST = "borrower counts from sending the request"
     DRIFT_MARGIN = "lender adds a margin for clock drift"
     DROP_AT_EPOCH = "borrower drops loans of an older epoch"
-    QUIET_START = "a restarted lender waits out its earlier loans"
+    QUIET_START = "a restarted lender waits until its earlier loans end"
     FRESH_TABLE = "a restarted entry needs a table from the platform"
     CLOCK_BEFORE_USE = "borrower reads its clock before each use"
 
 
 class Bounds(NamedTuple):
-    """How much may happen in one run.
+    """Bounds the events of one run.
 
     Attributes:
-      asks: requests that B makes in all.
-      restarts: restarts in all.
-      deaths: deaths for good in all.
+      requests: total number of loan requests of B.
+      restarts: total number of restarts.
+      deaths: total number of permanent deaths.
       changes: whether C may join.
       lag: whether B's clock may lose a tick.
     """
 
-    asks: int
+    requests: int
     restarts: int
     deaths: int
     changes: bool
@@ -61,16 +61,17 @@
 
 
 class Entry(NamedTuple):
-    """An entry and the one thing that outlives its process.
+    """An entry, with the acknowledged epoch that outlives its process.
 
     Attributes:
       alive: False before it joins and after it dies.
       incarnation: number of its process.
       epoch: epoch of the table that it adopted; 0 for none.
-      fresh: whether a table came from the platform since its start.
+      fresh: whether it has received a table from the platform since its
+        start.
       allowance: its own part of the cap.
-      announced: highest epoch acknowledged by any of its processes; peers may
-        hear of it at any later time.
+      acknowledged_epoch: highest epoch acknowledged by any of its processes;
+        peers may learn of it at any later time.
     """
 
     alive: bool
@@ -78,24 +79,24 @@
     epoch: int
     fresh: bool
     allowance: int
-    announced: int
+    acknowledged_epoch: int
 
 
-class Ask(NamedTuple):
-    """A request of B, its loans, and what each side counts.
+class Request(NamedTuple):
+    """A loan request of B, its loans, and the view of each side.
 
     Attributes:
-      incarnation: process of B that asked.
-      epoch: epoch of B when it asked.
-      left: ticks for which B may use a loan that answers it.
+      incarnation: process of B that sent it.
+      epoch: epoch of B when it was sent.
+      left: ticks for which B may use the loan.
       lagged: whether B's clock lost its one tick.
       waiting: whether B still waits for the loan.
-      sent: amounts of the loans that were sent while B waited, perhaps one by
-        each process of A.
+      sent: amounts of the loans sent while B waited, perhaps one by each
+        process of A.
       answered_by: process of A that answered last; -1 for none.
-      lent: amount that A counts as lent; below 0 in the mutant that sends it
-        before it lowers its own use.
-      lent_left: ticks for which A counts it.
+      lent: amount that A counts as lent; negative in the mutant that sends
+        it before it lowers its own use.
+      lent_left: ticks for which A counts the amount as lent.
     """
 
     incarnation: int
@@ -117,9 +118,9 @@
       a: the lender.
       b: the borrower.
       c: the newcomer.
-      quiet: ticks for which a restarted A goes without an allowance.
-      asks: requests of B in order.
-      held: number of the ask whose loan B holds; -1 for none.
+      quiet: ticks for which a restarted A has no allowance.
+      requests: loan requests of B in order.
+      held_request: number of the request whose loan B holds; -1 for none.
       held_amount: amount of that loan.
     """
 
@@ -128,8 +129,8 @@
     b: Entry
     c: Entry
     quiet: int
-    asks: tuple[Ask, ...]
-    held: int
+    requests: tuple[Request, ...]
+    held_request: int
     held_amount: int
 
 
@@ -140,16 +141,16 @@
 
 
 class Loans:
-    """The protocol, less at most one guard."""
+    """The protocol without at most one guard."""
 
     def __init__(self, *, bounds: Bounds, without: Guard | None = None) -> None:
-        """Makes the protocol; `without` names the guard that is removed."""
+        """Initialises the protocol without the guard `without`."""
         self._bounds = bounds
         self._without = without
         self._violated = False
 
     def protocol(self) -> minicheck.Protocol:
-        """Returns the protocol for the model check."""
+        """Returns the protocol for the model checker."""
         return minicheck.Protocol(
             name="loans",
             candidate=True,
@@ -179,15 +180,15 @@
     def _use_of_b(self, state: State) -> int:
         if not state.b.alive:
             return 0
-        if state.held < 0:
+        if state.held_request < 0:
             return state.b.allowance
-        ended = state.asks[state.held].left == 0
+        ended = state.requests[state.held_request].left == 0
         if ended and self._has(Guard.CLOCK_BEFORE_USE):
             return state.b.allowance
         return state.b.allowance + state.held_amount
 
     def _transitions(self, state: State) -> list[Step]:
-        # The first counterexample is the shortest; the rest adds nothing.
+        # The first counterexample is the shortest; others are not needed.
         if state == START:
             self._violated = False
         if self._violated:
@@ -201,14 +202,14 @@
         return steps
 
     def _tick(self, state: State) -> Iterator[Step]:
-        """One tick passes; or B's clock loses it, once in each term."""
+        """One tick passes; B's clock may lose it once in each term."""
         after = _ticked(state, b_counts=True)
         if after != state:
             yield "tick", after
         if not self._bounds.lag:
             return
-        for ask in state.asks:
-            if ask.left and ask.lagged:
+        for request in state.requests:
+            if request.left and request.lagged:
                 return
         after = _ticked(state, b_counts=False)
         if after != state:
@@ -217,7 +218,7 @@
     # The entry table.
 
     def _table_steps(self, state: State) -> Iterator[Step]:
-        if len(state.tables) == LARGEST_EPOCH:
+        if len(state.tables) == MAX_EPOCH:
             return
         members = state.tables[-1]
         if self._bounds.changes and "C" not in "".join(state.tables):
@@ -237,13 +238,13 @@
             return
         yield from self._adopt(state, name)
         yield from self._grow(state, name)
-        # Others acknowledge as they adopt: see `_adopted`.
-        if name == "A" and entry.announced < entry.epoch:
+        # Other entries acknowledge when they adopt a table; see `_adopted`.
+        if name == "A" and entry.acknowledged_epoch < entry.epoch:
             if _lent(state) <= entry.allowance:
-                acknowledged = entry._replace(announced=entry.epoch)
+                acknowledged = entry._replace(acknowledged_epoch=entry.epoch)
                 yield (
                     f"A acknowledges epoch {entry.epoch}",
-                    _with(state, name, acknowledged),
+                    _with_entry(state, name, acknowledged),
                 )
         yield from self._die(state, name)
 
@@ -269,12 +270,12 @@
             fresh=entry.fresh or fresh,
             allowance=min(entry.allowance, share),
         )
-        # Whoever waits for this hears of it at any later time or never, so it
-        # needs no step of its own. A may have to wait for its loans.
+        # Peers that wait for the acknowledgement receive it at any later time
+        # or never, so it needs no step. A may have to wait for its loans.
         if name != "A":
-            announced = max(entry.announced, epoch)
-            adopted = adopted._replace(announced=announced)
-        after = _with(state, name, adopted)
+            acknowledged_epoch = max(entry.acknowledged_epoch, epoch)
+            adopted = adopted._replace(acknowledged_epoch=acknowledged_epoch)
+        after = _with_entry(state, name, adopted)
         if name != "B" or epoch == entry.epoch:
             return after
         if not self._has(Guard.DROP_AT_EPOCH):
@@ -294,10 +295,10 @@
             for other in state.tables[entry.epoch - 1]:
                 if other == name:
                     continue
-                if _entry(state, other).announced < entry.epoch:
+                if _entry(state, other).acknowledged_epoch < entry.epoch:
                     return
         grown = entry._replace(allowance=share)
-        yield f"{name} grows to {share}", _with(state, name, grown)
+        yield f"{name} grows to {share}", _with_entry(state, name, grown)
 
     def _die(self, state: State, name: str) -> Iterator[Step]:
         entry = _entry(state, name)
@@ -308,14 +309,17 @@
             restarts += _entry(state, other).incarnation
         if deaths < self._bounds.deaths:
             dead = entry._replace(alive=False, allowance=0)
-            yield f"{name} dies", _forgotten(_with(state, name, dead), name)
+            yield (
+                f"{name} dies",
+                _without_loan_state(_with_entry(state, name, dead), name),
+            )
         if restarts < self._bounds.restarts:
             started = ABSENT._replace(
                 alive=True,
                 incarnation=entry.incarnation + 1,
-                announced=entry.announced,
+                acknowledged_epoch=entry.acknowledged_epoch,
             )
-            after = _forgotten(_with(state, name, started), name)
+            after = _without_loan_state(_with_entry(state, name, started), name)
             if name == "A":
                 after = after._replace(quiet=LENDER_TERM)
             yield f"{name} restarts", after
@@ -323,23 +327,23 @@
     # Loans.
 
     def _loan_steps(self, state: State) -> Iterator[Step]:
-        yield from self._ask(state)
-        for number, ask in enumerate(state.asks):
-            yield from self._lend(state, number, ask)
-            yield from self._lower_late(state, number, ask)
-            for amount in ask.sent:
-                yield from self._accept(state, number, ask, amount)
-
-    def _ask(self, state: State) -> Iterator[Step]:
+        yield from self._request_loan(state)
+        for number, request in enumerate(state.requests):
+            yield from self._lend(state, number, request)
+            yield from self._lower_late(state, number, request)
+            for amount in request.sent:
+                yield from self._accept(state, number, request, amount)
+
+    def _request_loan(self, state: State) -> Iterator[Step]:
         entry = state.b
-        if not entry.alive or len(state.asks) >= self._bounds.asks:
+        if not entry.alive or len(state.requests) >= self._bounds.requests:
             return
         if entry.epoch == 0:
             return
         members = state.tables[entry.epoch - 1]
         if "A" not in members or "B" not in members:
             return
-        ask = Ask(
+        request = Request(
             entry.incarnation,
             entry.epoch,
             BORROWER_TERM,
@@ -350,10 +354,15 @@
             0,
             0,
         )
-        yield "B asks", state._replace(asks=(*state.asks, ask))
+        yield (
+            "B requests a loan",
+            state._replace(requests=(*state.requests, request)),
+        )
 
-    def _lend(self, state: State, number: int, ask: Ask) -> Iterator[Step]:
-        if not _may_answer(state, number, ask):
+    def _lend(
+        self, state: State, number: int, request: Request
+    ) -> Iterator[Step]:
+        if not _may_answer(state, number, request):
             return
         term = LENDER_TERM
         if not self._has(Guard.DRIFT_MARGIN):
@@ -364,49 +373,52 @@
             lent = amount
             if not self._has(Guard.LOWER_BEFORE_SEND):
                 lent = -amount
-            sent = ask.sent
-            # A loan that nobody waits for need not be kept in the network.
-            if ask.waiting:
+            sent = request.sent
+            # A loan that B no longer waits for is not kept in the network.
+            if request.waiting:
                 sent = tuple(sorted({*sent, amount}))
-            answered = ask._replace(
+            answered = request._replace(
                 sent=sent,
                 answered_by=state.a.incarnation,
                 lent=lent,
                 lent_left=term,
             )
             yield (
-                f"A lends {amount} for ask {number}",
-                _with_ask(state, number, answered),
+                f"A lends {amount} for request {number}",
+                _with_request(state, number, answered),
             )
 
     def _lower_late(
-        self, state: State, number: int, ask: Ask
+        self, state: State, number: int, request: Request
     ) -> Iterator[Step]:
-        """Only in the mutant that sends first and lowers later."""
-        if ask.lent >= 0:
+        """Lowers A's use later, in the mutant that sends the loan first."""
+        if request.lent >= 0:
             return
-        lowered = ask._replace(lent=-ask.lent)
-        yield f"A lowers for ask {number}", _with_ask(state, number, lowered)
+        lowered = request._replace(lent=-request.lent)
+        yield (
+            f"A lowers for request {number}",
+            _with_request(state, number, lowered),
+        )
 
     def _accept(
-        self, state: State, number: int, ask: Ask, amount: int
+        self, state: State, number: int, request: Request, amount: int
     ) -> Iterator[Step]:
         entry = state.b
-        if not entry.alive or entry.incarnation != ask.incarnation:
+        if not entry.alive or entry.incarnation != request.incarnation:
             return
-        if not ask.waiting or ask.epoch != entry.epoch:
+        if not request.waiting or request.epoch != entry.epoch:
             return
-        left = ask.left
-        if not self._has(Guard.COUNT_FROM_ASKING):
+        left = request.left
+        if not self._has(Guard.COUNT_FROM_REQUEST):
             left = BORROWER_TERM
-        answered = ask._replace(waiting=False, left=left, sent=())
-        taken = _with_ask(state, number, answered)
-        if left == 0 or number < state.held:
-            yield f"B refuses the loan for ask {number}", taken
+        answered = request._replace(waiting=False, left=left, sent=())
+        accepted = _with_request(state, number, answered)
+        if left == 0 or number < state.held_request:
+            yield f"B refuses the loan for request {number}", accepted
             return
         yield (
-            f"B takes up {amount} for ask {number}",
-            taken._replace(held=number, held_amount=amount),
+            f"B accepts {amount} for request {number}",
+            accepted._replace(held_request=number, held_amount=amount),
         )
 
 
@@ -418,7 +430,7 @@
     return state.c
 
 
-def _with(state: State, name: str, entry: Entry) -> State:
+def _with_entry(state: State, name: str, entry: Entry) -> State:
     if name == "A":
         return state._replace(a=entry)
     if name == "B":
@@ -426,9 +438,13 @@
     return state._replace(c=entry)
 
 
-def _with_ask(state: State, number: int, ask: Ask) -> State:
-    asks = (*state.asks[:number], ask, *state.asks[number + 1 :])
-    return state._replace(asks=asks)
+def _with_request(state: State, number: int, request: Request) -> State:
+    requests = (
+        *state.requests[:number],
+        request,
+        *state.requests[number + 1 :],
+    )
+    return state._replace(requests=requests)
 
 
 def _share(state: State, name: str, epoch: int) -> int:
@@ -438,82 +454,84 @@
     return CAP // len(members)
 
 
-def _may_answer(state: State, number: int, ask: Ask) -> bool:
-    """Whether A lends for this ask; a message may bring it at any time."""
-    if not state.a.alive or state.a.epoch != ask.epoch:
+def _may_answer(state: State, number: int, request: Request) -> bool:
+    """Returns whether A answers this request, received at any time."""
+    if not state.a.alive or state.a.epoch != request.epoch:
         return False
-    # The same request again gets the same answer, which changes nothing.
-    if ask.answered_by == state.a.incarnation:
+    # A repeated request gets the same loan, which changes nothing.
+    if request.answered_by == state.a.incarnation:
         return False
-    for later in state.asks[number + 1 :]:
+    for later in state.requests[number + 1 :]:
         if later.answered_by != state.a.incarnation:
             continue
-        if later.incarnation == ask.incarnation:
+        if later.incarnation == request.incarnation:
             return False
     return True
 
 
 def _lent(state: State) -> int:
-    """The most that B can hold of A's, as A counts it."""
+    """Returns the most that B may hold of A's allowance, as A counts it."""
     largest = 0
-    for ask in state.asks:
-        if ask.lent_left:
-            largest = max(largest, ask.lent)
+    for request in state.requests:
+        if request.lent_left:
+            largest = max(largest, request.lent)
     return largest
 
 
 def _without_loans(state: State) -> State:
-    """B forgets the loan it holds and the requests it made."""
-    asks = []
-    for ask in state.asks:
-        forgotten = ask._replace(waiting=False, left=0, lagged=False, sent=())
-        asks.append(forgotten)
-    return state._replace(asks=tuple(asks), held=-1, held_amount=0)
-
-
-def _forgotten(state: State, name: str) -> State:
-    """What a process knew of loans goes with it."""
+    """Returns the state without the loan and the requests of B."""
+    requests = []
+    for request in state.requests:
+        dropped = request._replace(waiting=False, left=0, lagged=False, sent=())
+        requests.append(dropped)
+    return state._replace(
+        requests=tuple(requests), held_request=-1, held_amount=0
+    )
+
+
+def _without_loan_state(state: State, name: str) -> State:
+    """Returns the state without what a process knew of loans."""
     if name == "B":
         return _without_loans(state)
     if name != "A":
         return state
-    asks = []
-    for ask in state.asks:
-        asks.append(ask._replace(lent=0, lent_left=0))
-    return state._replace(asks=tuple(asks), quiet=0)
+    requests = []
+    for request in state.requests:
+        requests.append(request._replace(lent=0, lent_left=0))
+    return state._replace(requests=tuple(requests), quiet=0)
 
 
 def _ticked(state: State, *, b_counts: bool) -> State:
-    asks = []
-    for ask in state.asks:
-        left = ask.left
-        lagged = ask.lagged
+    requests = []
+    for request in state.requests:
+        left = request.left
+        lagged = request.lagged
         if left and b_counts:
             left -= 1
         elif left:
             lagged = True
         if left == 0:
             lagged = False
-        lent_left = max(0, ask.lent_left - 1)
-        lent = ask.lent
+        lent_left = max(0, request.lent_left - 1)
+        lent = request.lent
         if lent_left == 0:
             lent = 0
-        asks.append(
-            ask._replace(
+        requests.append(
+            request._replace(
                 left=left, lagged=lagged, lent=lent, lent_left=lent_left
             )
         )
     quiet = max(0, state.quiet - 1)
-    return state._replace(asks=tuple(asks), quiet=quiet)
+    return state._replace(requests=tuple(requests), quiet=quiet)
 
 
-RENEWALS = Bounds(asks=2, restarts=0, deaths=0, changes=True, lag=True)
-FAILURES = Bounds(asks=1, restarts=1, deaths=1, changes=True, lag=False)
+RENEWALS = Bounds(requests=2, restarts=0, deaths=0, changes=True, lag=True)
+FAILURES = Bounds(requests=1, restarts=1, deaths=1, changes=True, lag=False)
 
 MUTANTS = (
     (Guard.LOWER_BEFORE_SEND, RENEWALS),
     (Guard.EPOCH_ACKNOWLEDGED, RENEWALS),
-    (Guard.COUNT_FROM_ASKING, RENEWALS),
+    (Guard.COUNT_FROM_REQUEST, RENEWALS),
     (Guard.DRIFT_MARGIN, RENEWALS),
     (Guard.CLOCK_BEFORE_USE, RENEWALS),
     (Guard.DROP_AT_EPOCH, FAILURES),
--- a/spec/reserve.py
+++ b/spec/reserve.py
@@ -1,12 +1,12 @@
 """Specification of the reserve slot between a home and its successor.
 
-The upstream has two slots, one of them the reserve. Three entries live through
+The upstream has two slots, one of them the reserve. Three entries go through
 one change of the table, which moves either the successor or the home. Time
-passes in ticks for all; an entry that does nothing meanwhile is frozen, cut off
-or dead, and its requests go on until their deadlines. Messages are lost,
-delayed, reordered and repeated at will: each stays in the network for good and
-is received at any time or never. Of messages that differ in age alone only the
-youngest is kept, since an older one allows its receiver less.
+passes in ticks for all; an entry that takes no step is frozen, disconnected or
+dead, and its requests go on until their deadlines. Messages may be lost,
+delayed, reordered and duplicated: each stays in the network for ever and is
+received at any time or never. Of messages that differ only in age, only the
+youngest is kept, since an older one permits its receiver less.
 
 `spec/README.md` maps each action to the function of the core.
 """
@@ -24,11 +24,11 @@
 T1 = 1
 RESERVE_DEADLINE = 1
 T2 = T1 + RESERVE_DEADLINE
-OLD = T2
+MAX_AGE = T2
 NODES = 3
 
 
-class Rank(NamedTuple):
+class HomeAndSuccessor(NamedTuple):
     """Home and successor under one table."""
 
     home: int
@@ -36,9 +36,9 @@
 
 
 class Plan(NamedTuple):
-    """What the table's change moves, and how long the longest work runs."""
+    """The roles before and after the change, and the longest deadline."""
 
-    ranks: tuple[Rank, Rank]
+    roles_by_epoch: tuple[HomeAndSuccessor, HomeAndSuccessor]
     long_deadline: int
 
 
@@ -47,14 +47,14 @@
 
     Attributes:
       epoch: 1 or 2.
-      held_epoch: last epoch in which it held the duty.
+      held_epoch: last epoch in which it was home.
       running: time left of each request that it dispatched as home.
-      held_back: time left of each slot that another's work takes.
+      held_back: time left of each slot used by another entry's work.
       reserve: time left of its request in the reserve slot, as successor.
-      silent: how long it has not heard the home.
-      heard_age: age of the youngest heartbeat of the home that it heard.
+      silence: time since it last received a heartbeat of the home.
+      heartbeat_age: age of the youngest heartbeat received from the home.
       ack_age: age of its own heartbeat that the successor last echoed.
-      settled: whether it knows that all others settled under its epoch.
+      settled: whether it knows that all others have settled under its epoch.
     """
 
     epoch: int = 1
@@ -62,9 +62,9 @@
     running: tuple[int, ...] = ()
     held_back: tuple[int, ...] = ()
     reserve: int = 0
-    silent: int = 0
-    heard_age: int = OLD
-    ack_age: int = OLD
+    silence: int = 0
+    heartbeat_age: int = MAX_AGE
+    ack_age: int = MAX_AGE
     settled: bool = False
 
 
@@ -83,7 +83,7 @@
     Attributes:
       nodes: the entries.
       echoes: the youngest echo of each sender, epoch and receiver.
-      record: what the old home said of its requests at the hand-over.
+      record: time left of the old home's requests at the handover.
     """
 
     nodes: tuple[Node, ...]
@@ -98,7 +98,7 @@
     t2_covers_deadline: bool = True
     short_reserve: bool = True
     checks_epoch: bool = True
-    quiet_with_reserve: bool = True
+    no_echo_in_reserve: bool = True
     waits_for_record: bool = True
     counts_from_sending: bool = True
 
@@ -106,7 +106,7 @@
 Step = tuple[str, State]
 
 
-def _shorter(times: tuple[int, ...]) -> tuple[int, ...]:
+def _decremented(times: tuple[int, ...]) -> tuple[int, ...]:
     left = []
     for time in times:
         if time > 1:
@@ -114,8 +114,8 @@
     return tuple(left)
 
 
-def _older(age: int) -> int:
-    return min(OLD, age + 1)
+def _aged(age: int) -> int:
+    return min(MAX_AGE, age + 1)
 
 
 def _with_node(state: State, number: int, node: Node) -> State:
@@ -125,39 +125,39 @@
 
 
 class Model:
-    """The actions under one plan of ranks and one set of guards."""
+    """The actions under one plan and one set of guards."""
 
     def __init__(self, *, plan: Plan, guards: Guards) -> None:
-        """Takes the plan of both epochs and the guards in place."""
-        self._ranks = plan.ranks
+        """Initialises the model with its plan and enabled guards."""
+        self._roles_by_epoch = plan.roles_by_epoch
         self._long_deadline = plan.long_deadline
         self._guards = guards
 
     def initial(self) -> State:
-        """Everyone has settled under epoch 1 and its home holds the duty."""
+        """Returns the state with all entries settled under epoch 1."""
         nodes = []
         for number in range(NODES):
             node = Node(settled=True)
-            if number == self._ranks[0].home:
+            if number == self._roles_by_epoch[0].home:
                 node = node._replace(held_epoch=1)
             nodes.append(node)
         return State(tuple(nodes), frozenset(), None)
 
     def transitions(self, state: State) -> list[Step]:
-        """Every action that some entry or time can take."""
+        """Returns every action of the entries and of time."""
         steps = list(self.tick(state))
         for number in range(NODES):
             steps += self.apply_table(state, number)
-            steps += self.hear_beat(state, number)
+            steps += self.receive_heartbeat(state, number)
             steps += self.echo(state, number)
-            steps += self.hear_echo(state, number)
-            steps += self.hear_settled(state, number)
+            steps += self.receive_echo(state, number)
+            steps += self.learn_settled(state, number)
             steps += self.take_over(state, number)
             steps += self.dispatch(state, number)
             steps += self.dispatch_in_reserve(state, number)
         merged = []
         for label, after in steps:
-            merged.append((label, self._without_idle_parts(after)))
+            merged.append((label, self._without_unread_fields(after)))
         return merged
 
     def tick(self, state: State) -> Iterator[Step]:
@@ -166,12 +166,12 @@
         for node in state.nodes:
             nodes.append(
                 node._replace(
-                    running=_shorter(node.running),
-                    held_back=_shorter(node.held_back),
+                    running=_decremented(node.running),
+                    held_back=_decremented(node.held_back),
                     reserve=max(0, node.reserve - 1),
-                    silent=_older(node.silent),
-                    heard_age=_older(node.heard_age),
-                    ack_age=_older(node.ack_age),
+                    silence=_aged(node.silence),
+                    heartbeat_age=_aged(node.heartbeat_age),
+                    ack_age=_aged(node.ack_age),
                 )
             )
         echoes = set()
@@ -192,47 +192,50 @@
         if node.epoch == 2:
             return
         held_epoch = node.held_epoch
-        if held_epoch == 1 and self._ranks[1].home == number:
+        if held_epoch == 1 and self._roles_by_epoch[1].home == number:
             held_epoch = 2
-        heard_age = node.heard_age
-        if self._ranks[0].home != self._ranks[1].home:
-            heard_age = OLD
+        heartbeat_age = node.heartbeat_age
+        if self._roles_by_epoch[0].home != self._roles_by_epoch[1].home:
+            heartbeat_age = MAX_AGE
         changed = node._replace(
             epoch=2,
             held_epoch=held_epoch,
-            silent=0,
-            heard_age=heard_age,
-            ack_age=OLD,
+            silence=0,
+            heartbeat_age=heartbeat_age,
+            ack_age=MAX_AGE,
             settled=False,
         )
         after = _with_node(state, number, changed)
         if node.held_epoch == 1 and held_epoch == 1:
-            # `Homes._records_for`: received at any later time, by which the
-            # requests it names have come nearer to their ends.
+            # `Homes._records_for`: may be received at any later time, by which
+            # the requests in it are closer to their deadlines.
             after = after._replace(record=node.running)
         yield f"apply {number}", after
 
-    def hear_beat(self, state: State, number: int) -> Iterator[Step]:
-        """`Homes.heard`: a heartbeat of the home, as if just sent.
+    def receive_heartbeat(self, state: State, number: int) -> Iterator[Step]:
+        """`Homes.heard`: receives a heartbeat of the home, as if just sent.
 
-        A delayed one lets nobody do more: it ends the silence in the same way,
-        and the home counts from its sending, so it may use the reserve for a
-        shorter time. Hence the youngest stands for all.
+        A delayed heartbeat permits no more: it ends the silence in the same
+        way, and the home counts from its sending, so the home may use the
+        reserve for a shorter time. The youngest therefore covers all others.
         """
         node = state.nodes[number]
-        if self._rank(node).successor == number:
-            changed = node._replace(silent=0, heard_age=0)
-            yield f"hear {number}", _with_node(state, number, changed)
+        if self._roles(node).successor == number:
+            changed = node._replace(silence=0, heartbeat_age=0)
+            yield (
+                f"receive heartbeat {number}",
+                _with_node(state, number, changed),
+            )
 
     def echo(self, state: State, number: int) -> Iterator[Step]:
-        """`Homes.report_to`: its `echo_sent_s`."""
+        """`Homes.report_to`: sends the echo, `echo_sent_s`."""
         node = state.nodes[number]
-        rank = self._rank(node)
-        if rank.successor != number or node.heard_age > T1:
+        roles = self._roles(node)
+        if roles.successor != number or node.heartbeat_age > T1:
             return
-        if node.reserve and self._guards.quiet_with_reserve:
+        if node.reserve and self._guards.no_echo_in_reserve:
             return
-        new = Echo(number, node.epoch, rank.home, node.heard_age)
+        new = Echo(number, node.epoch, roles.home, node.heartbeat_age)
         echoes = {new}
         for echo in state.echoes:
             if echo[:3] != new[:3]:
@@ -241,14 +244,14 @@
                 return
         yield f"echo {number}", state._replace(echoes=frozenset(echoes))
 
-    def hear_echo(self, state: State, number: int) -> Iterator[Step]:
-        """`HomePeer.with_echo` and `Homes._reserve_is_mine`."""
+    def receive_echo(self, state: State, number: int) -> Iterator[Step]:
+        """Receives an echo: `HomePeer.with_echo`, `Homes._reserve_is_mine`."""
         node = state.nodes[number]
-        rank = self._rank(node)
+        roles = self._roles(node)
         for echo in state.echoes:
             if echo.receiver != number or echo.age >= node.ack_age:
                 continue
-            if echo.sender != rank.successor:
+            if echo.sender != roles.successor:
                 continue
             if self._guards.checks_epoch and echo.epoch != node.epoch:
                 continue
@@ -256,23 +259,23 @@
             if not self._guards.counts_from_sending:
                 age = 0
             changed = node._replace(ack_age=age)
-            yield f"hear echo {number}", _with_node(state, number, changed)
+            yield f"receive echo {number}", _with_node(state, number, changed)
 
-    def hear_settled(self, state: State, number: int) -> Iterator[Step]:
-        """`Homes._settled_s`: silence counts from the last one settled."""
+    def learn_settled(self, state: State, number: int) -> Iterator[Step]:
+        """`Homes._settled_s`: silence counts from when the last one settled."""
         node = state.nodes[number]
-        if node.settled or number not in self._rank(node):
+        if node.settled or number not in self._roles(node):
             return
         for sender in range(NODES):
             if sender != number and not self._has_settled(state, sender):
                 return
-        changed = node._replace(settled=True, silent=0)
+        changed = node._replace(settled=True, silence=0)
         yield f"settled {number}", _with_node(state, number, changed)
 
     def take_over(self, state: State, number: int) -> Iterator[Step]:
-        """`Homes._take_over` on the record of the epoch just before."""
+        """`Homes._take_over`, given the record of the previous epoch."""
         node = state.nodes[number]
-        if node.epoch == 1 or self._rank(node).home != number:
+        if node.epoch == 1 or self._roles(node).home != number:
             return
         if node.held_epoch == 2:
             return
@@ -285,9 +288,9 @@
         yield f"take over {number}", _with_node(state, number, changed)
 
     def dispatch(self, state: State, number: int) -> Iterator[Step]:
-        """`SlotTable.admit` at the home, with short or long work."""
+        """`SlotTable.admit` at the home, with a short or long deadline."""
         node = state.nodes[number]
-        if self._rank(node).home != number or node.held_epoch != node.epoch:
+        if self._roles(node).home != number or node.held_epoch != node.epoch:
             return
         limit = ORDINARY_SLOTS
         if self._may_use_reserve(node):
@@ -314,25 +317,25 @@
     def dispatch_in_reserve(self, state: State, number: int) -> Iterator[Step]:
         """`SlotTable.admit` at the successor of a silent home."""
         node = state.nodes[number]
-        if self._rank(node).successor != number or node.reserve:
+        if self._roles(node).successor != number or node.reserve:
             return
         if not self._all_settled(node):
             return
         limit = T2 if self._guards.t2_covers_deadline else T1
-        if node.silent < limit:
+        if node.silence < limit:
             return
         changed = node._replace(reserve=RESERVE_DEADLINE)
         yield f"reserve {number}", _with_node(state, number, changed)
 
-    def _without_idle_parts(self, state: State) -> State:
-        """Blanks what the role of an entry never reads, to merge states."""
+    def _without_unread_fields(self, state: State) -> State:
+        """Clears fields that an entry's role never reads, to merge states."""
         nodes = []
         for number, node in enumerate(state.nodes):
-            rank = self._rank(node)
-            if rank.successor != number:
-                node = node._replace(silent=0, heard_age=OLD)  # noqa: PLW2901
-            if rank.home != number:
-                node = node._replace(ack_age=OLD)  # noqa: PLW2901
+            roles = self._roles(node)
+            if roles.successor != number:
+                node = node._replace(silence=0, heartbeat_age=MAX_AGE)  # noqa: PLW2901
+            if roles.home != number:
+                node = node._replace(ack_age=MAX_AGE)  # noqa: PLW2901
             nodes.append(node)
         echoes = set()
         for echo in state.echoes:
@@ -345,19 +348,22 @@
     def _has_settled(self, state: State, sender: int) -> bool:
         """`Homes._settled_itself`; once true it stays true.
 
-        A report that says so can be received at any later time, so the report
-        itself need not be part of the state.
+        The report of it can be received at any later time, so it need not be
+        part of the state.
         """
         node = state.nodes[sender]
         if node.epoch == 1:
             return False
-        return node.reserve == 0 or sender in self._rank(node)
+        return node.reserve == 0 or sender in self._roles(node)
 
-    def _rank(self, node: Node) -> Rank:
-        return self._ranks[node.epoch - 1]
+    def _roles(self, node: Node) -> HomeAndSuccessor:
+        return self._roles_by_epoch[node.epoch - 1]
 
     def _ever_home(self, number: int) -> bool:
-        return number in (self._ranks[0].home, self._ranks[1].home)
+        return number in (
+            self._roles_by_epoch[0].home,
+            self._roles_by_epoch[1].home,
+        )
 
     def _all_settled(self, node: Node) -> bool:
         if not self._guards.checks_epoch:
@@ -371,7 +377,7 @@
 
 
 def in_flight(nodes: tuple[Node, ...]) -> int:
-    """Returns how many requests the upstream runs."""
+    """Returns the number of requests that the upstream runs."""
     count = 0
     for node in nodes:
         count += len(node.running)
@@ -381,17 +387,23 @@
 
 
 SUCCESSOR_MOVES = Plan(
-    ranks=(Rank(home=0, successor=1), Rank(home=0, successor=2)),
+    roles_by_epoch=(
+        HomeAndSuccessor(home=0, successor=1),
+        HomeAndSuccessor(home=0, successor=2),
+    ),
     long_deadline=3,
 )
 HOME_MOVES = Plan(
-    ranks=(Rank(home=0, successor=1), Rank(home=2, successor=0)),
+    roles_by_epoch=(
+        HomeAndSuccessor(home=0, successor=1),
+        HomeAndSuccessor(home=2, successor=0),
+    ),
     long_deadline=3,
 )
 
 
 def protocol(name: str, plan: Plan, guards: Guards) -> Protocol:
-    """Returns the protocol for the checker."""
+    """Returns the protocol for the model checker."""
     model = Model(plan=plan, guards=guards)
 
     def within_slots(fields: dict) -> bool:
@@ -412,7 +424,7 @@
     ("t2_covers_deadline", SUCCESSOR_MOVES),
     ("short_reserve", SUCCESSOR_MOVES),
     ("checks_epoch", SUCCESSOR_MOVES),
-    ("quiet_with_reserve", SUCCESSOR_MOVES),
+    ("no_echo_in_reserve", SUCCESSOR_MOVES),
     ("counts_from_sending", SUCCESSOR_MOVES),
     ("waits_for_record", HOME_MOVES),
 )
@@ -421,7 +433,7 @@
 MODELS = checked_models(
     module="reserve",
     build=with_guards(protocol, Guards()),
-    right=(
+    correct=(
         ("the successor moves", SUCCESSOR_MOVES),
         ("the home moves", HOME_MOVES),
     ),
--- a/spec/words.py
+++ b/spec/update_order.py
@@ -1,11 +1,11 @@
-"""Specification of the order of words: configurations and leaving upstreams.
+"""Specification of the order of updates: configurations, leaving upstreams.
 
-Entries learn from the store or from each other, in any order, and miss what
-happens meanwhile. The operator writes newer configurations; an older one may
-be stored late. An upstream registers, leaves, and is removed; a write from
-before its leaving may be made late, also after its removal. A zone is
-evacuated and taken back. Processes restart and forget; a restarted entry has a
-new incarnation and owes nothing.
+Entries read the store or each other, in any order, and may miss intermediate
+states. The operator writes newer configurations; an older one may be stored
+late. An upstream registers, leaves and is removed; a write from before it left
+may be applied late, even after its removal. A zone is evacuated and restored.
+Processes restart without their former state; a restarted entry is a new
+incarnation, to which no former guarantee applies.
 
 `spec/README.md` maps each action to the function of the core.
 """
@@ -19,11 +19,10 @@
 from spec.checked_model import with_guards
 
 NODES = 2
-VERSIONS = 2
-ORDERS = 2
-# Changes of the store that are followed; enough for each kind of write once,
-# one of them twice.
-REVISIONS = 6
+MAX_VERSIONS = 2
+MAX_ORDERS = 2
+# Bounds the changes of the store: one of each kind, and one kind twice.
+MAX_REVISIONS = 6
 NONE, READY, LEAVING = "none", "ready", "leaving"
 
 
@@ -31,12 +30,13 @@
     """The platform's store.
 
     Attributes:
-      revision: number of its last change.
+      revision: revision of the last change.
       version: version of the stored configuration.
-      newest: newest version that was ever stored.
+      newest: newest version ever stored.
       upstream: the registration of the one upstream.
-      late: whether a write of `READY` from before the leaving is under way.
-      orders: orders about the zone so far; after an odd number it is evacuated.
+      late: whether a write of `READY` from before it left is in flight.
+      orders: number of orders to evacuate or restore the zone; after an odd
+        number it is evacuated.
     """
 
     revision: int = 1
@@ -51,12 +51,12 @@
     """One entry.
 
     Attributes:
-      revision: revision of the store that its picture is as of; 0 for none.
+      revision: store revision of its view; 0 for none.
       version: version in force; 0 for none.
-      upstream: what it believes of the upstream.
+      upstream: state of the upstream in its view.
       left: whether it remembers that the upstream left.
-      orders: orders about the zone that it knows of.
-      fault: what went wrong in this incarnation.
+      orders: number of orders about the zone that it knows of.
+      fault: the violation seen in this incarnation; "" for none.
     """
 
     revision: int = 0
@@ -79,14 +79,14 @@
     nodes: tuple[Node, ...]
 
 
-class Word(NamedTuple):
-    """What the store or an entry tells.
+class Update(NamedTuple):
+    """What an entry reads from the store or from another entry.
 
     Attributes:
-      revision: revision of the store that it is as of.
+      revision: store revision that it reflects.
       version: version of the configuration.
-      upstream: the upstream's registration.
-      orders: orders about the zone.
+      upstream: registration of the upstream.
+      orders: number of orders about the zone.
     """
 
     revision: int
@@ -101,7 +101,7 @@
     newer_only: bool = True
     keeps_mark: bool = True
     remembers_left: bool = True
-    refuses_behind: bool = True
+    refuses_older_peers: bool = True
 
 
 Step = tuple[str, State]
@@ -111,45 +111,51 @@
     """The actions under one set of guards."""
 
     def __init__(self, *, guards: Guards) -> None:
-        """Takes the guards in place."""
+        """Initialises the model with its enabled guards."""
         self._guards = guards
 
     @staticmethod
     def initial() -> State:
-        """The upstream is registered; no entry knows anything."""
+        """Returns the state with the upstream registered and no entry aware."""
         return State(store=Store(), nodes=(Node(),) * NODES)
 
     def transitions(self, state: State) -> Iterator[Step]:
-        """Yields everything that may happen next."""
-        if state.store.revision < REVISIONS:
-            yield from _writes(state)
+        """Yields every possible next step."""
+        if state.store.revision < MAX_REVISIONS:
+            yield from _store_changes(state)
         for number, node in enumerate(state.nodes):
             if node.revision:
-                yield f"{number} restarts", _put(state, number, Node())
-            yield f"{number} asks the store", self._ask_store(state, number)
+                yield f"{number} restarts", _with_node(state, number, Node())
+            yield f"{number} reads the store", self._read_store(state, number)
             for other, peer in enumerate(state.nodes):
                 if other == number or not peer.revision:
                     continue
-                if self._guards.refuses_behind:
+                if self._guards.refuses_older_peers:
                     if peer.revision < node.revision:
                         continue
-                label = f"{number} asks {other}"
-                yield label, self._ask_peer(state, number, peer)
+                label = f"{number} reads {other}"
+                yield label, self._read_peer(state, number, peer)
 
-    def _ask_store(self, state: State, number: int) -> State:
+    def _read_store(self, state: State, number: int) -> State:
         store = state.store
-        word = Word(store.revision, store.version, store.upstream, store.orders)
-        return _put(state, number, self._take(state.nodes[number], word))
+        update = Update(
+            store.revision, store.version, store.upstream, store.orders
+        )
+        return _with_node(
+            state, number, self._apply(state.nodes[number], update)
+        )
 
-    def _ask_peer(self, state: State, number: int, peer: Node) -> State:
-        word = Word(peer.revision, peer.version, peer.upstream, peer.orders)
-        return _put(state, number, self._take(state.nodes[number], word))
+    def _read_peer(self, state: State, number: int, peer: Node) -> State:
+        update = Update(peer.revision, peer.version, peer.upstream, peer.orders)
+        return _with_node(
+            state, number, self._apply(state.nodes[number], update)
+        )
 
-    def _take(self, node: Node, word: Word) -> Node:
+    def _apply(self, node: Node, update: Update) -> Node:
         fault = node.fault
-        version = word.version
-        upstream = word.upstream
-        if word.orders < node.orders:
+        version = update.version
+        upstream = update.upstream
+        if update.orders < node.orders:
             fault = "an order about the zone is undone"
         if version < node.version:
             if self._guards.newer_only:
@@ -157,30 +163,30 @@
             else:
                 fault = "an older configuration is in force again"
         left = node.left or node.upstream == LEAVING
-        if upstream == READY and self._marked(node):
+        if upstream == READY and self._counts_as_leaving(node):
             upstream = LEAVING
         if upstream == READY and left:
             fault = "an upstream that left gets requests"
         return Node(
-            revision=word.revision,
+            revision=update.revision,
             version=version,
             upstream=upstream,
-            orders=word.orders,
+            orders=update.orders,
             left=left or upstream == LEAVING,
             fault=fault,
         )
 
-    def _marked(self, node: Node) -> bool:
+    def _counts_as_leaving(self, node: Node) -> bool:
         if node.upstream == LEAVING:
             return self._guards.keeps_mark
         return node.left and self._guards.remembers_left
 
 
-def _writes(state: State) -> Iterator[Step]:
-    """Yields what the operator and the upstream may have stored."""
+def _store_changes(state: State) -> Iterator[Step]:
+    """Yields the changes of the store by the operator and the upstream."""
     store = state.store
     revision = store.revision + 1
-    if store.newest < VERSIONS:
+    if store.newest < MAX_VERSIONS:
         newest = store.newest + 1
         stored = store._replace(
             revision=revision, version=newest, newest=newest
@@ -188,22 +194,28 @@
         yield "a newer configuration", state._replace(store=stored)
     if store.version > 1:
         stored = store._replace(revision=revision, version=store.version - 1)
-        yield "an older one is stored late", state._replace(store=stored)
-    if store.orders < ORDERS:
+        yield (
+            "an older configuration is stored late",
+            state._replace(store=stored),
+        )
+    if store.orders < MAX_ORDERS:
         stored = store._replace(revision=revision, orders=store.orders + 1)
-        yield "the zone is evacuated, or back", state._replace(store=stored)
+        yield "the zone is evacuated or restored", state._replace(store=stored)
     if store.upstream == READY:
         stored = store._replace(revision=revision, upstream=LEAVING)
         yield "the upstream leaves", state._replace(store=stored)
     if store.upstream == LEAVING:
         stored = store._replace(revision=revision, upstream=NONE)
-        yield "it is removed", state._replace(store=stored)
+        yield "the upstream is removed", state._replace(store=stored)
     if store.late and store.upstream != READY:
         stored = store._replace(revision=revision, upstream=READY, late=False)
-        yield "a late write of it", state._replace(store=stored)
+        yield (
+            "a late write of the upstream is applied",
+            state._replace(store=stored),
+        )
 
 
-def _put(state: State, number: int, node: Node) -> State:
+def _with_node(state: State, number: int, node: Node) -> State:
     nodes = list(state.nodes)
     nodes[number] = node
     return state._replace(nodes=tuple(nodes))
@@ -214,7 +226,7 @@
 
 
 def protocol(name: str, start: None, guards: Guards) -> Protocol:
-    """Returns the protocol under a set of guards; it has one start."""
+    """Returns the protocol for the model checker; it has one start."""
     del start
     model = Model(guards=guards)
     return Protocol(
@@ -223,18 +235,18 @@
         fields=State._fields,
         initial=model.initial(),
         transitions=model.transitions,
-        invariants={"no_word_is_undone": _without_fault},
+        invariants={"no_update_is_undone": _without_fault},
     )
 
 
 MODELS = checked_models(
-    module="words",
+    module="update_order",
     build=with_guards(protocol, Guards()),
-    right=(("words come in any order", None),),
+    correct=(("updates arrive in any order", None),),
     mutants=(
         ("newer_only", None),
         ("keeps_mark", None),
         ("remembers_left", None),
-        ("refuses_behind", None),
+        ("refuses_older_peers", None),
     ),
 )
