--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,13 +1,13 @@
-"""Measures idle entries: CPU, bytes, memory, platform calls, time of an edit.
+"""Measures idle entries: CPU, bytes, memory, platform calls, edit latency.
 
-One command, about three minutes: `python -m benchmarks.fleet`. Starts whole
-deployments of daemons on loopback, one after another: a growing number of
-entries with few upstreams, then eight entries with a growing number of
-upstreams. No request is sent, so all that is spent is control.
+Run: python -m benchmarks.fleet (about three minutes)
+Starts complete deployments of daemons on loopback, one after another: a growing
+number of entries with few upstreams, then eight entries with a growing number
+of upstreams. No request is sent, so only the control plane uses resources.
 
-CPU and memory are told as the median over the entries and the range, bytes of
-the control sockets as the mean. `with headers` adds `PACKET_OVERHEAD_BYTES` to
-each message, as if none shared a packet.
+CPU and memory are reported as the median over the entries and the range, bytes
+of the control sockets as the mean. `with headers` adds `PACKET_OVERHEAD_BYTES`
+to each message, as if none shared a packet.
 """
 
 import argparse
@@ -61,7 +61,7 @@
 
 
 class Size(NamedTuple):
-    """What one deployment is made of."""
+    """The size of one deployment."""
 
     regions: tuple[str, ...]
     entries: int
@@ -69,7 +69,7 @@
 
 
 class Calls(NamedTuple):
-    """Calls of the platform; `watches` is how many are waiting."""
+    """Calls to the platform; `watches` is the number of pending watches."""
 
     calls: int
     reads: int
@@ -78,19 +78,19 @@
 
 
 class Result(NamedTuple):
-    """What one deployment gave; lists hold one value an entry.
+    """Results of one deployment; lists hold one value per entry.
 
     Attributes:
-      size: what was measured.
-      cpu_percent: of one core, user and system.
+      size: size of the deployment.
+      cpu_percent: user and system time, in percent of one core.
       resident_bytes: memory at the end.
-      peer_per_s: by kind of metric, the mean over the entries.
+      peer_per_s: mean rate over the entries by name of the metric.
       read_per_s: reads of the key-value service by all entries.
       write_per_s: writes of the key-value service by all entries.
-      list_per_s: readings of the VM list by all entries.
-      watches: waiting watches.
-      in_force_ms: for each edit, from sending it to in force on all.
-      load_average: of the machine over the last minute, at the end.
+      list_per_s: reads of the VM list by all entries.
+      watches: number of pending watches.
+      in_force_ms: for each edit, time from sending it to in force on all.
+      load_average: load average of the host over the last minute, at the end.
     """
 
     size: Size
@@ -105,19 +105,19 @@
     load_average: float
 
 
-# One process that stands for every upstream.
+# One process serves as every upstream.
 
 
 class LoadHandler(tornado.web.RequestHandler):
-    """An idle upstream's word on its load."""
+    """Serves the load report of an idle upstream."""
 
     def get(self) -> None:
-        """Answers."""
+        """Sends the load report."""
         self.finish({"slots": SLOTS, "busy": 0, "draining": False})
 
 
 async def serve(addresses: list[str]) -> None:
-    """Listens on every address until the process is ended."""
+    """Listens on every address until the process is terminated."""
     application = tornado.web.Application([(r"/_load", LoadHandler)])
     for address in addresses:
         ip, _, port = address.rpartition(":")
@@ -131,22 +131,22 @@
     def __init__(
         self, *, processes: Processes, shape: Shape, statsd_address: str
     ) -> None:
-        """Prepares.
+        """Initialises the deployment; `start` starts it.
 
         Args:
-          processes: the processes.
-          shape: what it is made of.
+          processes: starts and ends the processes.
+          shape: numbers of entries and upstreams.
           statsd_address: where entries send metrics, each under its name.
         """
         super().__init__(processes=processes, shape=shape)
         self._statsd_address = statsd_address
 
     def start_upstream(self, name: str) -> None:
-        """Gives an upstream its address; `write_deployment` serves all."""
+        """Assigns an address; `write_deployment` starts the upstreams."""
         self.upstreams[name] = free_address()
 
     def write_deployment(self) -> None:
-        """Writes the seed of the configuration, and serves the upstreams."""
+        """Writes the initial configuration and starts the upstreams."""
         super().write_deployment()
         addresses = list(self.upstreams.values())
         self.processes.start(
@@ -159,7 +159,7 @@
         )
 
     def write_settings(self, name: str, more: str = "") -> None:
-        """Writes the settings of an entry with its metrics."""
+        """Writes the settings of an entry, with metrics enabled."""
         metrics = f"""[metrics]
 statsd_address = "{self._statsd_address}"
 prefix = "{name}"
@@ -167,7 +167,7 @@
         super().write_settings(name, more + metrics)
 
     def wait_ready(self) -> None:
-        """Waits, with few questions, until every home has its duty."""
+        """Waits until every home is active, polling rarely."""
 
         def ready() -> bool:
             time.sleep(READY_POLL_S)
@@ -177,10 +177,10 @@
 
 
 class PeerMeter(threading.Thread):
-    """Receives the entries' metrics and keeps those of the control sockets."""
+    """Receives the entries' metrics and keeps those of control sockets."""
 
     def __init__(self) -> None:
-        """Opens the socket."""
+        """Opens the UDP socket for the metrics."""
         super().__init__(daemon=True)
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind(("127.0.0.1", 0))
@@ -188,13 +188,13 @@
         self._values: dict[str, list[int]] = {}
 
     def run(self) -> None:
-        """Receives."""
+        """Receives packets until the process exits."""
         while True:
             packet = self._socket.recv(LARGEST_PACKET_BYTES)
             for line in packet.decode().splitlines():
-                self._take(line)
+                self._record_line(line)
 
-    def _take(self, line: str) -> None:
+    def _record_line(self, line: str) -> None:
         name, _, rest = line.partition(":")
         _, _, metric = name.partition(".")
         if metric.startswith("peer_"):
@@ -202,11 +202,11 @@
             self._values.setdefault(metric, []).append(value)
 
     def clear(self) -> None:
-        """Forgets what came so far."""
+        """Discards the values received so far."""
         self._values = {}
 
     def per_s(self) -> dict[str, float]:
-        """Returns the mean an entry and second; entries send each second."""
+        """Returns means per entry and second; entries send once a second."""
         means = {}
         for metric, values in self._values.items():
             means[metric] = statistics.mean(values)
@@ -214,7 +214,7 @@
 
 
 def calls_of(deployment: FleetDeployment) -> Calls:
-    """Returns what the platform has counted."""
+    """Returns the call counts of the platform."""
     return Calls(**get(deployment.platform, "/counts").json())
 
 
@@ -230,7 +230,7 @@
 
 
 def measure(size: Size, meter: PeerMeter) -> Result:
-    """Starts one deployment, measures it idle, then edits, and ends it."""
+    """Measures one deployment while idle and during edits."""
     processes = Processes()
     deployment = FleetDeployment(
         processes=processes,
@@ -248,7 +248,7 @@
 def measure_idle(
     deployment: FleetDeployment, size: Size, meter: PeerMeter
 ) -> Result:
-    """Measures a deployment that runs."""
+    """Measures a running deployment."""
     children = []
     for name in deployment.entries:
         children.append(deployment.processes.children[name])
@@ -285,7 +285,7 @@
 
 
 def edit_times_ms(deployment: FleetDeployment) -> list[float]:
-    """Edits a few times and reads from the logs when each was in force."""
+    """Makes a few edits and reads from the logs when each was in force."""
     operator = Operator(deployment=deployment)
     names = list(deployment.entries)
     times_ms = []
@@ -304,7 +304,7 @@
 def wait_in_force(
     deployment: FleetDeployment, version: int
 ) -> datetime.datetime:
-    """Waits for a version on all, and returns when the last one had it."""
+    """Waits for a version on all entries; returns when the last had it."""
     return wait_until(
         lambda: last_in_force(deployment, version),
         limit_s=EDIT_LIMIT_S,
@@ -315,7 +315,7 @@
 def last_in_force(
     deployment: FleetDeployment, version: int
 ) -> datetime.datetime | None:
-    """Returns when the last entry had a version, None before that."""
+    """Returns when the last entry had a version in force, else None."""
     latest = datetime.datetime.min
     for name in deployment.entries:
         logged = in_force_at(deployment.processes.children[name].log, version)
@@ -326,7 +326,7 @@
 
 
 def in_force_at(log: Path, version: int) -> datetime.datetime | None:
-    """Returns when one entry logged a version as in force."""
+    """Returns when one entry logged a version as in force, else None."""
     for line in log.read_text(encoding="utf-8").splitlines():
         if "configuration_in_force" not in line:
             continue
@@ -338,14 +338,14 @@
 
 def spread(values: list[float], digits: int) -> str:
     """Returns the median and the range."""
-    middle = statistics.median(values)
+    median_value = statistics.median(values)
     low = min(values)
     high = max(values)
-    return f"{middle:.{digits}f} ({low:.{digits}f} to {high:.{digits}f})"
+    return f"{median_value:.{digits}f} ({low:.{digits}f} to {high:.{digits}f})"
 
 
 def print_results(results: list[Result]) -> None:
-    """Prints one row a deployment."""
+    """Prints one row per deployment."""
     table = Table(
         "entries",
         "upstreams",
@@ -387,7 +387,7 @@
 
 
 def sizes(entry_counts: list[int], upstream_counts: list[int]) -> list[Size]:
-    """Returns both series."""
+    """Returns the sizes of both series of deployments."""
     series = []
     for regions, entries in zip(ENTRY_SERIES, ENTRY_COUNTS, strict=True):
         if entries in entry_counts:
--- a/benchmarks/heartbeats.py
+++ b/benchmarks/heartbeats.py
@@ -1,14 +1,15 @@
-"""Measures heartbeats: sizes, traffic, processor time, age of what is known.
+"""Measures heartbeats: sizes, traffic, CPU time, age of known statuses.
 
-Run with `python -m benchmarks.heartbeats`; it takes half a minute. With
-`--target` the spread at the target size takes three minutes more. Three parts:
+Run: python -m benchmarks.heartbeats (half a minute)
+With `--target`, the spread at the target size takes three minutes more. There
+are three parts:
 
-* sizes: encoded bytes of each message at today's and the target size;
-* sockets: 4 to 64 entries with real sockets on loopback, four to a process,
-  bytes a second and processor time for each entry;
+* sizes: encoded bytes of each message at the present and the target size;
+* sockets: 4 to 64 entries with real sockets on loopback, four per process:
+  bytes per second and CPU time for each entry;
 * spread: the pure core of one zone and of the target size stepped through
-  simulated seconds without loss; how old the word on each entry gets, how long
-  a new configuration version takes to be known, and how long to be reported.
+  simulated seconds without loss: the age of the status of each entry, and the
+  time until a new configuration version is known and until it is reported.
 """
 
 import asyncio
@@ -46,7 +47,7 @@
 SOCKET_RUN_S = 2.0
 SOCKET_LIMIT_S = 20.0
 ENTRIES_PER_PROCESS = 4
-NEVER_HEARD = -1.0
+NEVER_RECEIVED = -1.0
 PART_ARGUMENTS = 4
 TODAY = (10, 6)
 TARGET = (770, 14)
@@ -105,7 +106,7 @@
 
 
 class Measured(NamedTuple):
-    """What one process measured over its entries."""
+    """Results of one process over its entries."""
 
     entries: int
     sent_messages_per_s: float
@@ -116,7 +117,7 @@
 
 
 async def measure(count: int, first: int, last: int) -> Measured:
-    # All in one zone: the largest group that these counts can make.
+    # All entries are in one zone, the largest group possible at this count.
     table = make_table(count, 1)
     entries = []
     for row in table.entries[first:last]:
@@ -136,7 +137,7 @@
         sent_messages += entry.peers.counts.sent_messages - counts.sent_messages
     oldest_s = oldest_age_s(entries, time.monotonic())
     if oldest_s == float("inf"):
-        oldest_s = NEVER_HEARD
+        oldest_s = NEVER_RECEIVED
     for entry in entries:
         entry.heartbeats.stop()
         entry.peers.stop()
@@ -156,8 +157,8 @@
 
 
 def run_sockets(count: int) -> None:
-    """Runs entries in several processes, few in each for their descriptors."""
-    # An age of -1 stands for an entry that was never heard.
+    """Runs entries in several processes, few in each to limit descriptors."""
+    # An age of -1 means that no heartbeat of some entry was received.
     parts = []
     for first in range(0, count, ENTRIES_PER_PROCESS):
         last = min(count, first + ENTRIES_PER_PROCESS)
@@ -173,7 +174,7 @@
     cpu = sum(part.cpu_s_per_s for part in measured) / count
     resident_bytes = max(part.resident_bytes for part in measured)
     ages_s = [part.oldest_s for part in measured]
-    oldest_s = NEVER_HEARD if NEVER_HEARD in ages_s else max(ages_s)
+    oldest_s = NEVER_RECEIVED if NEVER_RECEIVED in ages_s else max(ages_s)
     print(
         f"  {count:7} {sent:10.1f} {sent_bytes:10.0f} "
         f"{sent_bytes + sent * PACKET_OVERHEAD_BYTES:12.0f} "
@@ -206,15 +207,15 @@
             continue
         ages_s.sort()
         print(
-            f"    age of the word, {group}: mean {statistics.mean(ages_s):.2f}"
+            f"    status age, {group}: mean {statistics.mean(ages_s):.2f}"
             f" s, p99 {ages_s[int(len(ages_s) * 0.99)]:.2f} s,"
-            f" most {ages_s[-1]:.2f} s"
+            f" max {ages_s[-1]:.2f} s"
         )
     report_edit(steps)
 
 
 def report_edit(steps: Steps) -> None:
-    """Gives a new version to two entries a zone, as watches would."""
+    """Offers a new version to two entries per zone, as watches would."""
     started_s = steps.now_s
     per_zone: dict[str, int] = {}
     for entry in steps.entries.values():
@@ -242,8 +243,8 @@
         if in_force_s is not None and not lacking:
             break
     print(
-        f"    new version in force everywhere after {in_force_s} s, reported "
-        f"by every entry to one after {steps.now_s - started_s:.2f} s"
+        f"    new version in force on all entries after {in_force_s} s, "
+        f"reported by all to one entry after {steps.now_s - started_s:.2f} s"
         f"{'' if not lacking else f' (still lacking {len(lacking)})'}"
     )
 
--- a/benchmarks/hops.py
+++ b/benchmarks/hops.py
@@ -1,9 +1,9 @@
-"""What a hop costs: requests a second and CPU a request, on loopback.
+"""Measures the cost of a hop: requests/s and CPU per request on loopback.
 
-Starts a platform, an upstream and two entries as processes of their own and
-sends small requests over a few kept connections: look-ups, requests through
-one entry and through two, and, for comparison, straight to the upstream.
-Prints a table; takes about half a minute.
+Starts a platform, an upstream and two entries as separate processes and sends
+small requests over a few persistent connections: lookups, requests through one
+entry and through two, and, for comparison, directly to the upstream. Prints a
+table; takes about half a minute.
 
   python -m benchmarks.hops [--clients] [--profile bkk-e0]
 """
@@ -32,8 +32,8 @@
 from features.support.harness import wait_until
 
 CONNECTIONS = 8
-# Kinds are measured in turn, several times over, and the median is told: other
-# work on the machine slows some rounds.
+# Kinds of request are measured in turn, in several rounds, and the median is
+# reported: other load on the host slows some rounds.
 ROUNDS = 5
 WARM_S = 0.2
 MEASURE_S = 1.0
@@ -51,10 +51,10 @@
     """One kind of request under load.
 
     Attributes:
-      name: what is measured.
-      address: where the requests go.
+      name: name in the results.
+      address: address to which the requests are sent.
       path: path and query.
-      processes: whose CPU is told.
+      processes: processes whose CPU time is reported.
     """
 
     name: str
@@ -64,7 +64,7 @@
 
 
 class Result(NamedTuple):
-    """What one round gave; CPU by process in milliseconds a request."""
+    """Results of one round; CPU time by process in ms per request."""
 
     requests_per_s: float
     failed: int
@@ -74,7 +74,7 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Returns user and system time of a process."""
+    """Returns the user and system time of a process."""
     stat = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8")
     fields = stat.rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) * TICK_S
@@ -163,12 +163,12 @@
 
 
 class BenchDeployment(Deployment):
-    """A deployment without traces, perhaps with a profile of an entry."""
+    """A deployment without traces, with an optional profile of an entry."""
 
     profile = ""
 
     def write_settings(self, name: str, more: str = "") -> None:
-        """Writes the settings of an entry, tracing off."""
+        """Writes the settings of an entry with tracing off."""
         super().write_settings(name, more)
         path = self.processes.directory / f"{name}.toml"
         text = path.read_text(encoding="utf-8")
@@ -192,11 +192,11 @@
         )
 
 
-# The client libraries, each against the upstream, CPU of this process.
+# The client libraries, each sending to the upstream; CPU time of this process.
 
 
-class _Nothing(AnswerSink):
-    """Drops an answer."""
+class _DiscardingSink(AnswerSink):
+    """Discards a response."""
 
     def head(self, head: ResponseHead) -> None:
         del head
@@ -205,10 +205,10 @@
         del chunk
 
 
-async def with_ours(address: str) -> None:
-    """Sends requests with the project's client."""
+async def send_with_almondstair(address: str) -> None:
+    """Sends requests with the HTTP client of this project."""
     client = HttpClient(connect_timeout_s=1.0)
-    sink = _Nothing()
+    sink = _DiscardingSink()
     for _ in range(CLIENT_REQUESTS):
         body = RequestBody()
         body.end()
@@ -223,7 +223,7 @@
     client.close()
 
 
-async def with_tornado(address: str) -> None:
+async def send_with_tornado(address: str) -> None:
     """Sends requests with tornado's simple client."""
     client = httpclient.AsyncHTTPClient(force_instance=True)
     for _ in range(CLIENT_REQUESTS):
@@ -232,11 +232,11 @@
 
 
 def measure_clients(address: str) -> None:
-    """Prints the CPU a request of each client."""
-    table = Table("client", "CPU ms a request")
+    """Prints the CPU time per request of each client."""
+    table = Table("client", "CPU ms per request")
     for name, sender in (
-        ("ours, kept connections", with_ours),
-        ("tornado's simple client", with_tornado),
+        ("almondstair, persistent connections", send_with_almondstair),
+        ("tornado's simple client", send_with_tornado),
     ):
         before_s = time.process_time()
         asyncio.run(sender(address))
@@ -246,15 +246,15 @@
 
 
 def print_results(results: dict[str, list[Result]]) -> None:
-    """Prints the median of the rounds, and the range of the CPU."""
+    """Prints the median of the rounds and the range of the CPU time."""
     table = Table("", "requests/s", "failed", "p50 ms", "p99 ms", "CPU ms")
     for name, rounds in results.items():
         cpu = []
         for process in rounds[0].cpu_ms:
             values = sorted(result.cpu_ms[process] for result in rounds)
-            middle = statistics.median(values)
+            median = statistics.median(values)
             cpu.append(
-                f"{process} {middle:.2f} ({values[0]:.2f} to {values[-1]:.2f})"
+                f"{process} {median:.2f} ({values[0]:.2f} to {values[-1]:.2f})"
             )
         table.add_row(
             name,
@@ -280,7 +280,7 @@
         upstream = deployment.upstreams[UPSTREAM]
         runs = (
             Run("direct to the upstream", upstream, "/orders/1", (UPSTREAM,)),
-            Run("look-up", near, LOOKUP, (NEAR,)),
+            Run("lookup", near, LOOKUP, (NEAR,)),
             Run("entry -> upstream", near, ORDER, (NEAR, UPSTREAM)),
             Run("entry -> entry -> upstream", far, ORDER, (FAR, NEAR)),
         )
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -1,11 +1,11 @@
 """Measures homes and link shares by size of the entry table.
 
 Run: python -m benchmarks.ownership
-Homes: processor time of taking a new entry table, which is one stall of the
-loop, and of one question for a duty. Admission: one choice of an upstream that
-ends in a refusal, with all upstreams in one service; an admitted one looks
-through them three times. Links: a round in which one entry wants
-all and every other lends, seen by the busy one and by a lender; and memory.
+Homes: CPU time of applying a new entry table, which blocks the event loop once,
+and of one query of a home role. Admission: one choice of an upstream that ends
+in a refusal, with all upstreams in one service; an admitted request scans them
+three times. Links: a round in which one entry wants the whole cap and all
+others lend, measured at the busy entry and at the lenders; and memory.
 """
 
 import time
@@ -30,12 +30,12 @@
 from almondstair.core.model import Upstream
 from almondstair.core.slot_book import SlotBook
 
-# Entries and upstreams: today, between, and the target with an assumed 1000
-# upstreams; in one region of four.
+# Entries and upstreams, from the present size to the target with an assumed
+# 1000 upstreams; in one region of four.
 SIZES = ((12, 28), (96, 125), (192, 250), (385, 500), (770, 1000))
 REGIONS = 4
 TABLES = 5
-QUESTIONS = 2000
+QUERIES = 2000
 CHOICES = 50
 ZONES = (2, 14, 28, 55)
 ROUNDS = 40
@@ -111,7 +111,7 @@
     rows: list[EntryRow] = []
     for number in range(entries):
         rows.append(_row(number=number))
-    # The own row comes last, since rows are looked through from the first.
+    # The own row is last, the worst case of a scan from the first row.
     rows.reverse()
     configuration = _configuration(upstreams=upstreams)
     book = SlotBook(margin_s=0.5)
@@ -122,18 +122,18 @@
     tracemalloc.stop()
     started_s = time.process_time()
     for epoch in range(2, 2 + TABLES):
-        # Each table drops one entry and takes the one before back.
+        # Each table drops one entry and adds the previously dropped one.
         changed = tuple(rows[: epoch - 2] + rows[epoch - 1 :])
         homes.update_table(table=EntryTable(epoch, changed), now_s=0.0)
     table_ms = (time.process_time() - started_s) / TABLES * 1e3
     started_s = time.process_time()
-    for number in range(QUESTIONS):
+    for number in range(QUERIES):
         homes.duty(upstream=f"upstream-{number % upstreams}", now_s=0.0)
-    duty_us = (time.process_time() - started_s) / QUESTIONS * 1e6
+    query_us = (time.process_time() - started_s) / QUERIES * 1e6
     choose_us = _choose_us(homes=homes, book=book, configuration=configuration)
     print(
         f"homes, {entries:>3} entries, {upstreams:>4} upstreams: "
-        f"new table {table_ms:.1f} ms CPU, duty {duty_us:.1f} us, "
+        f"new table {table_ms:.1f} ms CPU, home role {query_us:.1f} us, "
         f"refused choice {choose_us:.0f} us, {size_bytes / MIB:.2f} MiB"
     )
 
@@ -166,7 +166,7 @@
         lenders[name] = _share(name=name, names=tuple(names))
     now_s = 100.0
     busy_s = 0.0
-    lend_s = 0.0
+    lenders_s = 0.0
     messages = 0
     sent_bytes = 0
     for _ in range(ROUNDS):
@@ -181,7 +181,7 @@
             loan = lenders[request.lender].lend(request=request, now_s=now_s)
             if loan is not None:
                 loans.append(loan)
-        lend_s += time.process_time() - started_s
+        lenders_s += time.process_time() - started_s
         messages += len(requests) + len(loans)
         for message in (*requests, *loans):
             sent_bytes += len(msgspec.msgpack.encode(message))
@@ -189,13 +189,13 @@
         for loan in loans:
             busy.accept(loan=loan, now_s=now_s)
         busy_s += time.process_time() - started_s
-    length_s = ROUNDS * ROUND_S
+    duration_s = ROUNDS * ROUND_S
     print(
         f"link, {entries:>2} entries of a zone, one busy: "
-        f"{messages / length_s:.1f} messages/s of "
+        f"{messages / duration_s:.1f} messages/s of "
         f"{sent_bytes / messages:.0f} bytes, "
-        f"busy entry {busy_s / length_s * 100:.3f}% of a core, "
-        f"all lenders together {lend_s / length_s * 100:.3f}%, "
+        f"busy entry {busy_s / duration_s * 100:.3f}% of a core, "
+        f"all lenders together {lenders_s / duration_s * 100:.3f}%, "
         f"share takes {size_bytes:,} bytes"
     )
 
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -1,19 +1,20 @@
-"""Measures steering policies with real processes in the shape of each firm.
+"""Measures steering policies with real processes in each firm's layout.
 
-Entries, upstreams, platform and callers are processes on loopback; the delay
-between regions is put in by `benchmarks.delayed_daemon`. Each firm has about
+Entries, upstreams, platform and callers are processes on loopback;
+`benchmarks.delayed_daemon` adds the delay between regions. Each firm has about
 half its upstreams and all its entries. Region `a` has half of the callers, `b`
-three tenths, `c` a fifth; slots are the same in each.
+three tenths, `c` a fifth; all regions have the same number of slots.
 
 Scenarios, one after another on one deployment:
-  steady    half of capacity; an upstream is marked leaving on the way
+  steady    half of capacity; an upstream is marked leaving during the run
   shift     the matching service's profile is edited while every cache is cold:
-            to the policy measured, from `local` (from `spread` for `local`),
-            which moves some 40% of all work
+            to the measured policy, from `local` (from `spread` for `local`),
+            which moves about 40% of all work
   overload  one and a half times capacity
   lost      region `b` is killed, entries and upstreams, at half of capacity
 
-A way is a policy with constants: `spread:ramp_fraction_per_s=0.5`.
+The option `--way` names a variant, a policy with optional constants, such as
+`spread:ramp_fraction_per_s=0.5`.
 
     python -m benchmarks.policies
     python -m benchmarks.policies --firm wattanakul --way local --scenario lost
@@ -40,8 +41,8 @@
 REGIONS = ("a", "b", "c")
 LOAD_PARTS = {"a": 0.5, "b": 0.3, "c": 0.2}
 SERVICES = ("matching", "intake")
-HALF = 0.5
-OVER = 1.5
+HALF_LOAD = 0.5
+OVERLOAD = 1.5
 PHASE_S = 8.0
 WARM_UP_S = 5.0
 DRAIN_AFTER_S = 3.0
@@ -58,14 +59,14 @@
 
 
 class Firm(NamedTuple):
-    """The shape of a firm.
+    """The layout of a firm.
 
     Attributes:
-      entries: entries of each region.
-      matching: upstreams of the first service in each region.
-      intake: upstreams of the second service in each region.
-      slots: slots of each.
-      one_way_ms: delay between regions.
+      entries: number of entries by region.
+      matching: upstreams of the service `matching` in each region.
+      intake: upstreams of the service `intake` in each region.
+      slots: slots of each upstream.
+      one_way_ms: one-way delay between regions.
     """
 
     entries: dict[str, int]
@@ -142,7 +143,7 @@
     """A deployment with two services and a delay between regions."""
 
     def __init__(self, *, processes: Processes, firm: Firm, way: str) -> None:
-        """Prepares; `start` starts it."""
+        """Initialises the deployment; `start` starts it."""
         upstreams = {}
         for region in REGIONS:
             upstreams[region] = firm.matching + firm.intake
@@ -160,7 +161,7 @@
         self.profiles = dict.fromkeys(SERVICES, "measured")
 
     def start_upstream(self, name: str) -> None:
-        """Starts an upstream; its number says which service it runs."""
+        """Starts an upstream; its number determines the service it runs."""
         region, _, number = name.rpartition("-u")
         place = int(number)
         name = f"{region}-matching{place}"
@@ -209,7 +210,7 @@
         return "\n".join(lines)
 
     def capacity_per_s(self, service: str) -> float:
-        """Returns the requests a second that all slots serve."""
+        """Returns the requests per second that all slots can serve."""
         each = self.firm.matching
         if service == "intake":
             each = self.firm.intake
@@ -218,20 +219,23 @@
 
 
 class Result(NamedTuple):
-    """Figures of one scenario.
+    """Results of one scenario.
 
     Attributes:
-      latency: milliseconds by class, of what was answered.
-      sent: requests by class.
-      refusals: refused sendings by class; callers come back when told to.
-      refused: requests by class that ended with a refusal.
-      other: requests by class that ended otherwise without an answer.
-      region_headroom: lowest free part of a region's slots in half a second.
-      link_headroom: lowest free part of a link's cap in half a second.
-      far: part of the runs that were far from their caller.
-      drain_s: from the mark to the end of the last request, None if not asked.
-      tries: runs and refusals at upstreams over requests sent.
-      kinds: answers that were no answer of an upstream, by class and kind.
+      latency: latency in ms of successful requests by class.
+      sent: number of requests by class.
+      refusals: number of refused attempts by class; callers retry as the
+        refusal directs.
+      refused: number of requests by class that ended with a refusal.
+      other: number of requests by class that failed otherwise.
+      region_headroom: lowest free fraction of a region's slots over windows
+        of `WINDOW_S`.
+      link_headroom: lowest free fraction of a link's cap over such windows.
+      far: fraction of the responses from a region other than the caller's.
+      drain_s: time from the mark to the end of the last request; None if not
+        measured.
+      tries: runs and refusals at upstreams per request sent.
+      kinds: number of failed requests by class, status and kind.
     """
 
     latency: dict[str, HdrHistogram]
@@ -248,26 +252,26 @@
 
 
 class Trial:
-    """One deployment under one way, scenario after scenario."""
+    """Runs scenarios one after another on one deployment."""
 
     def __init__(self, *, deployment: FirmDeployment) -> None:
-        """Takes a started deployment."""
+        """Initialises the trial with a started deployment."""
         self.deployment = deployment
         self.number = 0
         self.seed = 0
         self.version = 1
         self.drain_s: float | None = None
         self.marked_s = 0.0
-        self.gone: set[str] = set()
+        self.killed_processes: set[str] = set()
 
     def load(self, factor: float, seconds_s: float) -> list[str]:
-        """Starts the callers, one for each entry."""
+        """Starts one caller for each entry."""
         self.number += 1
         names = []
         for region in REGIONS:
             count = self.deployment.firm.entries[region]
             for place in range(count):
-                # The last entry of a region has the callers of intake.
+                # The last entry of a region serves the callers of `intake`.
                 service = "matching"
                 share = 1.0 / (count - 1)
                 if place == count - 1:
@@ -297,7 +301,7 @@
         options = ["--rate", f"{rate:.2f}", "--no-look-up"]
         options += ["--count", str(int(rate * seconds_s))]
         options += ["--edge-zone", f"{region}-1"]
-        # Keys come from the seed: two callers with one would use each other's.
+        # Keys derive from the seed; callers with one seed would share keys.
         self.seed += 1
         options += ["--seed", str(self.seed)]
         self.deployment.processes.start_caller(
@@ -310,7 +314,7 @@
         return name
 
     def finish(self, names: list[str]) -> list[Record]:
-        """Waits for callers and returns what they recorded."""
+        """Waits for the callers and returns their records."""
         records: list[Record] = []
         for name in names:
             self.deployment.processes.children[name].wait(limit_s=40)
@@ -318,7 +322,7 @@
         return records
 
     def edit_matching(self, profile: str) -> None:
-        """Runs the matching service under another profile."""
+        """Assigns another profile to the matching service."""
         self.deployment.profiles["matching"] = profile
         answer = self.deployment.edit(
             "c-e0", self.deployment.deployment_text(), self.version
@@ -327,7 +331,7 @@
         self.version = answer.json()["version"]
 
     def run(self, scenario: str) -> Result:
-        """Runs a scenario and returns its figures."""
+        """Runs a scenario and returns its results."""
         self.drain_s = None
         before_refused = self._refused_by_upstreams()
         started_s = time.monotonic()
@@ -337,7 +341,7 @@
         return self._result(records, started_s, ended_s, refused)
 
     def _steady(self) -> list[Record]:
-        names = self.load(HALF, PHASE_S)
+        names = self.load(HALF_LOAD, PHASE_S)
         time.sleep(DRAIN_AFTER_S)
         self.marked_s = time.monotonic()
         answer = self.deployment.mark("c-e0", LEAVING, leaving=True)
@@ -357,13 +361,13 @@
         if self.deployment.policy == "local":
             before = "spread"
         self.edit_matching(before)
-        settle = self.load(HALF, SETTLE_S)
+        settle = self.load(HALF_LOAD, SETTLE_S)
         self.finish(settle)
         for name in self.deployment.upstreams:
             self.deployment.control(
                 name, cold_requests=COLD_REQUESTS, cold_ms=COLD_MS
             )
-        names = self.load(HALF, PHASE_S)
+        names = self.load(HALF_LOAD, PHASE_S)
         self.edit_matching("measured")
         records = self.finish(names)
         for name in self.deployment.upstreams:
@@ -371,21 +375,21 @@
         return records
 
     def _overload(self) -> list[Record]:
-        return self.finish(self.load(OVER, PHASE_S))
+        return self.finish(self.load(OVERLOAD, PHASE_S))
 
     def _lost(self) -> list[Record]:
-        names = self.load(HALF, PHASE_S)
+        names = self.load(HALF_LOAD, PHASE_S)
         time.sleep(LOST_AFTER_S)
         for name, child in list(self.deployment.processes.children.items()):
             if name.startswith("b-"):
                 child.kill()
-                self.gone.add(name)
+                self.killed_processes.add(name)
         return self.finish(names)
 
     def _refused_by_upstreams(self) -> int:
         refused = 0
         for name in self.deployment.upstreams:
-            if name in self.gone:
+            if name in self.killed_processes:
                 continue
             counts = self.deployment.journal(name)["refused"]
             refused += counts["over_slots"] + counts["draining"]
@@ -439,7 +443,7 @@
         )
 
     def _region_headroom(self, runs: list[Record]) -> float:
-        """Returns the lowest free part of slots, over windows."""
+        """Returns the lowest free fraction of slots over all windows."""
         busy: dict[tuple[str, str, int], float] = {}
         for run in runs:
             region, _, kind = run["upstream"].partition("-")
@@ -462,10 +466,10 @@
         return max(0.0, lowest)
 
     def _link_headroom(self, started_s: float, ended_s: float) -> float:
-        """Returns the lowest free part of a link between regions."""
+        """Returns the lowest free fraction of a link between regions."""
         moved: dict[tuple[str, str, int, int], int] = {}
         for name in self.deployment.upstreams:
-            if name in self.gone:
+            if name in self.killed_processes:
                 continue
             page = self.deployment.journal(name)
             region = name.partition("-")[0]
@@ -486,7 +490,7 @@
         return lowest
 
     def _far(self, runs: list[Record], records: list[Record]) -> float:
-        """Returns the part of the answers that came from another region."""
+        """Returns the fraction of responses that came from another region."""
         del runs
         far = 0
         known = 0
@@ -514,7 +518,7 @@
         )
         deployment.start()
         trial = Trial(deployment=deployment)
-        trial.finish(trial.load(HALF, WARM_UP_S))
+        trial.finish(trial.load(HALF_LOAD, WARM_UP_S))
         for scenario in scenarios:
             results[scenario] = trial.run(scenario)
     finally:
@@ -531,7 +535,7 @@
     return "\n".join(parts)
 
 
-def parts_of(result: Result, counts: dict[str, int]) -> str:
+def percentages(result: Result, counts: dict[str, int]) -> str:
     parts = []
     for name in sorted(result.sent):
         part = 100 * counts.get(name, 0) / result.sent[name]
@@ -549,9 +553,9 @@
             scenario,
             way,
             percentiles(result),
-            parts_of(result, result.refusals),
-            parts_of(result, result.refused),
-            parts_of(result, result.other),
+            percentages(result, result.refusals),
+            percentages(result, result.refused),
+            percentages(result, result.other),
             f"{result.region_headroom:.2f}",
             f"{result.link_headroom:.2f}",
             f"{100 * result.far:.0f}%",
@@ -586,8 +590,8 @@
             "scenario",
             "way",
             "p50/p99 ms",
-            "refusals\na request",
-            "refused\nat last",
+            "refusals\nper request",
+            "finally\nrefused",
             "failed",
             "region\nheadroom",
             "link\nheadroom",
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -26,7 +26,7 @@
 
 
 class Bounds(NamedTuple):
-    """Bounds the size of a model.
+    """The bounds of a model.
 
     Attributes:
       attempts: how often the caller sends the key.
@@ -338,10 +338,10 @@
         """The deadline passes while the entry is busy or frozen."""
         attempt = state.attempts[number]
         if attempt.phase is Phase.HELD and not attempt.past_deadline:
-            past_deadline = attempt._replace(past_deadline=True)
+            changed = attempt._replace(past_deadline=True)
             yield (
                 f"deadline {number}",
-                _with_attempt(state, number, past_deadline),
+                _with_attempt(state, number, changed),
             )
 
     def die(self, state: State) -> Iterator[Step]:
@@ -379,11 +379,11 @@
 
 
 def _nothing_dispatched_late(fields: dict) -> bool:
-    past_deadline = 0
+    count = 0
     for attempt in fields["attempts"]:
         if attempt.dispatched_past_deadline:
-            past_deadline += 1
-    return past_deadline == 0
+            count += 1
+    return count == 0
 
 
 def protocol(name: str, bounds: Bounds, guards: Guards) -> Protocol:
--- a/spec/incarnations.py
+++ b/spec/incarnations.py
@@ -127,7 +127,7 @@
         peer = state.nodes[other]
         if peer.revision >= node.revision:
             updated = self._apply(node, peer.revision, peer.incarnation)
-            yield f"{number} asks {other}", _with_node(state, number, updated)
+            yield f"{number} reads {other}", _with_node(state, number, updated)
         if peer.load and node.incarnation:
             load = node.load
             if (
--- a/spec/update_order.py
+++ b/spec/update_order.py
@@ -5,7 +5,7 @@
 late. An upstream registers, leaves and is removed; a write from before it left
 may be applied late, even after its removal. A zone is evacuated and restored.
 Processes restart without their former state; a restarted entry is a new
-incarnation, to which no former guarantee applies.
+incarnation, for which the invariant starts anew.
 
 `spec/README.md` maps each action to the function of the core.
 """
