--- a/spec/claims.py
+++ b/spec/claims.py
@@ -61,7 +61,7 @@
 
 
 class CallerReply(enum.IntEnum):
-    """What the caller was told about an attempt."""
+    """The reply of an attempt to its caller."""
 
     NOTHING = 0
     NOT_RUN = 1
