--- a/almondstair/admitting.py
+++ b/almondstair/admitting.py
@@ -5,7 +5,7 @@
 
 from almondstair.core.admission import SlotTable
 from almondstair.core.admission_queue import AdmissionQueue
-from almondstair.core.admission_queue import Waiting
+from almondstair.core.admission_queue import QueuedRequest
 from almondstair.core.admission_records import Admission
 from almondstair.core.admission_records import Outcome
 from almondstair.core.admission_records import Refusal
@@ -45,13 +45,13 @@
           AlmondstairError: `no_slot`, `no_upstream` or `deadline_passed`.
         """
         queue = self._queue(service)
-        result = queue.request(
+        result = queue.submit(
             priority=request_class.priority,
             deadline_s=deadline_s,
             now_s=time.monotonic(),
-            avoid=avoid,
+            excluded=avoid,
         )
-        if isinstance(result, Waiting):
+        if isinstance(result, QueuedRequest):
             result = await self._wait(service, queue, result)
         if isinstance(result, Refusal):
             raise AlmondstairError(
@@ -104,7 +104,7 @@
         return queue
 
     async def _wait(
-        self, service: str, queue: AdmissionQueue, queued: Waiting
+        self, service: str, queue: AdmissionQueue, queued: QueuedRequest
     ) -> _Result:
         key = (service, queued.number)
         future = asyncio.get_running_loop().create_future()
--- a/almondstair/claims.py
+++ b/almondstair/claims.py
@@ -1,6 +1,6 @@
 """Claims of idempotency keys in the platform's key-value service.
 
-Does the I/O for the decisions of `almondstair.core.ledger`: calls, leases,
+Does the I/O for the decisions of `almondstair.core.idempotency`: calls, leases,
 batches, and outcomes that are written after the caller has its response.
 """
 
@@ -12,7 +12,7 @@
 
 from almondstair import batching
 from almondstair import log
-from almondstair.core import ledger
+from almondstair.core import idempotency
 from almondstair.core.circuit_breaker import CircuitBreaker
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
@@ -97,7 +97,7 @@
             now=now,
         )
         self._gate = CircuitBreaker()
-        self._open_claims: dict[str, ledger.ClaimRecord] = {}
+        self._open_claims: dict[str, idempotency.ClaimRecord] = {}
         self._first_seen_at_s: dict[bytes, float] = {}
         self._outcomes = Settling(
             write=self._write, delay_s=settle_delay_s, now=now
@@ -116,13 +116,13 @@
 
     async def claim(
         self, *, service: str, key: str, fingerprint: bytes, deadline_s: float
-    ) -> ledger.Claim | ledger.RecordedAnswer:
+    ) -> idempotency.Claim | idempotency.RecordedResponse:
         """Claims a key, or returns the recorded response to a repeat.
 
         Args:
           service: name of the service that the request is for.
           key: the caller's idempotency key.
-          fingerprint: see `ledger.request_fingerprint`.
+          fingerprint: see `idempotency.request_fingerprint`.
           deadline_s: the request's deadline, in monotonic seconds.
 
         Returns:
@@ -135,7 +135,7 @@
             was not claimed and the request must not run; `claim_in_flight`,
             `outcome_unknown` or `key_reused` for a repeat.
         """
-        store_key = ledger.service_key(service=service, key=key)
+        store_key = idempotency.claim_store_key(service=service, key=key)
         new_record = self._make_record(key, fingerprint, deadline_s)
         recorded = self._repeat_response(store_key, new_record)
         if recorded is not None:
@@ -145,20 +145,22 @@
                 kind=ErrorKind.CLAIM_UNAVAILABLE,
                 detail="the platform did not respond to recent claims",
             )
-        claiming = ledger.Claiming(wanted=new_record, look=self._observe)
+        claiming = idempotency.ClaimAttempt(
+            wanted=new_record, find_context=self._observe
+        )
         self._open_claims[store_key] = new_record
         held = False
         try:
             await self._write_claim(claiming, store_key, deadline_s)
-            if claiming.verdict is ledger.Verdict.OURS:
+            if claiming.outcome is idempotency.ClaimOutcome.OURS:
                 held = self._now() < deadline_s
         finally:
             if not held:
                 del self._open_claims[store_key]
                 self._release_unheld(claiming, store_key)
         if held:
-            return ledger.Claim(
-                place=store_key,
+            return idempotency.Claim(
+                store_key=store_key,
                 record=new_record,
                 mod_revision=claiming.mod_revision,
                 deadline_s=deadline_s,
@@ -167,26 +169,26 @@
 
     def _make_record(
         self, key: str, fingerprint: bytes, deadline_s: float
-    ) -> ledger.ClaimRecord:
-        return ledger.ClaimRecord(
-            format=ledger.RECORD_FORMAT,
+    ) -> idempotency.ClaimRecord:
+        return idempotency.ClaimRecord(
+            format=idempotency.RECORD_FORMAT,
             nonce=secrets.token_bytes(NONCE_BYTES),
-            print=ledger.claim_print(key=key, fingerprint=fingerprint),
+            digest=idempotency.claim_digest(key=key, fingerprint=fingerprint),
             entry=self._entry_name,
             incarnation=self._incarnation,
             time_left_ms=max(int((deadline_s - self._now()) * 1000), 0),
-            state=ledger.RecordState.CLAIMED,
+            state=idempotency.RecordState.CLAIMED,
         )
 
     async def look(
         self, *, service: str, key: str, fingerprint: bytes, deadline_s: float
-    ) -> ledger.RecordedAnswer | None:
+    ) -> idempotency.RecordedResponse | None:
         """Looks up a key without claiming it.
 
         Args:
           service: name of the service that the request is for.
           key: the caller's idempotency key.
-          fingerprint: see `ledger.request_fingerprint`.
+          fingerprint: see `idempotency.request_fingerprint`.
           deadline_s: the request's deadline, in monotonic seconds.
 
         Returns:
@@ -197,7 +199,7 @@
           AlmondstairError: `claim_in_flight`, `outcome_unknown` or
             `key_reused`, for a key that is not free.
         """
-        store_key = ledger.service_key(service=service, key=key)
+        store_key = idempotency.claim_store_key(service=service, key=key)
         new_record = self._make_record(key, fingerprint, deadline_s)
         recorded = self._repeat_response(store_key, new_record)
         if recorded is not None:
@@ -212,19 +214,19 @@
             return None
         if current is None:
             return None
-        record = ledger.decode_record(current.value)
-        observation = ledger.Bystander(False, False, False)
+        record = idempotency.decode_record(current.value)
+        observation = idempotency.ClaimContext(False, False, False)
         if record is not None:
             observation = self._observe(record)
-        verdict = ledger.judge(
-            record=record, wanted=new_record, seen=observation
+        verdict = idempotency.classify_record(
+            record=record, wanted=new_record, context=observation
         )
-        if verdict is ledger.Verdict.CLAIMABLE:
+        if verdict is idempotency.ClaimOutcome.CLAIMABLE:
             return None
         return _response_or_raise(verdict, record)
 
     async def record(
-        self, claim: ledger.Claim, answer: ledger.RecordedAnswer
+        self, claim: idempotency.Claim, answer: idempotency.RecordedResponse
     ) -> None:
         """Ends a claim whose request has a complete response.
 
@@ -232,15 +234,15 @@
         is not delayed. Until the record is written, a repeat at this entry is
         answered from memory.
         """
-        claim.close(ledger.ClaimPhase.DONE)
-        self._write_outcome(claim, ledger.RecordState.DONE, answer)
+        claim.close(idempotency.ClaimPhase.DONE)
+        self._write_outcome(claim, idempotency.RecordState.DONE, answer)
 
-    async def record_unknown(self, claim: ledger.Claim) -> None:
+    async def record_unknown(self, claim: idempotency.Claim) -> None:
         """Ends a claim whose request may have run without full response."""
-        claim.close(ledger.ClaimPhase.UNKNOWN)
-        self._write_outcome(claim, ledger.RecordState.UNKNOWN, None)
+        claim.close(idempotency.ClaimPhase.UNKNOWN)
+        self._write_outcome(claim, idempotency.RecordState.UNKNOWN, None)
 
-    async def release(self, claim: ledger.Claim) -> None:
+    async def release(self, claim: idempotency.Claim) -> None:
         """Ends a claim whose request did not run and will not run.
 
         Waits until the key can be claimed elsewhere, but no longer than
@@ -251,8 +253,8 @@
         leaving home and 200 ms per call to the platform, and in none of 9 with
         the wait.
         """
-        claim.close(ledger.ClaimPhase.RELEASED)
-        self._write_outcome(claim, ledger.RecordState.RELEASED, None)
+        claim.close(idempotency.ClaimPhase.RELEASED)
+        self._write_outcome(claim, idempotency.RecordState.RELEASED, None)
         started_s = self._now()
         until_s = min(claim.deadline_s, started_s + MAX_RELEASE_WAIT_S)
         nonce = claim.record.nonce
@@ -273,22 +275,24 @@
         self._outcomes.close()
 
     def _repeat_response(
-        self, store_key: str, new_record: ledger.ClaimRecord
-    ) -> ledger.RecordedAnswer | None:
+        self, store_key: str, new_record: idempotency.ClaimRecord
+    ) -> idempotency.RecordedResponse | None:
         """Returns a repeat's response from memory, None if not known here."""
         local = self._open_claims.get(store_key)
         local = local or self._outcomes.outcome(place=store_key)
         if local is None:
             return None
-        observation = ledger.Bystander(
+        observation = idempotency.ClaimContext(
             holder_live=True, deadline_passed=False, never_dispatched=False
         )
-        verdict = ledger.judge(
-            record=local, wanted=new_record, seen=observation
+        verdict = idempotency.classify_record(
+            record=local, wanted=new_record, context=observation
         )
         return _response_or_raise(verdict, local)
 
-    def _observe(self, record: ledger.ClaimRecord) -> ledger.Bystander:
+    def _observe(
+        self, record: idempotency.ClaimRecord
+    ) -> idempotency.ClaimContext:
         now_s = self._now()
         first_seen_s = self._first_seen_at_s.setdefault(record.nonce, now_s)
         if len(self._first_seen_at_s) > MAX_OBSERVED_CLAIMS:
@@ -296,13 +300,13 @@
         # The claim was made before it was first seen here, so this is an upper
         # bound of its deadline, independent of the claimant's clock.
         latest_deadline_s = first_seen_s + record.time_left_ms / 1000
-        return ledger.Bystander(
+        return idempotency.ClaimContext(
             holder_live=self._is_holder_live(record),
             deadline_passed=now_s > latest_deadline_s,
             never_dispatched=self._outcomes.is_released(nonce=record.nonce),
         )
 
-    def _is_holder_live(self, record: ledger.ClaimRecord) -> bool:
+    def _is_holder_live(self, record: idempotency.ClaimRecord) -> bool:
         if record.incarnation == self._incarnation:
             # Claims held by this process are answered from memory. This one is
             # not in memory, so its outcome was dropped.
@@ -310,17 +314,20 @@
         return self._is_live(record.entry, record.incarnation)
 
     async def _write_claim(
-        self, claiming: ledger.Claiming, store_key: str, deadline_s: float
+        self,
+        claiming: idempotency.ClaimAttempt,
+        store_key: str,
+        deadline_s: float,
     ) -> None:
         until_s = min(deadline_s, self._now() + self._claim_timeout_s)
-        while claiming.action is not ledger.ClaimAction.STOP:
+        while claiming.action is not idempotency.ClaimAction.STOP:
             try:
-                if claiming.action is ledger.ClaimAction.READ_BACK:
+                if claiming.action is idempotency.ClaimAction.READ_BACK:
                     claiming.on_read(await self._read(store_key, until_s))
                     continue
                 write = base.ConditionalWrite(
                     key=store_key,
-                    value=ledger.encode_record(claiming.wanted),
+                    value=idempotency.encode_record(claiming.wanted),
                     mod_revision=claiming.base_revision,
                 )
                 claiming.on_write(await self._write(write, True, until_s))
@@ -374,25 +381,27 @@
             ) from error
 
     def _release_unheld(
-        self, claiming: ledger.Claiming, store_key: str
+        self, claiming: idempotency.ClaimAttempt, store_key: str
     ) -> None:
         """Releases a claim that was written but is not held."""
         mod_revision = claiming.mod_revision
-        if claiming.verdict is not ledger.Verdict.OURS:
+        if claiming.outcome is not idempotency.ClaimOutcome.OURS:
             if not claiming.may_be_written:
                 return
             mod_revision = claiming.base_revision
         self._outcomes.settle(
             place=store_key,
-            record=claiming.wanted._replace(state=ledger.RecordState.RELEASED),
+            record=claiming.wanted._replace(
+                state=idempotency.RecordState.RELEASED
+            ),
             mod_revision=mod_revision,
         )
 
     def _refuse_or_replay(
-        self, claiming: ledger.Claiming, deadline_s: float
-    ) -> ledger.RecordedAnswer:
-        verdict = claiming.verdict
-        if verdict is None or verdict is ledger.Verdict.OURS:
+        self, claiming: idempotency.ClaimAttempt, deadline_s: float
+    ) -> idempotency.RecordedResponse:
+        verdict = claiming.outcome
+        if verdict is None or verdict is idempotency.ClaimOutcome.OURS:
             if self._now() >= deadline_s:
                 raise AlmondstairError(kind=ErrorKind.DEADLINE_PASSED)
             detail = "the platform does not respond"
@@ -405,24 +414,26 @@
 
     def _write_outcome(
         self,
-        claim: ledger.Claim,
-        state: ledger.RecordState,
-        answer: ledger.RecordedAnswer | None,
+        claim: idempotency.Claim,
+        state: idempotency.RecordState,
+        answer: idempotency.RecordedResponse | None,
     ) -> None:
-        self._open_claims.pop(claim.place, None)
-        record = claim.record._replace(state=state, answer=answer)
+        self._open_claims.pop(claim.store_key, None)
+        record = claim.record._replace(state=state, response=answer)
         self._outcomes.settle(
-            place=claim.place, record=record, mod_revision=claim.mod_revision
+            place=claim.store_key,
+            record=record,
+            mod_revision=claim.mod_revision,
         )
 
 
 def _response_or_raise(
-    verdict: ledger.Verdict, record: ledger.ClaimRecord | None
-) -> ledger.RecordedAnswer:
-    if verdict is not ledger.Verdict.ANSWERED:
-        raise ledger.verdict_error(verdict)
-    if record is None or record.answer is None:
-        raise ledger.verdict_error(ledger.Verdict.UNKNOWN)
-    if record.answer.body is None:
-        raise ledger.answer_not_kept(record.answer)
-    return record.answer
+    verdict: idempotency.ClaimOutcome, record: idempotency.ClaimRecord | None
+) -> idempotency.RecordedResponse:
+    if verdict is not idempotency.ClaimOutcome.ANSWERED:
+        raise idempotency.outcome_error(verdict)
+    if record is None or record.response is None:
+        raise idempotency.outcome_error(idempotency.ClaimOutcome.UNKNOWN)
+    if record.response.body is None:
+        raise idempotency.response_too_large(record.response)
+    return record.response
--- a/almondstair/control.py
+++ b/almondstair/control.py
@@ -8,13 +8,13 @@
 from almondstair import log
 from almondstair.admitting import SlotKeeper
 from almondstair.configuration_keeper import ConfigurationKeeper
+from almondstair.core.entry_selection import EntrySelector
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.entry_table import EntryTable
 from almondstair.core.heartbeat_payloads import ServiceLoad
 from almondstair.core.heartbeat_payloads import StatusDetail
 from almondstair.core.home_records import HomesReport
 from almondstair.core.homes import Homes
-from almondstair.core.hops import HopTable
 from almondstair.core.leaving_reports import LeavingReports
 from almondstair.core.loans import Loan
 from almondstair.core.loans import LoanRequest
@@ -46,7 +46,7 @@
     homes: Homes
     keeper: SlotKeeper
     steering: Steering
-    hops: HopTable
+    hops: EntrySelector
     quarantine: Quarantine
     shares: LinkShares
     pacers: LinkPacers
@@ -245,7 +245,7 @@
             age_s=load.age_ms / 1000,
             now_s=now_s,
         )
-        self._parts.hops.heard(
+        self._parts.hops.record_report(
             entry=row.name,
             service=load.service,
             free_slots=load.free_slots,
@@ -259,7 +259,7 @@
             return
         if report.incarnation != incarnation_text(incarnation):
             return
-        self._parts.homes.heard(report=report, now_s=time.monotonic())
+        self._parts.homes.record_report(report=report, now_s=time.monotonic())
         self._parts.keeper.advance_all()
 
     def _on_link_epoch(
@@ -335,7 +335,7 @@
         )
         for name in tuple(self._heartbeats.details):
             if name not in known:
-                self._parts.hops.forget(entry=name)
+                self._parts.hops.remove(entry=name)
                 self._delays.forget(sender=name)
                 self._parts.steering.regions.forget_source(source=name)
         self._peer_marks.forget(
@@ -428,7 +428,7 @@
             return
         loads = []
         for service in configuration.services:
-            capacity = self._parts.keeper.slots.room(
+            capacity = self._parts.keeper.slots.capacity(
                 service=service, now_s=now_s
             )
             load = ServiceLoad(service, capacity.usable, capacity.free, 0)
--- a/almondstair/core/admission.py
+++ b/almondstair/core/admission.py
@@ -11,24 +11,24 @@
 from almondstair.core.admission_records import Admission
 from almondstair.core.admission_records import Outcome
 from almondstair.core.admission_records import Refusal
-from almondstair.core.admission_records import ServiceRoom
+from almondstair.core.admission_records import ServiceCapacity
 from almondstair.core.admission_records import UpstreamReport
 from almondstair.core.admission_records import UpstreamStatus
 from almondstair.core.health import HealthTable
-from almondstair.core.home_records import Duty
+from almondstair.core.home_records import DispatchRights
 from almondstair.core.homes import Homes
 from almondstair.core.loop_stall import LoopStall
 from almondstair.core.loop_stall import ratio_without_stall
 from almondstair.core.model import Configuration
 from almondstair.core.model import Priority
-from almondstair.core.slot_book import SlotBook
+from almondstair.core.slot_tracker import SlotTracker
 from almondstair.core.slow_start import DEFAULT_LIMITS
 from almondstair.core.slow_start import BaselineLatency
 from almondstair.core.slow_start import SlowStartLimits
 from almondstair.core.upstream_slots import UpstreamSlots
 from almondstair.errors import ErrorKind
 
-KEPT_FRACTION: dict[Priority, float] = {
+HELD_BACK_FRACTION: dict[Priority, float] = {
     Priority.INTERACTIVE: 0.0,
     Priority.COMMIT: 0.05,
     Priority.UPLOAD: 0.15,
@@ -52,7 +52,7 @@
     """
 
     upstream: str
-    rights: Duty
+    rights: DispatchRights
     usable: int
     free: int
     free_long: int
@@ -65,30 +65,30 @@
         self,
         *,
         homes: Homes,
-        book: SlotBook,
+        tracker: SlotTracker,
         limits: SlowStartLimits = DEFAULT_LIMITS,
-        kept_fraction: dict[Priority, float] | None = None,
+        held_back_fraction: dict[Priority, float] | None = None,
         health: HealthTable | None = None,
-        standstill: LoopStall | None = None,
+        loop_stall: LoopStall | None = None,
     ) -> None:
         """Creates a table without upstreams.
 
         Args:
           homes: decides which slots this entry may use at each upstream.
-          book: the requests in flight; the same object that `homes` reads.
+          tracker: the requests in flight; the same object that `homes` reads.
           limits: constants of slow start.
-          kept_fraction: fraction of a service's slots that work of each
+          held_back_fraction: fraction of a service's slots that work of each
             priority leaves free for higher priorities.
           health: health of each upstream by its responses, which takes
             precedence over its own reports.
-          standstill: measures for how long this entry's event loop stalled.
+          loop_stall: measures for how long this entry's event loop stalled.
         """
-        self.standstill = standstill or LoopStall()
+        self.loop_stall = loop_stall or LoopStall()
         self._health = health or HealthTable()
         self._homes = homes
-        self._tracker = book
+        self._tracker = tracker
         self._limits = limits
-        self._held_back_fraction = kept_fraction or KEPT_FRACTION
+        self._held_back_fraction = held_back_fraction or HELD_BACK_FRACTION
         self._states: dict[str, UpstreamSlots] = {}
         self._by_service: dict[str, list[str]] = {}
         self._leaving: frozenset[str] = frozenset()
@@ -115,24 +115,24 @@
         """Sets the upstreams marked as leaving by operators or the VM list."""
         self._leaving = names
 
-    def heard_upstream(
+    def record_upstream_report(
         self, *, upstream: str, report: UpstreamReport, now_s: float
     ) -> None:
         """Records an upstream's load report."""
         state = self._states.get(upstream)
         if state is None:
             return
-        in_flight = len(self._tracker.running(upstream=upstream))
-        state.take_report(report=report, in_flight=in_flight, now_s=now_s)
+        in_flight = len(self._tracker.in_flight(upstream=upstream))
+        state.record_report(report=report, in_flight=in_flight, now_s=now_s)
 
-    def choose(
+    def acquire(
         self,
         *,
         service: str,
         priority: Priority,
         deadline_s: float,
         now_s: float,
-        avoid: frozenset[str] = frozenset(),
+        excluded: frozenset[str] = frozenset(),
     ) -> Admission | Refusal:
         """Acquires a slot at the best upstream of a service.
 
@@ -141,14 +141,16 @@
           priority: priority of the request's class.
           deadline_s: monotonic deadline of the request, in seconds.
           now_s: monotonic time in seconds.
-          avoid: upstreams that this request must not go to.
+          excluded: upstreams that this request must not go to.
 
         Returns:
           The slot, or a refusal with the reason and a time to retry.
         """
         is_long = deadline_s - now_s > self._homes.reserve_deadline_s
         capacities = self._capacities(service=service, now_s=now_s)
-        best = self._best(capacities, is_long=is_long, avoid=avoid, now_s=now_s)
+        best = self._best(
+            capacities, is_long=is_long, excluded=excluded, now_s=now_s
+        )
         if deadline_s <= now_s:
             return Refusal(ErrorKind.DEADLINE_PASSED, MIN_RETRY_MS)
         if best is None or not self._leaves_held_back_slots(
@@ -157,7 +159,7 @@
             return self.refusal(service=service, now_s=now_s)
         self._choices += 1
         self._last_choice[best.upstream] = self._choices
-        ticket = self._tracker.start(
+        ticket = self._tracker.add(
             upstream=best.upstream,
             service=service,
             now_s=now_s,
@@ -169,10 +171,10 @@
             upstream=best.upstream,
             service=service,
             admitted_s=now_s,
-            still_s=self.standstill.total_s(now_s=now_s),
+            stall_s=self.loop_stall.total_s(now_s=now_s),
         )
 
-    def admit(
+    def acquire_at(
         self,
         *,
         upstream: str,
@@ -184,12 +186,12 @@
         """Acquires a slot at one upstream, or returns why it cannot."""
         others = set(self._by_service.get(service, []))
         others.discard(upstream)
-        return self.choose(
+        return self.acquire(
             service=service,
             priority=priority,
             deadline_s=deadline_s,
             now_s=now_s,
-            avoid=frozenset(others),
+            excluded=frozenset(others),
         )
 
     def _best(
@@ -197,7 +199,7 @@
         capacities: list[_Capacity],
         *,
         is_long: bool,
-        avoid: frozenset[str],
+        excluded: frozenset[str],
         now_s: float,
     ) -> _Capacity | None:
         """Returns the upstream with the most free slots, weighted by health.
@@ -210,7 +212,7 @@
         best_weight = 0.0
         best_choice = 0
         for capacity in capacities:
-            if capacity.upstream in avoid:
+            if capacity.upstream in excluded:
                 continue
             free = capacity.free_long if is_long else capacity.free
             if not free:
@@ -254,7 +256,7 @@
         """Releases a slot and records how the request ended.
 
         Args:
-          admission: the slot, as returned by `choose` or `admit`.
+          admission: the slot, as returned by `acquire` or `acquire_at`.
           outcome: how the request ended.
           now_s: monotonic time in seconds.
           connection_closed: whether the upstream's work is certainly over,
@@ -266,7 +268,7 @@
             kind.
         """
         if connection_closed:
-            self._tracker.end(ticket=admission.ticket)
+            self._tracker.remove(ticket=admission.ticket)
         state = self._states.get(admission.upstream)
         if state is None or outcome is Outcome.CANCELLED:
             return
@@ -277,7 +279,7 @@
         ratio = self._baseline_latency.record(
             work=f"{admission.service}/{work}", latency_s=latency_s
         )
-        still_s = self.standstill.total_s(now_s=now_s) - admission.still_s
+        still_s = self.loop_stall.total_s(now_s=now_s) - admission.stall_s
         ratio = ratio_without_stall(
             ratio=ratio, latency_s=latency_s, stall_s=still_s
         )
@@ -286,7 +288,7 @@
             service=admission.service, latency_s=latency_s
         )
 
-    def still_mine(self, *, admission: Admission, now_s: float) -> bool:
+    def may_still_run(self, *, admission: Admission, now_s: float) -> bool:
         """Returns whether a request may still use its slot.
 
         Call it right before and right after writing the first byte: an entry
@@ -295,7 +297,9 @@
         """
         if admission.ticket.until_s - self._tracker.margin_s <= now_s:
             return False
-        rights = self._homes.duty(upstream=admission.upstream, now_s=now_s)
+        rights = self._homes.dispatch_rights(
+            upstream=admission.upstream, now_s=now_s
+        )
         if rights.allowed_slots < 1:
             return False
         if rights.reserve_only != admission.ticket.reserve:
@@ -305,22 +309,22 @@
         )
         return used <= rights.allowed_slots
 
-    def room(self, *, service: str, now_s: float) -> ServiceRoom:
+    def capacity(self, *, service: str, now_s: float) -> ServiceCapacity:
         """Returns the usable and the free slots of a service."""
         usable = 0
         free = 0
         for capacity in self._capacities(service=service, now_s=now_s):
             usable += capacity.usable
             free += capacity.free
-        return ServiceRoom(usable, free)
+        return ServiceCapacity(usable, free)
 
     def free_slots(self, *, service: str, now_s: float) -> int:
         """Returns how many slots interactive work could take now."""
-        return self.room(service=service, now_s=now_s).free
+        return self.capacity(service=service, now_s=now_s).free
 
     def usable_slots(self, *, service: str, now_s: float) -> int:
         """Returns how many slots of a service this entry may fill."""
-        return self.room(service=service, now_s=now_s).usable
+        return self.capacity(service=service, now_s=now_s).usable
 
     def service_time_s(self, *, service: str) -> float:
         """Returns the mean time in seconds that a request holds a slot."""
@@ -348,8 +352,8 @@
             state = self._states.get(name)
             if state is None:
                 continue
-            rights = self._homes.duty(upstream=name, now_s=now_s)
-            in_flight = len(self._tracker.running(upstream=name))
+            rights = self._homes.dispatch_rights(upstream=name, now_s=now_s)
+            in_flight = len(self._tracker.in_flight(upstream=name))
             if rights.allowed_slots < 1 and in_flight == 0:
                 continue
             rows.append(
@@ -369,7 +373,7 @@
 
     def _relevant_upstreams(self) -> list[str]:
         """Returns upstreams of this entry's roles or requests in flight."""
-        names = dict.fromkeys(self._homes.mine())
+        names = dict.fromkeys(self._homes.assigned_upstreams())
         names.update(dict.fromkeys(self._tracker.upstreams()))
         return list(names)
 
@@ -379,7 +383,7 @@
     def _capacities(self, *, service: str, now_s: float) -> list[_Capacity]:
         """Returns the capacity of each upstream of a service for this entry."""
         capacities = []
-        for name in self._homes.mine():
+        for name in self._homes.assigned_upstreams():
             state = self._states.get(name)
             if state is None or service not in state.services:
                 continue
@@ -388,7 +392,7 @@
 
     def _capacity(self, *, upstream: str, now_s: float) -> _Capacity:
         self._tracker.expire(upstream=upstream, now_s=now_s)
-        rights = self._homes.duty(upstream=upstream, now_s=now_s)
+        rights = self._homes.dispatch_rights(upstream=upstream, now_s=now_s)
         limit = self._limit(upstream=upstream, rights=rights, now_s=now_s)
         if limit < 1:
             return _Capacity(upstream, rights, 0, 0, 0)
@@ -405,7 +409,9 @@
             free_long=max(0, min(free, rights.long_slots - long_used)),
         )
 
-    def _limit(self, *, upstream: str, rights: Duty, now_s: float) -> int:
+    def _limit(
+        self, *, upstream: str, rights: DispatchRights, now_s: float
+    ) -> int:
         state = self._states.get(upstream)
         if state is None or rights.allowed_slots < 1:
             return 0
@@ -422,23 +428,27 @@
         # Slots held for other entries count as used, and slow start does not
         # apply to them.
         usable += len(rights.busy_until_s)
-        return min(usable, rights.allowed_slots, state.reported(now_s=now_s))
+        return min(
+            usable, rights.allowed_slots, state.reported_slots(now_s=now_s)
+        )
 
     def _slow_start_slots(self, *, upstream: str, now_s: float) -> int:
         state = self._states[upstream]
         usual_s = 0.0
         for service in state.services:
             usual_s = max(usual_s, self.service_time_s(service=service))
-        return state.opened(
-            running=self._tracker.running(upstream=upstream),
-            long_s=max(
+        return state.slow_start_slots(
+            running=self._tracker.in_flight(upstream=upstream),
+            long_run_s=max(
                 self._limits.long_run_s, self._limits.slow_ratio * usual_s
             ),
             now_s=now_s,
         )
 
-    def _used(self, *, upstream: str, rights: Duty, now_s: float) -> int:
-        running = self._tracker.running(upstream=upstream)
+    def _used(
+        self, *, upstream: str, rights: DispatchRights, now_s: float
+    ) -> int:
+        running = self._tracker.in_flight(upstream=upstream)
         if not rights.reserve_only:
             return len(running) + len(rights.busy_until_s)
         used = 0
@@ -447,13 +457,15 @@
                 used += 1
         return used
 
-    def _long_used(self, *, upstream: str, rights: Duty, now_s: float) -> int:
+    def _long_used(
+        self, *, upstream: str, rights: DispatchRights, now_s: float
+    ) -> int:
         short_until_s = now_s + self._homes.reserve_deadline_s
         used = 0
         for until_s in rights.busy_until_s:
             if until_s > short_until_s:
                 used += 1
-        for ticket in self._tracker.running(upstream=upstream):
+        for ticket in self._tracker.in_flight(upstream=upstream):
             if ticket.until_s - self._tracker.margin_s > short_until_s:
                 used += 1
         return used
@@ -475,8 +487,8 @@
     def _wait_for_slots_s(self, *, now_s: float) -> float:
         """Returns the seconds until a slot held for others comes free."""
         soonest_s = now_s + INITIAL_SERVICE_TIME_S * 5
-        for name in self._homes.mine():
-            rights = self._homes.duty(upstream=name, now_s=now_s)
+        for name in self._homes.assigned_upstreams():
+            rights = self._homes.dispatch_rights(upstream=name, now_s=now_s)
             for until_s in rights.busy_until_s:
                 soonest_s = min(soonest_s, until_s)
         return soonest_s - now_s
--- a/almondstair/core/admission_queue.py
+++ b/almondstair/core/admission_queue.py
@@ -13,7 +13,7 @@
 from almondstair.core.model import Priority
 from almondstair.errors import ErrorKind
 
-RANKS: dict[Priority, int] = {
+PRIORITY_RANKS: dict[Priority, int] = {
     Priority.INTERACTIVE: 0,
     Priority.COMMIT: 1,
     Priority.UPLOAD: 2,
@@ -36,22 +36,22 @@
 DEFAULT_LIMITS = QueueLimits()
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """Holds a request in the queue; times are monotonic, in seconds.
 
     Attributes:
       number: identifier, unique within the queue.
       priority: priority of the request's class.
       deadline_s: deadline of the request.
-      give_up_s: when the request is refused if no slot has come free.
-      avoid: upstreams that it must not go to.
+      expires_s: when the request is refused if no slot has come free.
+      excluded: upstreams that it must not go to.
     """
 
     number: int
     priority: Priority
     deadline_s: float
-    give_up_s: float
-    avoid: frozenset[str] = frozenset()
+    expires_s: float
+    excluded: frozenset[str] = frozenset()
 
 
 class Decision(NamedTuple):
@@ -75,33 +75,33 @@
         self._service = service
         self._slots = slots
         self._limits = limits
-        self._waiting: list[Waiting] = []
+        self._waiting: list[QueuedRequest] = []
         self._next_number = 0
 
     def __len__(self) -> int:
         """Returns how many requests are queued."""
         return len(self._waiting)
 
-    def request(
+    def submit(
         self,
         *,
         priority: Priority,
         deadline_s: float,
         now_s: float,
-        avoid: frozenset[str] = frozenset(),
-    ) -> Admission | Waiting | Refusal:
+        excluded: frozenset[str] = frozenset(),
+    ) -> Admission | QueuedRequest | Refusal:
         """Admits, queues or refuses a request.
 
-        If this returns `Waiting`, call `advance` at once: it refuses a queued
-        request that this one has displaced.
+        If this returns `QueuedRequest`, call `advance` at once: it refuses a
+        queued request that this one has displaced.
         """
         if not self._ahead_of(priority=priority):
-            result = self._slots.choose(
+            result = self._slots.acquire(
                 service=self._service,
                 priority=priority,
                 deadline_s=deadline_s,
                 now_s=now_s,
-                avoid=avoid,
+                excluded=excluded,
             )
             if isinstance(result, Admission):
                 return result
@@ -112,12 +112,12 @@
         ):
             return self._refusal(now_s=now_s)
         self._next_number += 1
-        waiting = Waiting(
+        waiting = QueuedRequest(
             number=self._next_number,
             priority=priority,
             deadline_s=deadline_s,
-            give_up_s=min(now_s + self._limits.wait_s, deadline_s),
-            avoid=avoid,
+            expires_s=min(now_s + self._limits.wait_s, deadline_s),
+            excluded=excluded,
         )
         self._insert(waiting=waiting)
         return waiting
@@ -125,7 +125,7 @@
     def advance(self, *, now_s: float) -> tuple[Decision, ...]:
         """Admits or refuses queued requests; call it after each release."""
         decisions: list[Decision] = []
-        kept: list[Waiting] = []
+        kept: list[QueuedRequest] = []
         for waiting in self._waiting:
             result = self._decide(waiting=waiting, now_s=now_s)
             if result is not None:
@@ -151,21 +151,21 @@
         """Returns when `advance` is due at the latest, None if it is not."""
         soonest_s = None
         for waiting in self._waiting:
-            if soonest_s is None or waiting.give_up_s < soonest_s:
-                soonest_s = waiting.give_up_s
+            if soonest_s is None or waiting.expires_s < soonest_s:
+                soonest_s = waiting.expires_s
         return soonest_s
 
     def _decide(
-        self, *, waiting: Waiting, now_s: float
+        self, *, waiting: QueuedRequest, now_s: float
     ) -> Admission | Refusal | None:
-        if waiting.give_up_s <= now_s:
+        if waiting.expires_s <= now_s:
             return self._refusal(now_s=now_s)
-        result = self._slots.choose(
+        result = self._slots.acquire(
             service=self._service,
             priority=waiting.priority,
             deadline_s=waiting.deadline_s,
             now_s=now_s,
-            avoid=waiting.avoid,
+            excluded=waiting.excluded,
         )
         if isinstance(result, Admission):
             return result
@@ -177,7 +177,7 @@
         """Returns how many queued requests go before a new one."""
         ahead = 0
         for waiting in self._waiting:
-            if RANKS[waiting.priority] <= RANKS[priority]:
+            if PRIORITY_RANKS[waiting.priority] <= PRIORITY_RANKS[priority]:
                 ahead += 1
         return ahead
 
@@ -196,7 +196,7 @@
             return False
         return now_s + wait_s + each_s <= deadline_s
 
-    def _insert(self, *, waiting: Waiting) -> None:
+    def _insert(self, *, waiting: QueuedRequest) -> None:
         place = self._ahead_of(priority=waiting.priority)
         self._waiting.insert(place, waiting)
 
--- a/almondstair/core/admission_records.py
+++ b/almondstair/core/admission_records.py
@@ -3,7 +3,7 @@
 import enum
 from typing import NamedTuple
 
-from almondstair.core.slot_book import Ticket
+from almondstair.core.slot_tracker import Ticket
 from almondstair.errors import ErrorKind
 
 
@@ -24,7 +24,7 @@
       upstream: name of the upstream.
       service: name of the service.
       admitted_s: monotonic time at which the slot was taken, in seconds.
-      still_s: total time for which this entry's event loop had stalled by then,
+      stall_s: total time for which this entry's event loop had stalled by then,
         in seconds.
     """
 
@@ -32,7 +32,7 @@
     upstream: str
     service: str
     admitted_s: float
-    still_s: float
+    stall_s: float
 
 
 class Refusal(NamedTuple):
@@ -78,7 +78,7 @@
     report_age_s: float | None
 
 
-class ServiceRoom(NamedTuple):
+class ServiceCapacity(NamedTuple):
     """Counts the slots of one service that this entry may use.
 
     Attributes:
--- a/almondstair/core/hops.py
+++ b/almondstair/core/entry_selection.py
@@ -34,7 +34,7 @@
     free_slots: int
 
 
-class HopTable:
+class EntrySelector:
     """Estimates the free slots by entry and service."""
 
     def __init__(self, *, report_limit_s: float) -> None:
@@ -46,7 +46,7 @@
         self._report_limit_s = report_limit_s
         self._loads: dict[tuple[str, str], _EntryLoad] = {}
 
-    def heard(
+    def record_report(
         self, *, entry: str, service: str, free_slots: int, now_s: float
     ) -> None:
         """Records an entry's report of its free slots."""
@@ -56,26 +56,26 @@
         load.outstanding = 0
         load.refused_s = float("-inf")
 
-    def sent(self, *, entry: str, service: str) -> None:
+    def record_sent(self, *, entry: str, service: str) -> None:
         """Records that a request was sent to an entry."""
         self._load(entry, service).outstanding += 1
 
-    def returned(self, *, entry: str, service: str) -> None:
+    def record_finished(self, *, entry: str, service: str) -> None:
         """Records that a request sent to an entry has ended."""
         load = self._load(entry, service)
         load.outstanding = max(0, load.outstanding - 1)
 
-    def refused(self, *, entry: str, service: str, now_s: float) -> None:
+    def record_refusal(self, *, entry: str, service: str, now_s: float) -> None:
         """Records that an entry had no free slot."""
         self._load(entry, service).refused_s = now_s
 
-    def forget(self, *, entry: str) -> None:
+    def remove(self, *, entry: str) -> None:
         """Removes an entry that has left the entry table."""
         for key in tuple(self._loads):
             if key[0] == entry:
                 del self._loads[key]
 
-    def order(
+    def ranked_entries(
         self,
         *,
         rows: tuple[EntryRow, ...],
@@ -108,7 +108,7 @@
             ordered.append(RankedEntry(row, -negative))
         return tuple(ordered)
 
-    def owner(
+    def designated_entry(
         self,
         *,
         rows: tuple[EntryRow, ...],
--- a/almondstair/core/entry_table.py
+++ b/almondstair/core/entry_table.py
@@ -102,7 +102,8 @@
         Args:
           name: name of the entry.
           released: True only if the entry itself reported, while marked as
-            leaving, that it has nothing in flight any more (`Homes.idle`).
+            leaving, that it has nothing in flight any more
+            (`Homes.has_released_all`).
         """
         epoch = self.epoch + 1
         lost_epoch = self.lost_epoch
--- a/almondstair/core/duty_records.py
+++ b/almondstair/core/handover_records.py
@@ -7,7 +7,7 @@
 NEVER_S = float("-inf")
 
 
-class DutySource(NamedTuple):
+class HandoverSource(NamedTuple):
     """Identifies the process, and its epoch, that a role is taken over from."""
 
     entry: str
@@ -15,10 +15,10 @@
     held_epoch: int
 
 
-NOBODY = DutySource("", "", 0)
+NO_SOURCE = HandoverSource("", "", 0)
 
 
-class HeldDuty(NamedTuple):
+class HomeRole(NamedTuple):
     """Holds the home role of one upstream as this entry has or last had it.
 
     Attributes:
@@ -31,13 +31,13 @@
 
     held_epoch: int
     busy_until_s: tuple[float, ...] = ()
-    source: DutySource | None = None
+    source: HandoverSource | None = None
 
 
-class DutyOffer(NamedTuple):
+class HandoverOffer(NamedTuple):
     """Holds a record received in the current epoch, in this entry's time."""
 
-    source: DutySource
+    source: HandoverSource
     busy_until_s: tuple[float, ...]
 
     @property
@@ -51,16 +51,16 @@
 
     Attributes:
       report: its newest report by its own clock.
-      report_s: when that report arrived.
-      heard_s: when the last report of any age arrived.
+      newest_received_s: when that report arrived.
+      last_received_s: when the last report of any age arrived.
       settled_s: when it first reported settled under the report's epoch.
       echo_epoch: epoch of the newest echo.
       echo_sent_s: when this entry sent the report that was echoed.
     """
 
     report: HomesReport
-    report_s: float
-    heard_s: float
+    newest_received_s: float
+    last_received_s: float
     settled_s: float
     echo_epoch: int = 0
     echo_sent_s: float = NEVER_S
@@ -75,7 +75,7 @@
         return self._replace(echo_epoch=report.epoch, echo_sent_s=sent_s)
 
 
-def next_peer(
+def updated_peer(
     *, known: HomePeer | None, report: HomesReport, now_s: float
 ) -> HomePeer:
     """Returns the record of a sender, updated with its report.
@@ -97,4 +97,6 @@
     settled_s = known.settled_s
     if not known.report.settled or known.report.epoch != report.epoch:
         settled_s = now_s
-    return known._replace(report=report, report_s=now_s, settled_s=settled_s)
+    return known._replace(
+        report=report, newest_received_s=now_s, settled_s=settled_s
+    )
--- a/almondstair/core/home_records.py
+++ b/almondstair/core/home_records.py
@@ -21,7 +21,7 @@
     longest_deadline_s: float
 
 
-class Duty(NamedTuple):
+class DispatchRights(NamedTuple):
     """Holds which slots of an upstream this entry may use now.
 
     Attributes:
@@ -40,22 +40,22 @@
     busy_until_s: tuple[float, ...] = ()
 
 
-NO_DUTY = Duty(allowed_slots=0)
+NO_RIGHTS = DispatchRights(allowed_slots=0)
 
 
-class HeldRecord(NamedTuple):
+class HandoverRecord(NamedTuple):
     """Hands one upstream over from a former home to the home of the epoch.
 
     Attributes:
       upstream: name of the upstream.
       held_epoch: last epoch in which the sender held the role.
-      busy_left_s: for each slot that may still be taken, the seconds until it
-        is certainly free.
+      busy_remaining_s: for each slot that may still be taken, the seconds until
+        it is certainly free.
     """
 
     upstream: str
     held_epoch: int
-    busy_left_s: tuple[float, ...]
+    busy_remaining_s: tuple[float, ...]
 
 
 class HomesReport(NamedTuple):
@@ -83,7 +83,7 @@
     settled: bool
     echo_incarnation: str = ""
     echo_sent_s: float | None = None
-    records: tuple[HeldRecord, ...] = ()
+    records: tuple[HandoverRecord, ...] = ()
 
 
 def homed_upstreams(
--- a/almondstair/core/homes.py
+++ b/almondstair/core/homes.py
@@ -22,22 +22,22 @@
 roles of the last table stay in force.
 """
 
-from almondstair.core.duty_records import NEVER_S
-from almondstair.core.duty_records import NOBODY
-from almondstair.core.duty_records import DutyOffer
-from almondstair.core.duty_records import DutySource
-from almondstair.core.duty_records import HeldDuty
-from almondstair.core.duty_records import HomePeer
-from almondstair.core.duty_records import next_peer
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.entry_table import EntryTable
-from almondstair.core.home_records import NO_DUTY
-from almondstair.core.home_records import Duty
-from almondstair.core.home_records import HeldRecord
+from almondstair.core.handover_records import NEVER_S
+from almondstair.core.handover_records import NO_SOURCE
+from almondstair.core.handover_records import HandoverOffer
+from almondstair.core.handover_records import HandoverSource
+from almondstair.core.handover_records import HomePeer
+from almondstair.core.handover_records import HomeRole
+from almondstair.core.handover_records import updated_peer
+from almondstair.core.home_records import NO_RIGHTS
+from almondstair.core.home_records import DispatchRights
+from almondstair.core.home_records import HandoverRecord
 from almondstair.core.home_records import HomedUpstream
 from almondstair.core.home_records import HomesReport
 from almondstair.core.rendezvous_ranks import RendezvousRanks
-from almondstair.core.slot_book import SlotBook
+from almondstair.core.slot_tracker import SlotTracker
 
 RESERVE_SLOTS = 1
 MIN_SLOTS_WITH_RESERVE = 2
@@ -54,7 +54,7 @@
         t1_s: float,
         reserve_deadline_s: float,
         margin_s: float,
-        book: SlotBook,
+        tracker: SlotTracker,
     ) -> None:
         """Creates the view of an entry that holds no role yet.
 
@@ -66,7 +66,7 @@
           reserve_deadline_s: longest deadline of work in the reserve, in
             seconds.
           margin_s: seconds added for clock drift and late cancellation.
-          book: the requests that this entry has in flight.
+          tracker: the requests that this entry has in flight.
         """
         self._name = entry_name
         self._incarnation = incarnation
@@ -74,13 +74,13 @@
         self._reserve_deadline_s = reserve_deadline_s
         self._margin_s = margin_s
         self._t2_s = t1_s + reserve_deadline_s + margin_s
-        self._tracker = book
+        self._tracker = tracker
         self._upstreams: dict[str, HomedUpstream] = {}
         self._table = EntryTable()
         self._applied_s = NEVER_S
         self._last_loss_s = NEVER_S
         self._ranks = RendezvousRanks()
-        self._roles: dict[str, HeldDuty] = {}
+        self._roles: dict[str, HomeRole] = {}
         self._peers: dict[str, HomePeer] = {}
         self._pending: set[str] = set()
         self._rows: dict[str, EntryRow] = {}
@@ -146,7 +146,7 @@
         self._update_pending()
         self._take_over_all(now_s=now_s)
 
-    def heard(self, *, report: HomesReport, now_s: float) -> None:
+    def record_report(self, *, report: HomesReport, now_s: float) -> None:
         """Processes a peer's report, which may be late or out of order."""
         row = self._rows.get(report.entry)
         if row is None or row.incarnation != report.incarnation:
@@ -155,13 +155,13 @@
             # process in the table.
             return
         known = self._peers.get(report.entry)
-        peer = next_peer(known=known, report=report, now_s=now_s)
+        peer = updated_peer(known=known, report=report, now_s=now_s)
         if report.echo_incarnation == self._incarnation:
             peer = peer.with_echo(report=report)
-        self._peers[report.entry] = peer._replace(heard_s=now_s)
+        self._peers[report.entry] = peer._replace(last_received_s=now_s)
         if peer.report is report:
             self._settled_cache.clear()
-            self._free_ended_work(peer=peer)
+            self._free_finished_work(peer=peer)
             self._take_over_all(now_s=now_s)
 
     def report_to(self, *, peer: str, now_s: float) -> HomesReport:
@@ -177,13 +177,13 @@
             incarnation=self._incarnation,
             epoch=self._table.epoch,
             sent_s=now_s,
-            settled=self._settled_itself(),
+            settled=self._is_settled(),
             echo_incarnation=echo_incarnation,
             echo_sent_s=echo_sent_s,
             records=self._records_for(home=peer, now_s=now_s),
         )
 
-    def mine(self) -> tuple[str, ...]:
+    def assigned_upstreams(self) -> tuple[str, ...]:
         """Returns the upstreams of which this entry is home or successor."""
         if self._assigned_cache is None:
             names = []
@@ -193,25 +193,25 @@
             self._assigned_cache = tuple(names)
         return self._assigned_cache
 
-    def duty(self, *, upstream: str, now_s: float) -> Duty:
+    def dispatch_rights(self, *, upstream: str, now_s: float) -> DispatchRights:
         """Returns which slots of an upstream this entry may use now."""
         known = self._upstreams.get(upstream)
         if known is None or not self._in_table():
-            return NO_DUTY
+            return NO_RIGHTS
         if self.home_of(upstream=upstream) == self._name:
             return self._home_rights(upstream=known, now_s=now_s)
         if self.successor_of(upstream=upstream) == self._name:
             return self._successor_rights(upstream=known, now_s=now_s)
-        return NO_DUTY
+        return NO_RIGHTS
 
-    def idle(self, *, now_s: float) -> bool:
+    def has_released_all(self, *, now_s: float) -> bool:
         """Returns whether a leaving entry has released everything it held."""
         row = self._rows.get(self._name)
         if row is not None and not row.leaving:
             return False
-        return self.nothing_held(now_s=now_s)
+        return self.holds_no_slots(now_s=now_s)
 
-    def nothing_held(self, *, now_s: float) -> bool:
+    def holds_no_slots(self, *, now_s: float) -> bool:
         """Returns whether this entry uses no slot and holds none for others.
 
         An entry that accepts no more work and holds nothing may report that it
@@ -247,7 +247,7 @@
     def _rank(self, *, upstream: str) -> tuple[str, ...]:
         return self._ranks.home_and_successor(upstream=upstream)
 
-    def _offers(self, *, upstream: str) -> tuple[DutyOffer, ...]:
+    def _offers(self, *, upstream: str) -> tuple[HandoverOffer, ...]:
         """Returns the handovers that peers reported under this epoch."""
         offers = []
         for peer in self._peers.values():
@@ -258,14 +258,16 @@
                     offers.append(self._offer(peer=peer, record=record))
         return tuple(offers)
 
-    def _offer(self, *, peer: HomePeer, record: HeldRecord) -> DutyOffer:
+    def _offer(
+        self, *, peer: HomePeer, record: HandoverRecord
+    ) -> HandoverOffer:
         until = []
-        for left_s in record.busy_left_s:
-            until.append(peer.report_s + left_s + self._margin_s)
-        source = DutySource(
+        for left_s in record.busy_remaining_s:
+            until.append(peer.newest_received_s + left_s + self._margin_s)
+        source = HandoverSource(
             peer.report.entry, peer.report.incarnation, record.held_epoch
         )
-        return DutyOffer(source, tuple(until))
+        return HandoverOffer(source, tuple(until))
 
     def _is_current(self, *, peer: HomePeer) -> bool:
         """Returns whether a report is from a member and of the table in use.
@@ -278,7 +280,7 @@
             return False
         return peer.report.epoch == self._table.epoch
 
-    def _free_ended_work(self, *, peer: HomePeer) -> None:
+    def _free_finished_work(self, *, peer: HomePeer) -> None:
         """Frees slots as the work of the previous home ends."""
         if not self._is_current(peer=peer):
             return
@@ -294,7 +296,7 @@
 
     def _records_for(
         self, *, home: str, now_s: float
-    ) -> tuple[HeldRecord, ...]:
+    ) -> tuple[HandoverRecord, ...]:
         records = []
         for name, role in self._roles.items():
             if role.held_epoch == self._table.epoch:
@@ -302,17 +304,17 @@
             if self.home_of(upstream=name) not in (home, None):
                 continue
             left = self._busy_remaining_s(upstream=name, role=role, now_s=now_s)
-            records.append(HeldRecord(name, role.held_epoch, left))
+            records.append(HandoverRecord(name, role.held_epoch, left))
         return tuple(records)
 
     def _busy_remaining_s(
-        self, *, upstream: str, role: HeldDuty, now_s: float
+        self, *, upstream: str, role: HomeRole, now_s: float
     ) -> tuple[float, ...]:
         left = []
         for until_s in role.busy_until_s:
             if until_s > now_s:
                 left.append(until_s - now_s)
-        for ticket in self._tracker.running(upstream=upstream):
+        for ticket in self._tracker.in_flight(upstream=upstream):
             if not ticket.reserve:
                 left.append(max(0.0, ticket.until_s - now_s))
         return tuple(left)
@@ -327,12 +329,12 @@
         return False
 
     def _has_reserve_work(self, *, upstream: str) -> bool:
-        for ticket in self._tracker.running(upstream=upstream):
+        for ticket in self._tracker.in_flight(upstream=upstream):
             if ticket.reserve:
                 return True
         return False
 
-    def _settled_itself(self) -> bool:
+    def _is_settled(self) -> bool:
         """Returns whether no reserve work of an older epoch is left.
 
         Otherwise a request of the old successor, and one of the home after the
@@ -366,26 +368,28 @@
             latest_s = max(latest_s, peer.settled_s)
         return latest_s
 
-    def _home_rights(self, *, upstream: HomedUpstream, now_s: float) -> Duty:
+    def _home_rights(
+        self, *, upstream: HomedUpstream, now_s: float
+    ) -> DispatchRights:
         self._take_over(upstream=upstream, now_s=now_s)
         role = self._roles.get(upstream.name)
         if role is None or role.held_epoch != self._table.epoch:
-            return NO_DUTY
+            return NO_RIGHTS
         busy = []
         for until_s in role.busy_until_s:
             if until_s > now_s:
                 busy.append(until_s)
         if upstream.slots < MIN_SLOTS_WITH_RESERVE:
-            return Duty(
+            return DispatchRights(
                 allowed_slots=upstream.slots,
                 long_slots=upstream.slots,
                 busy_until_s=tuple(busy),
             )
         long_slots = upstream.slots - RESERVE_SLOTS
         allowed = long_slots
-        if self._reserve_is_mine(upstream=upstream, now_s=now_s):
+        if self._may_use_reserve(upstream=upstream, now_s=now_s):
             allowed = upstream.slots
-        return Duty(
+        return DispatchRights(
             allowed_slots=allowed,
             long_slots=long_slots,
             busy_until_s=tuple(busy),
@@ -412,30 +416,34 @@
         """Takes over a pending home role if the previous home is known."""
         if upstream.name not in self._pending:
             return
-        best = self._last_holder(upstream=upstream)
+        best = self._previous_home(upstream=upstream)
         if best is None:
             return
-        role = HeldDuty(self._table.epoch, best.busy_until_s, best.source)
-        if not self._accounts_for_lost(holder=best):
+        role = HomeRole(self._table.epoch, best.busy_until_s, best.source)
+        if not self._rules_out_lost_holder(holder=best):
             # The slots are held for the lost entry, so no peer's report may
             # free them: the role has no source.
             busy = self._all_busy(upstream=upstream, now_s=now_s)
-            role = HeldDuty(self._table.epoch, busy)
+            role = HomeRole(self._table.epoch, busy)
         self._roles[upstream.name] = role
         self._pending.discard(upstream.name)
 
-    def _last_holder(self, *, upstream: HomedUpstream) -> DutyOffer | None:
+    def _previous_home(
+        self, *, upstream: HomedUpstream
+    ) -> HandoverOffer | None:
         """Returns the previous home's handover, None while it is not known.
 
         An epoch has one home, so a record of the epoch just before is the
         latest. Otherwise every entry must have settled under this epoch, since
         one that is frozen, or whose report was lost, may still dispatch.
         """
-        best = DutyOffer(NOBODY, ())
+        best = HandoverOffer(NO_SOURCE, ())
         own = self._roles.get(upstream.name)
         if own is not None:
-            source = DutySource(self._name, self._incarnation, own.held_epoch)
-            best = DutyOffer(source, own.busy_until_s)
+            source = HandoverSource(
+                self._name, self._incarnation, own.held_epoch
+            )
+            best = HandoverOffer(source, own.busy_until_s)
         for offer in self._offers(upstream=upstream.name):
             if offer.held_epoch > best.held_epoch:
                 best = offer
@@ -445,14 +453,14 @@
             return None
         return best
 
-    def _accounts_for_lost(self, *, holder: DutyOffer) -> bool:
+    def _rules_out_lost_holder(self, *, holder: HandoverOffer) -> bool:
         """Returns whether no entry can have been lost while it was home."""
         if holder.held_epoch >= self._table.lost_epoch:
             return True
         return self._held_previous_epoch(holder=holder)
 
-    def _held_previous_epoch(self, *, holder: DutyOffer) -> bool:
-        if holder.source == NOBODY:
+    def _held_previous_epoch(self, *, holder: HandoverOffer) -> bool:
+        if holder.source == NO_SOURCE:
             return False
         return holder.held_epoch == self._table.epoch - 1
 
@@ -466,7 +474,7 @@
             busy[0] = min(longest_s, now_s + self._t2_s)
         return tuple(busy)
 
-    def _reserve_is_mine(
+    def _may_use_reserve(
         self, *, upstream: HomedUpstream, now_s: float
     ) -> bool:
         """Returns whether the home may use the reserve slot."""
@@ -488,14 +496,14 @@
 
     def _successor_rights(
         self, *, upstream: HomedUpstream, now_s: float
-    ) -> Duty:
+    ) -> DispatchRights:
         if upstream.slots < MIN_SLOTS_WITH_RESERVE:
-            return NO_DUTY
+            return NO_RIGHTS
         settled_s = self._settled_s(region=upstream.region)
         home = self.home_of(upstream=upstream.name)
         if settled_s is None or home is None:
-            return NO_DUTY
-        silent_since_s = max(settled_s, self._peers[home].heard_s)
+            return NO_RIGHTS
+        silent_since_s = max(settled_s, self._peers[home].last_received_s)
         if now_s - silent_since_s <= self._t2_s:
-            return NO_DUTY
-        return Duty(allowed_slots=RESERVE_SLOTS, reserve_only=True)
+            return NO_RIGHTS
+        return DispatchRights(allowed_slots=RESERVE_SLOTS, reserve_only=True)
--- a/almondstair/core/ledger.py
+++ b/almondstair/core/idempotency.py
@@ -4,9 +4,9 @@
 dispatched, and the outcome is recorded afterwards. This module holds the
 records and the decisions; `almondstair.claims` makes the calls.
 
-    Claiming     makes a claim, despite failed calls and lost replies
-    Claim        the claim while its request is in flight
-    Settlement   records the outcome of a claim in the service
+    ClaimAttempt      makes a claim, despite failed calls and lost replies
+    Claim             the claim while its request is in flight
+    OutcomeRecording  records the outcome of a claim in the service
 """
 
 from collections.abc import Callable
@@ -52,7 +52,7 @@
     RELEASED = "released"
 
 
-class RecordedAnswer(NamedTuple):
+class RecordedResponse(NamedTuple):
     """Holds an upstream's response as a repeated request gets it.
 
     Attributes:
@@ -72,25 +72,25 @@
     Attributes:
       format: `RECORD_FORMAT`.
       nonce: random identifier of the claim.
-      print: digest over the key and the request's fingerprint.
+      digest: digest over the key and the request's fingerprint.
       entry: entry that made the claim.
       incarnation: random identifier of that entry's process.
       time_left_ms: time from the claim to the request's deadline.
       state: state of the key.
-      answer: the response, if the state is `DONE`.
+      response: the response, if the state is `DONE`.
     """
 
     format: int
     nonce: bytes
-    print: bytes
+    digest: bytes
     entry: str
     incarnation: str
     time_left_ms: int
     state: RecordState
-    answer: RecordedAnswer | None = None
+    response: RecordedResponse | None = None
 
 
-def service_key(*, service: str, key: str) -> str:
+def claim_store_key(*, service: str, key: str) -> str:
     """Returns the key in the service for an idempotency key."""
     return f"{KEY_PREFIX}{service}/{xxhash.xxh3_128_hexdigest(key.encode())}"
 
@@ -100,7 +100,7 @@
     return _digest(method.encode(), path.encode(), body_digest)
 
 
-def claim_print(*, key: str, fingerprint: bytes) -> bytes:
+def claim_digest(*, key: str, fingerprint: bytes) -> bytes:
     """Returns the digest over an idempotency key and its request.
 
     Two idempotency keys may share a key in the service, since the hash is short
@@ -134,9 +134,9 @@
     return record
 
 
-def keep_answer(
+def recorded_response(
     *, status: int, headers: list[tuple[str, str]], body: bytes | None
-) -> RecordedAnswer:
+) -> RecordedResponse:
     """Returns the part of a response that is recorded for repeated requests.
 
     Args:
@@ -150,10 +150,10 @@
             kept.append((name, value))
     if body is not None and len(body) > MAX_RECORDED_BODY_BYTES:
         body = None
-    return RecordedAnswer(status=status, headers=tuple(kept), body=body)
+    return RecordedResponse(status=status, headers=tuple(kept), body=body)
 
 
-class Verdict(enum.Enum):
+class ClaimOutcome(enum.Enum):
     """What a record found under a key means for an attempt to claim it."""
 
     OURS = enum.auto()
@@ -164,7 +164,7 @@
     REUSED = enum.auto()
 
 
-class Bystander(NamedTuple):
+class ClaimContext(NamedTuple):
     """Holds what an entry knows of a claim apart from its record.
 
     Attributes:
@@ -179,44 +179,44 @@
     never_dispatched: bool
 
 
-def judge(
-    *, record: ClaimRecord | None, wanted: ClaimRecord, seen: Bystander
-) -> Verdict:
+def classify_record(
+    *, record: ClaimRecord | None, wanted: ClaimRecord, context: ClaimContext
+) -> ClaimOutcome:
     """Returns what a record under the key means for a claim.
 
     Args:
       record: the record under the key; None if it cannot be read.
       wanted: the claim to be made.
-      seen: what else is known of the record's claim.
+      context: what else is known of the record's claim.
     """
     if record is None:
-        return Verdict.UNKNOWN
+        return ClaimOutcome.UNKNOWN
     if record.nonce == wanted.nonce:
-        return Verdict.OURS
-    if record.state is RecordState.RELEASED or seen.never_dispatched:
-        return Verdict.CLAIMABLE
-    if record.print != wanted.print:
-        return Verdict.REUSED
+        return ClaimOutcome.OURS
+    if record.state is RecordState.RELEASED or context.never_dispatched:
+        return ClaimOutcome.CLAIMABLE
+    if record.digest != wanted.digest:
+        return ClaimOutcome.REUSED
     if record.state is RecordState.DONE:
-        return Verdict.ANSWERED
-    return _classify_open(record, seen)
+        return ClaimOutcome.ANSWERED
+    return _classify_open(record, context)
 
 
-def _classify_open(record: ClaimRecord, seen: Bystander) -> Verdict:
+def _classify_open(record: ClaimRecord, context: ClaimContext) -> ClaimOutcome:
     # A claim whose holder died is never taken over: nobody knows whether the
     # holder had dispatched the request, and a second run is worse than none.
     if record.state is RecordState.UNKNOWN:
-        return Verdict.UNKNOWN
-    if seen.deadline_passed or not seen.holder_live:
-        return Verdict.UNKNOWN
-    return Verdict.IN_FLIGHT
+        return ClaimOutcome.UNKNOWN
+    if context.deadline_passed or not context.holder_live:
+        return ClaimOutcome.UNKNOWN
+    return ClaimOutcome.IN_FLIGHT
 
 
-def verdict_error(verdict: Verdict) -> AlmondstairError:
+def outcome_error(outcome: ClaimOutcome) -> AlmondstairError:
     """Returns the error for a repeated request without a recorded response."""
-    if verdict is Verdict.REUSED:
+    if outcome is ClaimOutcome.REUSED:
         return AlmondstairError(kind=ErrorKind.KEY_REUSED)
-    if verdict is Verdict.IN_FLIGHT:
+    if outcome is ClaimOutcome.IN_FLIGHT:
         return AlmondstairError(kind=ErrorKind.CLAIM_IN_FLIGHT)
     return AlmondstairError(
         kind=ErrorKind.OUTCOME_UNKNOWN,
@@ -224,7 +224,7 @@
     )
 
 
-def answer_not_kept(answer: RecordedAnswer) -> AlmondstairError:
+def response_too_large(response: RecordedResponse) -> AlmondstairError:
     """Returns the error for a repeated request whose response was too large.
 
     The closed list of error kinds has none for this case. `outcome_unknown` has
@@ -233,7 +233,7 @@
     """
     return AlmondstairError(
         kind=ErrorKind.OUTCOME_UNKNOWN,
-        detail=f"the request ran with status {answer.status}; "
+        detail=f"the request ran with status {response.status}; "
         "its response is too large to keep",
         ran=Ran.YES,
     )
@@ -247,7 +247,7 @@
     STOP = enum.auto()
 
 
-class Claiming:
+class ClaimAttempt:
     """Makes one claim: decides on each call from the result of the last one.
 
     A write whose reply was lost may be applied now, later or never. Treating
@@ -262,7 +262,7 @@
       base_revision: revision that the next write is conditional on.
       mod_revision: revision of the claim once it is held, else 0.
       found: the last record that was found under the key, if any.
-      verdict: the outcome once stopped; None if the service failed.
+      outcome: the outcome once stopped; None if the service failed.
       may_be_written: whether a write was lost that may be applied, now or
         later.
       failure: the last failure of the service, if any.
@@ -272,23 +272,24 @@
         self,
         *,
         wanted: ClaimRecord,
-        look: Callable[[ClaimRecord], Bystander],
+        find_context: Callable[[ClaimRecord], ClaimContext],
     ) -> None:
         """Starts an attempt.
 
         Args:
           wanted: the record to write.
-          look: returns what else is known of a claim found under the key.
+          find_context: returns what else is known of a claim found under the
+            key.
         """
         self.wanted = wanted
         self.action = ClaimAction.WRITE
         self.base_revision = 0
         self.mod_revision = 0
         self.found: ClaimRecord | None = None
-        self.verdict: Verdict | None = None
+        self.outcome: ClaimOutcome | None = None
         self.may_be_written = False
         self.failure: base.PlatformError | None = None
-        self._find_context = look
+        self._find_context = find_context
         self._writes = 0
 
     def on_write(self, result: base.CasResult) -> None:
@@ -326,18 +327,20 @@
             return
         record = decode_record(current.value)
         self.found = record
-        context = Bystander(False, False, False)
+        context = ClaimContext(False, False, False)
         if record is not None:
             context = self._find_context(record)
-        verdict = judge(record=record, wanted=self.wanted, seen=context)
-        if verdict is Verdict.OURS:
+        outcome = classify_record(
+            record=record, wanted=self.wanted, context=context
+        )
+        if outcome is ClaimOutcome.OURS:
             self._hold(current.mod_revision)
             return
-        if verdict is Verdict.CLAIMABLE:
+        if outcome is ClaimOutcome.CLAIMABLE:
             self.base_revision = current.mod_revision
             self._retry_write()
             return
-        self._stop(verdict)
+        self._stop(outcome)
 
     def _retry_write(self) -> None:
         if self._writes >= MAX_WRITES_PER_CLAIM:
@@ -347,10 +350,10 @@
 
     def _hold(self, mod_revision: int) -> None:
         self.mod_revision = mod_revision
-        self._stop(Verdict.OURS)
+        self._stop(ClaimOutcome.OURS)
 
-    def _stop(self, verdict: Verdict | None) -> None:
-        self.verdict = verdict
+    def _stop(self, outcome: ClaimOutcome | None) -> None:
+        self.outcome = outcome
         self.action = ClaimAction.STOP
 
 
@@ -372,7 +375,7 @@
     caller as not run cannot run later.
 
     Attributes:
-      place: key in the service.
+      store_key: key in the service.
       record: the record as claimed.
       mod_revision: revision of the record.
       deadline_s: the request's deadline, in monotonic seconds.
@@ -382,13 +385,13 @@
     def __init__(
         self,
         *,
-        place: str,
+        store_key: str,
         record: ClaimRecord,
         mod_revision: int,
         deadline_s: float,
     ) -> None:
         """Makes a held claim."""
-        self.place = place
+        self.store_key = store_key
         self.record = record
         self.mod_revision = mod_revision
         self.deadline_s = deadline_s
@@ -424,15 +427,15 @@
         self.phase = phase
 
 
-class SettlementState(enum.Enum):
+class OutcomeRecordingState(enum.Enum):
     """Result of a write of an outcome."""
 
-    AGAIN = enum.auto()
-    SETTLED = enum.auto()
-    OVERTAKEN = enum.auto()
+    RETRY = enum.auto()
+    RECORDED = enum.auto()
+    SUPERSEDED = enum.auto()
 
 
-class Settlement:
+class OutcomeRecording:
     """Records the outcome of one claim in the service by compare-and-swap.
 
     It also gives up a claim whose write may still be applied: the released
@@ -441,45 +444,45 @@
     instead, that write would create a claim that nobody holds.
 
     Attributes:
-      place: key in the service.
+      store_key: key in the service.
       record: the record to write.
       mod_revision: revision that the next write is conditional on.
     """
 
     def __init__(
-        self, *, place: str, record: ClaimRecord, mod_revision: int
+        self, *, store_key: str, record: ClaimRecord, mod_revision: int
     ) -> None:
         """Starts with nothing written."""
-        self.place = place
+        self.store_key = store_key
         self.record = record
         self.mod_revision = mod_revision
 
-    def write(self, *, lease_id: int) -> base.ConditionalWrite:
+    def next_write(self, *, lease_id: int) -> base.ConditionalWrite:
         """Returns the next write."""
         return base.ConditionalWrite(
-            key=self.place,
+            key=self.store_key,
             value=encode_record(self.record),
             mod_revision=self.mod_revision,
             lease_id=lease_id,
         )
 
-    def on_write(self, result: base.CasResult) -> SettlementState:
+    def on_write(self, result: base.CasResult) -> OutcomeRecordingState:
         """Processes the reply to a write."""
         if result.succeeded:
-            return SettlementState.SETTLED
+            return OutcomeRecordingState.RECORDED
         if result.current is None:
             return self._on_absent()
         found = decode_record(result.current.value)
         if found is None or found.nonce != self.record.nonce:
-            return SettlementState.OVERTAKEN
+            return OutcomeRecordingState.SUPERSEDED
         if found.state is not RecordState.CLAIMED:
-            return SettlementState.SETTLED
+            return OutcomeRecordingState.RECORDED
         self.mod_revision = result.current.mod_revision
-        return SettlementState.AGAIN
+        return OutcomeRecordingState.RETRY
 
-    def _on_absent(self) -> SettlementState:
+    def _on_absent(self) -> OutcomeRecordingState:
         if self.record.state is RecordState.RELEASED:
             # The record expired with its lease, so nothing is left to release.
-            return SettlementState.SETTLED
+            return OutcomeRecordingState.RECORDED
         self.mod_revision = 0
-        return SettlementState.AGAIN
+        return OutcomeRecordingState.RETRY
--- a/almondstair/core/links.py
+++ b/almondstair/core/links.py
@@ -15,15 +15,15 @@
   process of its name have ended.
 * Loans follow the rules of `almondstair.core.loans`.
 
-These rules don't cover a process that is frozen between `take` and the write to
-the socket: it sends that chunk late. Callers call `take` for each chunk, so
-this is at most one chunk for each request in flight.
+These rules don't cover a process that is frozen between `acquire` and the write
+to the socket: it sends that chunk late. Callers call `acquire` for each chunk,
+so this is at most one chunk for each request in flight.
 """
 
 from typing import NamedTuple
 
-from almondstair.core.loans import BorrowedBook
-from almondstair.core.loans import LentBook
+from almondstair.core.loans import BorrowedLoans
+from almondstair.core.loans import LentLoans
 from almondstair.core.loans import Loan
 from almondstair.core.loans import LoanRequest
 from almondstair.core.loans import LoanTiming
@@ -47,7 +47,7 @@
 METER_SMOOTHING_S = 1.0
 
 
-class Part(NamedTuple):
+class PartialGrant(NamedTuple):
     """Holds how much of a chunk may be sent now.
 
     Attributes:
@@ -148,8 +148,8 @@
         self._peer_epochs: dict[str, int] = {}
         self._acknowledged_epoch = 0
         self._allowance_bytes_per_s = 0
-        self._lent = LentBook(timing=self._timing)
-        self._borrowed = BorrowedBook(timing=self._timing)
+        self._lent = LentLoans(timing=self._timing)
+        self._borrowed = BorrowedLoans(timing=self._timing)
         self._bucket = TokenBucket(now_s=now_s)
         self._meter = _Meter(now_s=now_s)
         self._last_wait_s = float("-inf")
@@ -163,13 +163,13 @@
         return self._link
 
     @property
-    def largest_take_bytes(self) -> int:
-        """The largest size for which `take` can succeed at present."""
+    def max_acquire_bytes(self) -> int:
+        """The largest size for which `acquire` can succeed at present."""
         return int(self._bucket.depth_bytes)
 
     # Sending.
 
-    def take(self, *, size_bytes: int, now_s: float) -> float:
+    def acquire(self, *, size_bytes: int, now_s: float) -> float:
         """Takes the tokens for a chunk that cannot be divided.
 
         Args:
@@ -179,16 +179,16 @@
         Returns:
           0.0 if the tokens were taken and the chunk may be sent now, else the
           seconds to wait before the next call. A chunk above
-          `largest_take_bytes` never succeeds; use `take_part` for it.
+          `max_acquire_bytes` never succeeds; use `acquire_part` for it.
         """
         self._advance(now_s=now_s)
-        if self._bucket.take(size_bytes=size_bytes, now_s=now_s):
+        if self._bucket.acquire(size_bytes=size_bytes, now_s=now_s):
             self._meter.add(size_bytes)
             return 0.0
         self._last_wait_s = now_s
         return self._wait_s(size_bytes=size_bytes)
 
-    def take_part(self, *, size_bytes: int, now_s: float) -> Part:
+    def acquire_part(self, *, size_bytes: int, now_s: float) -> PartialGrant:
         """Takes the tokens for as much of a chunk as possible.
 
         Args:
@@ -201,22 +201,22 @@
         """
         self._advance(now_s=now_s)
         least_bytes = min(size_bytes, int(self._bucket.depth_bytes / 2) + 1)
-        self._bucket.fill(now_s=now_s)
+        self._bucket.refill(now_s=now_s)
         wait_s = self._wait_s(size_bytes=least_bytes)
         taken_bytes = 0
         if self._bucket.tokens >= least_bytes:
-            taken_bytes = self._bucket.take_up_to(
+            taken_bytes = self._bucket.acquire_up_to(
                 size_bytes=size_bytes, now_s=now_s
             )
             wait_s = 0.0
         if taken_bytes < size_bytes:
             self._last_wait_s = now_s
         self._meter.add(taken_bytes)
-        return Part(taken_bytes, wait_s)
+        return PartialGrant(taken_bytes, wait_s)
 
     # The entry table.
 
-    def on_epoch(
+    def apply_table(
         self,
         *,
         epoch: int,
@@ -243,11 +243,13 @@
         if epoch > self._epoch:
             self._epoch = epoch
             self._entries = entries
-            self._borrowed.drop_all()
-            self._lent.forget_except(entries=entries)
+            self._borrowed.clear()
+            self._lent.retain_entries(entries=entries)
         self._recompute(now_s=now_s)
 
-    def on_acknowledged(self, *, entry: str, epoch: int, now_s: float) -> None:
+    def record_acknowledgement(
+        self, *, entry: str, epoch: int, now_s: float
+    ) -> None:
         """Records that `entry` has acknowledged `epoch` for this link."""
         if epoch <= self._peer_epochs.get(entry, 0):
             return
@@ -264,7 +266,7 @@
         self._advance(now_s=now_s)
         return self._acknowledged_epoch
 
-    def on_cap(self, *, cap_bytes_per_s: int, now_s: float) -> None:
+    def set_cap(self, *, cap_bytes_per_s: int, now_s: float) -> None:
         """Applies the cap of a new configuration.
 
         The total use is within the new cap once the configuration is in force
@@ -278,12 +280,12 @@
         """Gives up allowance and borrowed share for good, before leaving."""
         self._advance(now_s=now_s)
         self._released = True
-        self._borrowed.drop_all()
+        self._borrowed.clear()
         self._recompute(now_s=now_s)
 
     # Loans.
 
-    def ask(self, *, now_s: float) -> tuple[LoanRequest, ...]:
+    def next_loan_requests(self, *, now_s: float) -> tuple[LoanRequest, ...]:
         """Returns the loan requests to send now, often none.
 
         Call it a few times a second. Current lenders are asked first, so that
@@ -327,10 +329,10 @@
         self._advance(now_s=now_s)
         if not self._may_answer(request):
             return None
-        repeated = self._lent.repeated(request=request)
+        repeated = self._lent.sent_loan(request=request)
         if repeated is not None:
             return repeated
-        if self._lent.is_late(request=request):
+        if self._lent.is_outdated(request=request):
             return None
         share_bytes_per_s = self._lendable(request=request, now_s=now_s)
         if share_bytes_per_s <= 0:
@@ -436,14 +438,16 @@
     def _may_answer(self, request: LoanRequest) -> bool:
         if self._released or request.lender != self._entry_name:
             return False
-        # `on_epoch` drops loans; a loan of another epoch would outlive that.
+        # `apply_table` drops loans; a loan of another epoch would outlive that.
         if request.epoch != self._epoch:
             return False
         return request.borrower in self._entries
 
     def _lendable(self, *, request: LoanRequest, now_s: float) -> int:
         """Returns the share to lend for `request`, in bytes per second."""
-        asking = self._lent.note_asked(borrower=request.borrower, now_s=now_s)
+        asking = self._lent.record_request(
+            borrower=request.borrower, now_s=now_s
+        )
         # An entry that borrows is short itself. If it lent on what it borrowed,
         # two entries could drive up each other's demand.
         if self._borrowed.share_bytes_per_s or self._is_busy(now_s=now_s):
@@ -473,7 +477,7 @@
                 others.append(entry)
         chosen = list(lenders)
         if len(lenders) > PEERS_PER_ROUND:
-            chosen = list(self._borrowed.due_lenders(now_s=now_s))
+            chosen = list(self._borrowed.lenders_to_renew(now_s=now_s))
         for step in range(min(PEERS_PER_ROUND, len(others))):
             chosen.append(others[(self._next_peer + step) % len(others)])
         self._next_peer += PEERS_PER_ROUND
@@ -484,6 +488,6 @@
 
     def _wait_s(self, *, size_bytes: int) -> float:
         wait_s = self._bucket.wait_s(
-            size_bytes=size_bytes, longest_s=MAX_WAIT_S
+            size_bytes=size_bytes, max_wait_s=MAX_WAIT_S
         )
         return max(wait_s, MIN_WAIT_S)
--- a/almondstair/core/loans.py
+++ b/almondstair/core/loans.py
@@ -127,7 +127,7 @@
         return self._next_end_s
 
 
-class LentBook(_LoanTable):
+class LentLoans(_LoanTable):
     """Loans that one entry has made on one link."""
 
     def __init__(self, *, timing: LoanTiming) -> None:
@@ -154,14 +154,14 @@
             state.terms = kept
         self._recount()
 
-    def forget_except(self, *, entries: tuple[str, ...]) -> None:
+    def retain_entries(self, *, entries: tuple[str, ...]) -> None:
         """Removes borrowers not in `entries` whose terms have ended."""
         for borrower, state in tuple(self._borrowers.items()):
             if state.terms or borrower in entries:
                 continue
             del self._borrowers[borrower]
 
-    def repeated(self, *, request: LoanRequest) -> Loan | None:
+    def sent_loan(self, *, request: LoanRequest) -> Loan | None:
         """Returns the loan already sent for this request, if any."""
         state = self._borrowers.get(request.borrower)
         if state is None or state.last_loan is None:
@@ -170,7 +170,7 @@
             return state.last_loan
         return None
 
-    def is_late(self, *, request: LoanRequest) -> bool:
+    def is_outdated(self, *, request: LoanRequest) -> bool:
         """Returns whether a newer request of that process was answered."""
         state = self._borrowers.get(request.borrower)
         if state is None or state.last_loan is None:
@@ -179,7 +179,7 @@
             return False
         return request.sequence < state.last_loan.sequence
 
-    def note_asked(self, *, borrower: str, now_s: float) -> int:
+    def record_request(self, *, borrower: str, now_s: float) -> int:
         """Records a request; returns how many borrowers asked within a term."""
         self._state_of(borrower).asked_s = now_s
         asking = 0
@@ -223,7 +223,7 @@
     until_s: float
 
 
-class BorrowedBook(_LoanTable):
+class BorrowedLoans(_LoanTable):
     """Loans that one entry has received on one link, at one epoch."""
 
     def __init__(self, *, timing: LoanTiming) -> None:
@@ -238,7 +238,7 @@
         """Entries whose loans are in use now."""
         return tuple(self._held)
 
-    def due_lenders(self, *, now_s: float) -> tuple[str, ...]:
+    def lenders_to_renew(self, *, now_s: float) -> tuple[str, ...]:
         """Returns the lenders whose loans are past half of their term.
 
         If they were asked sooner, every lender of a large zone would get and
@@ -251,7 +251,7 @@
                 due.append(lender)
         return tuple(due)
 
-    def drop_all(self) -> None:
+    def clear(self) -> None:
         """Removes all loans and requests; called at each new epoch.
 
         Otherwise a loan from an entry that has left would still be used while
--- a/almondstair/core/region_states.py
+++ b/almondstair/core/region_states.py
@@ -1,6 +1,6 @@
 """State of each region: load reports, in-band health, links and losses."""
 
-from almondstair.core.admission import KEPT_FRACTION
+from almondstair.core.admission import HELD_BACK_FRACTION
 from almondstair.core.health import HealthTable
 from almondstair.core.loads import LoadTotals
 from almondstair.core.loads import RegionLoad
@@ -253,7 +253,7 @@
             name=_refusals_key(region, flow.service, flow.priority),
             now_s=now_s,
         )
-        reserved_slots = slots * KEPT_FRACTION[flow.priority]
+        reserved_slots = slots * HELD_BACK_FRACTION[flow.priority]
         link_key = (flow.availability_zone, region)
         return RegionView(
             region=region,
--- a/almondstair/core/requests.py
+++ b/almondstair/core/requests.py
@@ -50,8 +50,9 @@
     Otherwise a deadline could expire, the caller be informed that nothing ran,
     and a dispatch that was waiting for a slot start a moment later; an
     upstream's journal would then show a request that was answered with `ran:
-    no`. Every answer calls `answer()` before it is written and every dispatch
-    calls `dispatch()` before its first byte, so one of the two fails.
+    no`. Every answer calls `try_answer()` before it is written and every
+    dispatch calls `try_dispatch()` before its first byte, so one of the two
+    fails.
 
     A refusal covers only the last dispatch. An idempotent request whose first
     dispatch was lost may have run there, even if the next dispatch is certainly
@@ -65,7 +66,7 @@
         self.may_have_run = False
         self._earlier_may_have_run = False
 
-    def dispatch(self) -> bool:
+    def try_dispatch(self) -> bool:
         """Returns whether the first byte may be sent, and marks it as sent."""
         if self.state is Progress.ANSWERED:
             return False
@@ -74,13 +75,13 @@
         self.may_have_run = True
         return True
 
-    def not_run(self) -> None:
+    def record_not_run(self) -> None:
         """Records that the last dispatch certainly did not run."""
         if self.state is Progress.DISPATCHED:
             self.state = Progress.OPEN
             self.may_have_run = self._earlier_may_have_run
 
-    def answer(self) -> bool:
+    def try_answer(self) -> bool:
         """Closes the request; returns False if it was already answered."""
         if self.state is Progress.ANSWERED:
             return False
@@ -97,7 +98,7 @@
     return service, "/" + rest
 
 
-def find_class(
+def find_request_class(
     *, configuration: Configuration, service: str, method: str, path: str
 ) -> RequestClass:
     """Returns the class of a request.
@@ -140,7 +141,7 @@
     return path == pattern
 
 
-def check_key(*, request_class: RequestClass, key: str) -> str:
+def validate_key(*, request_class: RequestClass, key: str) -> str:
     """Returns the key to claim, empty if the class is idempotent.
 
     Raises:
@@ -163,7 +164,7 @@
     return key
 
 
-def deadline_s(
+def parse_deadline_s(
     *, request_class: RequestClass, header: str, now_s: float
 ) -> float:
     """Returns the monotonic deadline of a request.
--- a/almondstair/core/retries.py
+++ b/almondstair/core/retries.py
@@ -17,19 +17,19 @@
 class RetryCounts(NamedTuple):
     """Counts of a budget since its creation."""
 
-    first_tries: int
+    first_attempts: int
     retries: int
-    withheld: int
+    denied: int
 
 
 class RetryBudget:
-    """Allows retries as a fraction of first tries.
+    """Allows retries as a fraction of first attempts.
 
     Without a budget, a region that refuses half of its work gets that half
     again, refuses more, and stays overloaded after the cause has gone: retries
-    rise while first tries stay level. Here each first try earns a fraction of a
-    token and each retry spends a whole one, so retries stay at `fraction` of
-    first tries however many fail.
+    rise while first attempts stay level. Here each first attempt earns a
+    fraction of a token and each retry spends a whole one, so retries stay at
+    `fraction` of first attempts however many fail.
 
     A service with little load earns almost nothing, so a window of one second
     that earned less than `minimum_per_s` is topped up to it.
@@ -50,7 +50,7 @@
         """Creates a budget with the minimum tokens of one second.
 
         Args:
-          fraction: tokens that a first try earns.
+          fraction: tokens that a first attempt earns.
           minimum_per_s: minimum of tokens earned per second.
           depth_s: how many seconds of earnings at the current rate are stored.
             It is small, since stored tokens are spent at the start of an
@@ -64,22 +64,22 @@
         self._earned_in_window = 0.0
         self._rate_per_s = 0.0
         self._window_start_s: float | None = None
-        self._first_tries = 0
+        self._first_attempts = 0
         self._retries = 0
-        self._withheld = 0
+        self._denied = 0
 
-    def first_try(self, *, now_s: float) -> None:
-        """Counts a first try."""
+    def record_first_attempt(self, *, now_s: float) -> None:
+        """Counts a first attempt."""
         self._roll_window(now_s=now_s)
-        self._first_tries += 1
+        self._first_attempts += 1
         self._earned_in_window += self._fraction
         self._earn(self._fraction)
 
-    def may_retry(self, *, now_s: float) -> bool:
+    def try_retry(self, *, now_s: float) -> bool:
         """Spends a token for a retry; returns False if there is none."""
         self._roll_window(now_s=now_s)
         if self._tokens < 1.0:
-            self._withheld += 1
+            self._denied += 1
             return False
         self._tokens -= 1.0
         self._retries += 1
@@ -87,16 +87,16 @@
 
     @property
     def fraction(self) -> float:
-        """Tokens that a first try earns."""
+        """Tokens that a first attempt earns."""
         return self._fraction
 
     @property
     def counts(self) -> RetryCounts:
-        """First tries, and retries made and withheld, since creation."""
+        """First attempts, and retries made and denied, since creation."""
         return RetryCounts(
-            first_tries=self._first_tries,
+            first_attempts=self._first_attempts,
             retries=self._retries,
-            withheld=self._withheld,
+            denied=self._denied,
         )
 
     def _roll_window(self, *, now_s: float) -> None:
@@ -123,7 +123,9 @@
         return max(1.0, rate_per_s * self._depth_s)
 
 
-def retry_after_ms(*, base_ms: int, draw: float, pressure: float = 1.0) -> int:
+def retry_after_ms(
+    *, base_ms: int, draw: float, load_ratio: float = 1.0
+) -> int:
     """Returns after how many milliseconds a refused caller may retry.
 
     Callers refused at the same moment would retry at the same moment and be
@@ -133,11 +135,11 @@
     Args:
       base_ms: shortest useful delay, in milliseconds.
       draw: random number, uniform in [0, 1).
-      pressure: offered load divided by capacity; above 1 it lengthens the
+      load_ratio: offered load divided by capacity; above 1 it lengthens the
         delay in proportion.
 
     Returns:
       The delay in milliseconds, at most a minute.
     """
-    stretched_ms = base_ms * max(1.0, pressure) * (1.0 + draw)
+    stretched_ms = base_ms * max(1.0, load_ratio) * (1.0 + draw)
     return min(MAX_RETRY_AFTER_MS, round(stretched_ms))
--- a/almondstair/core/slot_book.py
+++ b/almondstair/core/slot_tracker.py
@@ -27,7 +27,7 @@
     reserve: bool
 
 
-class SlotBook:
+class SlotTracker:
     """Counts exactly the slots that this entry's requests take."""
 
     def __init__(self, *, margin_s: float) -> None:
@@ -41,7 +41,7 @@
         self._tickets: dict[str, dict[int, Ticket]] = {}
         self._next_number = 0
 
-    def start(
+    def add(
         self,
         *,
         upstream: str,
@@ -63,17 +63,17 @@
         self._tickets.setdefault(upstream, {})[ticket.number] = ticket
         return ticket
 
-    def end(self, *, ticket: Ticket) -> None:
+    def remove(self, *, ticket: Ticket) -> None:
         """Removes a request; does nothing if it is not present."""
         self._tickets.get(ticket.upstream, {}).pop(ticket.number, None)
 
     def expire(self, *, upstream: str, now_s: float) -> None:
         """Removes the requests of an upstream that are certainly over."""
-        for ticket in self.running(upstream=upstream):
+        for ticket in self.in_flight(upstream=upstream):
             if ticket.until_s <= now_s:
-                self.end(ticket=ticket)
+                self.remove(ticket=ticket)
 
-    def running(self, *, upstream: str) -> tuple[Ticket, ...]:
+    def in_flight(self, *, upstream: str) -> tuple[Ticket, ...]:
         """Returns the requests in flight at an upstream."""
         return tuple(self._tickets.get(upstream, {}).values())
 
--- a/almondstair/core/steering.py
+++ b/almondstair/core/steering.py
@@ -12,7 +12,7 @@
 """
 
 from almondstair.core import ramps
-from almondstair.core.admission import KEPT_FRACTION
+from almondstair.core.admission import HELD_BACK_FRACTION
 from almondstair.core.model import Configuration
 from almondstair.core.model import Priority
 from almondstair.core.model import Profile
@@ -176,7 +176,7 @@
             totals = self.regions.totals(
                 region=weight.region, service=flow.service, now_s=now_s
             )
-            reserved_slots = totals.slots * KEPT_FRACTION[flow.priority]
+            reserved_slots = totals.slots * HELD_BACK_FRACTION[flow.priority]
             if follows_load and totals.known:
                 if totals.free_slots <= reserved_slots:
                     continue
--- a/almondstair/core/upstream_slots.py
+++ b/almondstair/core/upstream_slots.py
@@ -4,7 +4,7 @@
 
 from almondstair.core.admission_records import UpstreamReport
 from almondstair.core.model import Upstream
-from almondstair.core.slot_book import Ticket
+from almondstair.core.slot_tracker import Ticket
 from almondstair.core.slow_start import SlowStart
 from almondstair.core.slow_start import SlowStartLimits
 
@@ -43,7 +43,7 @@
         self.slots = upstream.slots
         self.ramp.set_slots(slots=upstream.slots)
 
-    def take_report(
+    def record_report(
         self, *, report: UpstreamReport, in_flight: int, now_s: float
     ) -> None:
         """Records a load report.
@@ -67,7 +67,7 @@
             return None
         return now_s - self._report_s
 
-    def reported(self, *, now_s: float) -> int:
+    def reported_slots(self, *, now_s: float) -> int:
         """Returns the slots that the last load report leaves to this entry.
 
         The report counts for a short time and never leaves less than one slot:
@@ -79,8 +79,8 @@
         remaining = min(self.slots, self._report.slots) - self._busy_for_others
         return max(1, remaining)
 
-    def opened(
-        self, *, running: Iterable[Ticket], long_s: float, now_s: float
+    def slow_start_slots(
+        self, *, running: Iterable[Ticket], long_run_s: float, now_s: float
     ) -> int:
         """Returns how many slots slow start lets the entry use.
 
@@ -91,13 +91,13 @@
 
         Args:
           running: the entry's requests at this upstream.
-          long_s: age in seconds above which a request is long-running.
+          long_run_s: age in seconds above which a request is long-running.
           now_s: monotonic time in seconds.
         """
         opened = self.ramp.usable_slots(now_s=now_s)
         if not opened:
             return 0
         for ticket in running:
-            if now_s - ticket.started_s > long_s:
+            if now_s - ticket.started_s > long_run_s:
                 opened += 1
         return min(opened, self.slots)
--- a/almondstair/dispatch.py
+++ b/almondstair/dispatch.py
@@ -176,7 +176,7 @@
         # the deadline is not allowed: other entries wait for this one only
         # until then.
         left_ms = remaining_ms(deadline_s=call.head.deadline_s)
-        if left_ms <= 0 or not may_write() or not call.progress.dispatch():
+        if left_ms <= 0 or not may_write() or not call.progress.try_dispatch():
             stream.close()
             return Exchange(sent=Sent.TOO_LATE)
         headers = call.headers.copy()
@@ -209,7 +209,7 @@
             after_write=_deadline_check(call, may_write),
         )
         if _did_not_run(exchange):
-            call.progress.not_run()
+            call.progress.record_not_run()
         return exchange
 
 
--- a/almondstair/entry.py
+++ b/almondstair/entry.py
@@ -18,18 +18,18 @@
 from almondstair.core.admission import SlotTable
 from almondstair.core.announcement_limiter import AnnouncementLimiter
 from almondstair.core.configuration import ConfigurationState
+from almondstair.core.entry_selection import EntrySelector
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.entry_table import EntryTable
 from almondstair.core.health import HealthTable
 from almondstair.core.home_records import homed_upstreams
 from almondstair.core.homes import Homes
-from almondstair.core.hops import HopTable
 from almondstair.core.loop_stall import LoopStall
 from almondstair.core.membership import Membership
 from almondstair.core.membership_records import incarnation_text
 from almondstair.core.model import Configuration
 from almondstair.core.quarantine import Quarantine
-from almondstair.core.slot_book import SlotBook
+from almondstair.core.slot_tracker import SlotTracker
 from almondstair.core.steering import Steering
 from almondstair.core.steering_records import SteeringLimits
 from almondstair.dispatch import Sender
@@ -128,26 +128,26 @@
         )
         self.membership.joining = True
         self._configuration_state = ConfigurationState()
-        book = SlotBook(margin_s=SLOT_MARGIN_S)
+        book = SlotTracker(margin_s=SLOT_MARGIN_S)
         self.homes = Homes(
             entry_name=self.own.name,
             incarnation=self.own.incarnation,
             t1_s=RESERVE_T1_S,
             reserve_deadline_s=RESERVE_DEADLINE_S,
             margin_s=SLOT_MARGIN_S,
-            book=book,
+            tracker=book,
         )
         self._health = HealthTable()
         self._loop_stall = LoopStall()
         self.slots = SlotTable(
             homes=self.homes,
-            book=book,
+            tracker=book,
             health=self._health,
-            standstill=self._loop_stall,
+            loop_stall=self._loop_stall,
         )
         self._keeper = SlotKeeper(slots=self.slots)
         report_limit_s = timing.load_report_limit_ms / 1000
-        self._entry_selector = HopTable(report_limit_s=report_limit_s)
+        self._entry_selector = EntrySelector(report_limit_s=report_limit_s)
         self.steering = Steering(
             configuration=NO_CONFIGURATION,
             limits=SteeringLimits(report_limit_s=report_limit_s),
--- a/almondstair/frontend.py
+++ b/almondstair/frontend.py
@@ -17,10 +17,10 @@
 from almondstair.core.requests import Progress
 from almondstair.core.requests import RequestHead
 from almondstair.core.requests import RequestProgress
-from almondstair.core.requests import check_key
-from almondstair.core.requests import deadline_s
-from almondstair.core.requests import find_class
+from almondstair.core.requests import find_request_class
+from almondstair.core.requests import parse_deadline_s
 from almondstair.core.requests import split_path
+from almondstair.core.requests import validate_key
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 from almondstair.errors import Ran
@@ -183,7 +183,7 @@
             self._lookup_service = _service_argument(start_line, query)
             return
         service, service_path = split_path(path=start_line.path)
-        request_class = find_class(
+        request_class = find_request_class(
             configuration=self._listener.handler.configuration(),
             service=service,
             method=start_line.method,
@@ -205,8 +205,8 @@
             request_class=request_class,
             method=start_line.method,
             path=service_path,
-            key=check_key(request_class=request_class, key=key),
-            deadline_s=deadline_s(
+            key=validate_key(request_class=request_class, key=key),
+            deadline_s=parse_deadline_s(
                 request_class=request_class,
                 header=headers.get(DEADLINE_HEADER, ""),
                 now_s=time.monotonic(),
@@ -376,7 +376,7 @@
             raise
         except Exception as error:
             log.event(log.Event.REQUEST_BROKEN, error=error)
-            if not call.progress.answer():
+            if not call.progress.try_answer():
                 self._response.abort()
                 return
             ran = Ran.NO
--- a/almondstair/leaving.py
+++ b/almondstair/leaving.py
@@ -112,11 +112,11 @@
         components = self._components
         deadline_s = time.monotonic() + RELEASE_LIMIT_S
         components.shares.release()
-        while not components.homes.idle(now_s=time.monotonic()):
+        while not components.homes.has_released_all(now_s=time.monotonic()):
             if time.monotonic() > deadline_s:
                 break
             await asyncio.sleep(DRAIN_POLL_S)
-        if not components.homes.nothing_held(now_s=time.monotonic()):
+        if not components.homes.holds_no_slots(now_s=time.monotonic()):
             return
         # If the platform is unavailable, the row stays. Because of `finished`
         # the peers remove it once the platform is back; otherwise they would
--- a/almondstair/link_shares.py
+++ b/almondstair/link_shares.py
@@ -89,7 +89,7 @@
         self._acknowledged_epochs[entry] = epoch
         now_s = time.monotonic()
         for share in self._shares.values():
-            share.on_acknowledged(entry=entry, epoch=epoch, now_s=now_s)
+            share.record_acknowledgement(entry=entry, epoch=epoch, now_s=now_s)
 
     def acknowledgement(self) -> LinkEpoch | None:
         """Returns the lowest epoch that all shares acknowledge, to be sent."""
@@ -107,7 +107,7 @@
         """Requests loans from peers for shares that are too small."""
         now_s = time.monotonic()
         for share in self._shares.values():
-            for request in share.ask(now_s=now_s):
+            for request in share.next_loan_requests(now_s=now_s):
                 self._send(request.lender, request)
 
     def lend(self, request: LoanRequest) -> None:
@@ -159,7 +159,7 @@
         self._shares[name] = share
         self._apply_table(share, self._table_from_platform)
         for entry, epoch in self._acknowledged_epochs.items():
-            share.on_acknowledged(entry=entry, epoch=epoch, now_s=now_s)
+            share.record_acknowledgement(entry=entry, epoch=epoch, now_s=now_s)
         return share
 
     def _apply_table(self, share: LinkShare, from_platform: bool) -> None:
@@ -167,7 +167,7 @@
         for row in self._table.entries:
             if row.availability_zone == self._own.availability_zone:
                 names.append(row.name)
-        share.on_epoch(
+        share.apply_table(
             epoch=self._table.epoch,
             entries=tuple(names),
             from_platform=from_platform,
@@ -176,7 +176,7 @@
 
     def _set_cap(self, link: Link) -> None:
         for pacer in self._pacers.pacers(region=link.region):
-            pacer.share.on_cap(
+            pacer.share.set_cap(
                 cap_bytes_per_s=link.cap_bytes_per_s, now_s=time.monotonic()
             )
 
--- a/almondstair/pacing.py
+++ b/almondstair/pacing.py
@@ -5,7 +5,7 @@
 import time
 from typing import NamedTuple
 
-from almondstair.core.admission_queue import RANKS
+from almondstair.core.admission_queue import PRIORITY_RANKS
 from almondstair.core.links import LinkShare
 from almondstair.core.model import Priority
 from almondstair.errors import AlmondstairError
@@ -74,7 +74,7 @@
         self._queued_bytes = 0
         self._number = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._committed_bytes = dict.fromkeys(RANKS.values(), 0)
+        self._committed_bytes = dict.fromkeys(PRIORITY_RANKS.values(), 0)
 
     async def move(
         self, size_bytes: int, priority: Priority, deadline_s: float
@@ -90,7 +90,7 @@
           How many bytes of the chunk may be sent now; at least 1.
         """
         if not self._queue:
-            part = self.share.take_part(
+            part = self.share.acquire_part(
                 size_bytes=size_bytes, now_s=time.monotonic()
             )
             if part.size_bytes:
@@ -123,7 +123,7 @@
         self._number += 1
         future = asyncio.get_running_loop().create_future()
         waiting = _QueuedChunk(
-            RANKS[priority],
+            PRIORITY_RANKS[priority],
             deadline_s,
             self._number,
             size_bytes,
@@ -150,7 +150,7 @@
           size_bytes: size; negative for bytes that are sent or given up.
           priority: priority of the request's class.
         """
-        self._committed_bytes[RANKS[priority]] += size_bytes
+        self._committed_bytes[PRIORITY_RANKS[priority]] += size_bytes
 
     def carry_s(
         self, *, size_bytes: int, priority: Priority, now_s: float
@@ -158,7 +158,7 @@
         """Returns how long a body takes behind all bytes ahead, in seconds."""
         ahead_bytes = size_bytes
         for rank, committed_bytes in self._committed_bytes.items():
-            if rank <= RANKS[priority]:
+            if rank <= PRIORITY_RANKS[priority]:
                 ahead_bytes += committed_bytes
         status = self.share.status(now_s=now_s)
         # Bytes lent to peers return within one loan term when this entry is
@@ -198,7 +198,7 @@
                 # Its request was cancelled.
                 self._pop_first()
                 continue
-            part = self.share.take_part(
+            part = self.share.acquire_part(
                 size_bytes=waiting.size_bytes, now_s=time.monotonic()
             )
             if not part.size_bytes:
--- a/almondstair/probing.py
+++ b/almondstair/probing.py
@@ -87,7 +87,7 @@
         finally:
             del self._in_flight[name]
         if report is not None:
-            self._slots.heard_upstream(
+            self._slots.record_upstream_report(
                 upstream=name, report=report, now_s=time.monotonic()
             )
 
--- a/almondstair/running.py
+++ b/almondstair/running.py
@@ -11,7 +11,7 @@
 from almondstair.admitting import SlotKeeper
 from almondstair.calls import Call
 from almondstair.claims import Claims
-from almondstair.core import ledger
+from almondstair.core import idempotency
 from almondstair.core.admission_records import Admission
 from almondstair.core.admission_records import Outcome
 from almondstair.core.admission_records import UpstreamReport
@@ -112,7 +112,7 @@
         claim = None
         try:
             found = await self._claim_key(call)
-            if isinstance(found, ledger.RecordedAnswer):
+            if isinstance(found, idempotency.RecordedResponse):
                 await self._replay(call, found)
                 return None
             claim = found
@@ -148,7 +148,7 @@
 
     async def _claim_key(
         self, call: Call
-    ) -> ledger.Claim | ledger.RecordedAnswer:
+    ) -> idempotency.Claim | idempotency.RecordedResponse:
         try:
             found = await self._claims.claim(
                 service=call.head.service,
@@ -184,7 +184,9 @@
         await self._replay(call, found)
         return True
 
-    async def _replay(self, call: Call, found: ledger.RecordedAnswer) -> None:
+    async def _replay(
+        self, call: Call, found: idempotency.RecordedResponse
+    ) -> None:
         headers = httputil.HTTPHeaders()
         for name, value in found.headers:
             headers.add(name, value)
@@ -194,15 +196,15 @@
         call.answer.head(ResponseHead(found.status, reason, headers))
         if body:
             await call.answer.data(body)
-        call.progress.answer()
+        call.progress.try_answer()
         await call.answer.complete()
 
-    async def _end_claim(self, call: Call, claim: ledger.Claim) -> None:
+    async def _end_claim(self, call: Call, claim: idempotency.Claim) -> None:
         """Ends a claim that is still open when its call ends."""
-        if claim.phase is ledger.ClaimPhase.HELD:
+        if claim.phase is idempotency.ClaimPhase.HELD:
             await self._claims.release(claim)
             return
-        if claim.phase is not ledger.ClaimPhase.DISPATCHED:
+        if claim.phase is not idempotency.ClaimPhase.DISPATCHED:
             return
         if not call.progress.may_have_run:
             await self._claims.release(claim)
@@ -210,7 +212,7 @@
         await self._claims.record_unknown(claim)
 
     async def _dispatch(
-        self, work: Work, admission: Admission, claim: ledger.Claim | None
+        self, work: Work, admission: Admission, claim: idempotency.Claim | None
     ) -> AlmondstairError | None:
         call = work.call
         excluded: frozenset[str] = frozenset()
@@ -239,7 +241,7 @@
         return None
 
     async def _attempt(
-        self, work: Work, admission: Admission, claim: ledger.Claim | None
+        self, work: Work, admission: Admission, claim: idempotency.Claim | None
     ) -> Attempt:
         call = work.call
         name = admission.upstream
@@ -249,7 +251,7 @@
 
         def may_write() -> bool:
             now_s = time.monotonic()
-            if not self._keeper.slots.still_mine(
+            if not self._keeper.slots.may_still_run(
                 admission=admission, now_s=now_s
             ):
                 return False
@@ -283,7 +285,7 @@
         return attempt
 
     def _stalled_s(self) -> float:
-        standstill = self._keeper.slots.standstill
+        standstill = self._keeper.slots.loop_stall
         return standstill.total_s(now_s=time.monotonic())
 
     def _release_slot(
@@ -315,15 +317,15 @@
         asyncio.get_running_loop().call_later(CANCEL_GRACE_S, release)
 
     async def _complete_response(
-        self, call: Call, attempt: Attempt, claim: ledger.Claim | None
+        self, call: Call, attempt: Attempt, claim: idempotency.Claim | None
     ) -> None:
         if claim is not None:
             await self._record_response(call, attempt, claim)
-        if call.progress.answer():
+        if call.progress.try_answer():
             await call.answer.complete()
 
     async def _record_response(
-        self, call: Call, attempt: Attempt, claim: ledger.Claim
+        self, call: Call, attempt: Attempt, claim: idempotency.Claim
     ) -> None:
         buffered = call.answer.held_answer()
         head = attempt.exchange.head
@@ -331,7 +333,7 @@
         body = None
         if buffered is not None:
             head, body = buffered
-        recorded = ledger.keep_answer(
+        recorded = idempotency.recorded_response(
             status=head.status,
             headers=list(head.headers.get_all()),
             body=body,
@@ -351,7 +353,7 @@
             return
         report = read_load(head.headers.get(LOAD_HEADER, ""))
         if report is not None:
-            self._keeper.slots.heard_upstream(
+            self._keeper.slots.record_upstream_report(
                 upstream=name, report=report, now_s=time.monotonic()
             )
 
@@ -427,7 +429,7 @@
 
 
 def _claim_fingerprint(call: Call) -> bytes:
-    return ledger.request_fingerprint(
+    return idempotency.request_fingerprint(
         method=call.head.method,
         path=call.head.path,
         body_digest=call.body.digest().encode(),
--- a/almondstair/serving.py
+++ b/almondstair/serving.py
@@ -9,8 +9,8 @@
 
 from almondstair import log
 from almondstair.calls import Call
+from almondstair.core.entry_selection import EntrySelector
 from almondstair.core.entry_table import EntryRow
-from almondstair.core.hops import HopTable
 from almondstair.core.loop_stall import LoopStall
 from almondstair.core.membership import Membership
 from almondstair.core.model import Configuration
@@ -99,7 +99,7 @@
     own: EntryRow
     membership: Membership
     steering: Steering
-    hops: HopTable
+    hops: EntrySelector
     quarantine: Quarantine
     pacers: LinkPacers
     runner: Runner
@@ -180,7 +180,7 @@
         error = unknown_if_run(error, call=call)
         # Marked as answered before the response is written, so that nothing
         # dispatches the request any more.
-        call.progress.answer()
+        call.progress.try_answer()
         error = await self._replay_known_outcome(call, error)
         if error is not None:
             call.answer.problem(error)
@@ -246,7 +246,7 @@
         self, call: Call, fingerprint: int, verdict: DispatchVerdict
     ) -> AlmondstairError | None:
         budget = self._budgets[call.head.service]
-        budget.first_try(now_s=time.monotonic())
+        budget.record_first_attempt(now_s=time.monotonic())
         tried: frozenset[str] = frozenset()
         error = self._no_region_error(call)
         for _ in range(MAX_ATTEMPTS):
@@ -311,7 +311,7 @@
             for row in live:
                 if row.region == region:
                     rows.append(row)
-            ranked = self._parts.hops.order(
+            ranked = self._parts.hops.ranked_entries(
                 rows=tuple(rows),
                 service=call.head.service,
                 tried=tried,
@@ -327,7 +327,7 @@
 
     def _owner(self, call: Call, fingerprint: int) -> _Hop | None:
         now_s = time.monotonic()
-        row = self._parts.hops.owner(
+        row = self._parts.hops.designated_entry(
             rows=tuple(self._parts.membership.live_entries(now_s=now_s)),
             service=call.head.service,
             fingerprint=fingerprint,
@@ -358,7 +358,7 @@
             kind=kind,
         )
         call.answer.pace = transfer.answer
-        self._parts.hops.sent(entry=hop.row.name, service=service)
+        self._parts.hops.record_sent(entry=hop.row.name, service=service)
         self._parts.steering.regions.record_sent(
             region=hop.region, service=service
         )
@@ -377,7 +377,9 @@
                 pacers.note_answer(kind=kind, size_bytes=transfer.answer_bytes)
         finally:
             transfer.end()
-            self._parts.hops.returned(entry=hop.row.name, service=service)
+            self._parts.hops.record_finished(
+                entry=hop.row.name, service=service
+            )
             self._report_to_steering(call, hop, error, start)
         return error
 
@@ -406,7 +408,7 @@
         )
         if attempt.error is not None:
             return attempt.error
-        if call.progress.answer():
+        if call.progress.try_answer():
             await call.answer.complete()
         return None
 
@@ -441,7 +443,7 @@
             )
             return
         if error.kind is ErrorKind.NO_SLOT:
-            self._parts.hops.refused(
+            self._parts.hops.record_refusal(
                 entry=hop.row.name, service=service, now_s=now_s
             )
         if error.kind in _REGION_REFUSALS:
@@ -484,7 +486,7 @@
             return False
         if error.kind is ErrorKind.UPSTREAM_TIMEOUT:
             return False
-        return budget.may_retry(now_s=time.monotonic())
+        return budget.try_retry(now_s=time.monotonic())
 
     def _record_metrics(
         self, call: Call, error: AlmondstairError | None, started_s: float
--- a/almondstair/settling.py
+++ b/almondstair/settling.py
@@ -5,7 +5,7 @@
 import time
 
 from almondstair import log
-from almondstair.core import ledger
+from almondstair.core import idempotency
 from almondstair.key_value import base
 
 # Limits on the outcomes kept during an outage of the service and on their
@@ -53,8 +53,8 @@
         self._write = write
         self._delay_s = delay_s
         self._now = now
-        self._pending: dict[bytes, ledger.Settlement] = {}
-        self._outcomes: dict[str, ledger.ClaimRecord] = {}
+        self._pending: dict[bytes, idempotency.OutcomeRecording] = {}
+        self._outcomes: dict[str, idempotency.ClaimRecord] = {}
         self._pending_body_bytes = 0
         self._task: asyncio.Task[None] | None = None
         self._attempted: dict[bytes, asyncio.Event] = {}
@@ -67,7 +67,7 @@
         """Number of outcomes that are not written to the service yet."""
         return len(self._pending)
 
-    def outcome(self, *, place: str) -> ledger.ClaimRecord | None:
+    def outcome(self, *, place: str) -> idempotency.ClaimRecord | None:
         """Returns the pending outcome of a key, None if there is none."""
         return self._outcomes.get(place)
 
@@ -76,10 +76,10 @@
         recording = self._pending.get(nonce)
         if recording is None:
             return False
-        return recording.record.state is ledger.RecordState.RELEASED
+        return recording.record.state is idempotency.RecordState.RELEASED
 
     def settle(
-        self, *, place: str, record: ledger.ClaimRecord, mod_revision: int
+        self, *, place: str, record: idempotency.ClaimRecord, mod_revision: int
     ) -> None:
         """Queues an outcome to be written; returns at once.
 
@@ -93,13 +93,18 @@
             self.dropped += 1
             return
         size_bytes = _body_size_bytes(record) + self._pending_body_bytes
-        if record.answer is not None and size_bytes > MAX_UNSETTLED_BODY_BYTES:
-            record = record._replace(answer=record.answer._replace(body=None))
+        if (
+            record.response is not None
+            and size_bytes > MAX_UNSETTLED_BODY_BYTES
+        ):
+            record = record._replace(
+                response=record.response._replace(body=None)
+            )
         self._pending_body_bytes += _body_size_bytes(record)
-        self._pending[record.nonce] = ledger.Settlement(
-            place=place, record=record, mod_revision=mod_revision
+        self._pending[record.nonce] = idempotency.OutcomeRecording(
+            store_key=place, record=record, mod_revision=mod_revision
         )
-        if record.state is not ledger.RecordState.RELEASED:
+        if record.state is not idempotency.RecordState.RELEASED:
             self._outcomes[place] = record
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(
@@ -179,12 +184,12 @@
                 break
         return all(await asyncio.gather(*recordings))
 
-    async def _write_one(self, recording: ledger.Settlement) -> bool:
+    async def _write_one(self, recording: idempotency.OutcomeRecording) -> bool:
         until_s = self._now() + WRITE_TIMEOUT_S
-        state = ledger.SettlementState.AGAIN
-        while state is ledger.SettlementState.AGAIN:
+        state = idempotency.OutcomeRecordingState.RETRY
+        while state is idempotency.OutcomeRecordingState.RETRY:
             try:
-                write = recording.write(lease_id=0)
+                write = recording.next_write(lease_id=0)
                 urgent = recording.record.nonce in self._attempted
                 result = await self._write(write, urgent, until_s)
             except base.PlatformError:
@@ -192,26 +197,26 @@
                 self._signal_attempt(recording)
                 return False
             state = recording.on_write(result)
-        if state is ledger.SettlementState.OVERTAKEN:
+        if state is idempotency.OutcomeRecordingState.SUPERSEDED:
             self.overtaken += 1
         self._remove(recording)
         return True
 
-    def _signal_attempt(self, recording: ledger.Settlement) -> None:
+    def _signal_attempt(self, recording: idempotency.OutcomeRecording) -> None:
         attempted = self._attempted.get(recording.record.nonce)
         if attempted is not None:
             attempted.set()
 
-    def _remove(self, recording: ledger.Settlement) -> None:
+    def _remove(self, recording: idempotency.OutcomeRecording) -> None:
         self._signal_attempt(recording)
         record = recording.record
         del self._pending[record.nonce]
         self._pending_body_bytes -= _body_size_bytes(record)
-        if record.state is not ledger.RecordState.RELEASED:
-            del self._outcomes[recording.place]
+        if record.state is not idempotency.RecordState.RELEASED:
+            del self._outcomes[recording.store_key]
 
 
-def _body_size_bytes(record: ledger.ClaimRecord) -> int:
-    if record.answer is None or record.answer.body is None:
+def _body_size_bytes(record: idempotency.ClaimRecord) -> int:
+    if record.response is None or record.response.body is None:
         return 0
-    return len(record.answer.body)
+    return len(record.response.body)
--- a/almondstair/zone_loads.py
+++ b/almondstair/zone_loads.py
@@ -1,9 +1,9 @@
 """Loads of availability zones that are reported by digests only."""
 
+from almondstair.core.entry_selection import EntrySelector
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.heartbeat_payloads import ServiceLoad
 from almondstair.core.heartbeats import FAR_SILENCE_S
-from almondstair.core.hops import HopTable
 from almondstair.core.membership import Membership
 from almondstair.core.steering import Steering
 from almondstair.heartbeats import Heartbeats
@@ -19,7 +19,7 @@
         membership: Membership,
         heartbeats: Heartbeats,
         steering: Steering,
-        hops: HopTable,
+        hops: EntrySelector,
     ) -> None:
         """Starts without any zone.
 
@@ -88,7 +88,7 @@
         # free slots than entries would seem full.
         slots_per_entry, remainder = divmod(load.free_slots, len(rows))
         for index, row in enumerate(rows):
-            self._entry_selector.heard(
+            self._entry_selector.record_report(
                 entry=row.name,
                 service=load.service,
                 free_slots=slots_per_entry + (index < remainder),
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -29,7 +29,7 @@
 from tornado.httpclient import AsyncHTTPClient
 
 from almondstair.claims import Claims
-from almondstair.core import ledger
+from almondstair.core import idempotency
 from almondstair.errors import AlmondstairError
 from almondstair.key_value.etcd import EtcdService
 
@@ -40,7 +40,7 @@
 DURATION_S = 4.0
 HOPS = 300
 WORK_S = 0.02
-ANSWER = ledger.keep_answer(status=201, headers=[], body=b"x" * 200)
+ANSWER = idempotency.recorded_response(status=201, headers=[], body=b"x" * 200)
 
 
 class Way(NamedTuple):
@@ -106,7 +106,7 @@
             refused += 1
             return
         latencies_us.record_value(int((time.monotonic() - start_s) * 1e6))
-        if not isinstance(claim, ledger.Claim):
+        if not isinstance(claim, idempotency.Claim):
             raise TypeError("a key was used twice")
         claim.dispatch(now_s=time.monotonic())
         await asyncio.sleep(WORK_S)
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -14,7 +14,7 @@
 from almondstair.core.home_records import homed_upstreams
 from almondstair.core.homes import Homes
 from almondstair.core.model import Configuration
-from almondstair.core.slot_book import SlotBook
+from almondstair.core.slot_tracker import SlotTracker
 from almondstair.settings import read_configuration
 from features.support.deployment import Deployment
 from features.support.deployment import Shape
@@ -63,7 +63,7 @@
 
 def take_ms(configuration: Configuration, table: EntryTable) -> float:
     """Returns the time in which homes and admission take an edit."""
-    book = SlotBook(margin_s=0.25)
+    book = SlotTracker(margin_s=0.25)
     own = table.entries[0]
     homes = Homes(
         entry_name=own.name,
@@ -71,15 +71,15 @@
         t1_s=1.0,
         reserve_deadline_s=2.0,
         margin_s=0.25,
-        book=book,
+        tracker=book,
     )
-    slots = SlotTable(homes=homes, book=book)
+    slots = SlotTable(homes=homes, tracker=book)
     homes.set_upstreams(upstreams=homed_upstreams(configuration=configuration))
     homes.update_table(table=table, now_s=0.0)
     started_s = time.process_time()
     homes.set_upstreams(upstreams=homed_upstreams(configuration=configuration))
     slots.set_configuration(configuration=configuration)
-    homes.mine()
+    homes.assigned_upstreams()
     return (time.process_time() - started_s) * 1000
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -167,7 +167,7 @@
         super().write_settings(name, more + metrics)
 
     def wait_ready(self) -> None:
-        """Waits, with few questions, until every home has its duty."""
+        """Waits, with few questions, until every home has its role."""
 
         def ready() -> bool:
             time.sleep(READY_POLL_S)
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -2,10 +2,10 @@
 
 Run: python -m benchmarks.ownership
 Homes: processor time of taking a new entry table, which is one stall of the
-loop, and of one question for a duty. Admission: one choice of an upstream that
-ends in a refusal, with all upstreams in one service; an admitted one looks
-through them three times. Links: a round in which one entry wants
-all and every other lends, seen by the busy one and by a lender; and memory.
+loop, and of one question for a home role. Admission: one choice of an upstream
+that ends in a refusal, with all upstreams in one service; an admitted one looks
+through them three times. Links: a round in which one entry wants all and every
+other lends, seen by the busy one and by a lender; and memory.
 """
 
 import time
@@ -28,7 +28,7 @@
 from almondstair.core.model import RequestClass
 from almondstair.core.model import Service
 from almondstair.core.model import Upstream
-from almondstair.core.slot_book import SlotBook
+from almondstair.core.slot_tracker import SlotTracker
 
 # Entries and upstreams: today, between, and the target with an assumed 1000
 # upstreams; in one region of four.
@@ -78,27 +78,27 @@
     )
 
 
-def _homes(*, configuration: Configuration, book: SlotBook) -> Homes:
+def _homes(*, configuration: Configuration, book: SlotTracker) -> Homes:
     homes = Homes(
         entry_name="entry-000",
         incarnation="0123456789abcdef",
         t1_s=1.0,
         reserve_deadline_s=2.0,
         margin_s=0.5,
-        book=book,
+        tracker=book,
     )
     homes.set_upstreams(upstreams=homed_upstreams(configuration=configuration))
     return homes
 
 
 def _choose_us(
-    *, homes: Homes, book: SlotBook, configuration: Configuration
+    *, homes: Homes, book: SlotTracker, configuration: Configuration
 ) -> float:
-    slots = SlotTable(homes=homes, book=book)
+    slots = SlotTable(homes=homes, tracker=book)
     slots.set_configuration(configuration=configuration)
     started_s = time.process_time()
     for _ in range(CHOICES):
-        slots.choose(
+        slots.acquire(
             service="work",
             priority=Priority.INTERACTIVE,
             deadline_s=1.0,
@@ -114,7 +114,7 @@
     # The own row comes last, since rows are looked through from the first.
     rows.reverse()
     configuration = _configuration(upstreams=upstreams)
-    book = SlotBook(margin_s=0.5)
+    book = SlotTracker(margin_s=0.5)
     tracemalloc.start()
     homes = _homes(configuration=configuration, book=book)
     homes.update_table(table=EntryTable(1, tuple(rows)), now_s=0.0)
@@ -128,7 +128,9 @@
     table_ms = (time.process_time() - started_s) / TABLES * 1e3
     started_s = time.process_time()
     for number in range(QUESTIONS):
-        homes.duty(upstream=f"upstream-{number % upstreams}", now_s=0.0)
+        homes.dispatch_rights(
+            upstream=f"upstream-{number % upstreams}", now_s=0.0
+        )
     duty_us = (time.process_time() - started_s) / QUESTIONS * 1e6
     choose_us = _choose_us(homes=homes, book=book, configuration=configuration)
     print(
@@ -146,10 +148,10 @@
         cap_bytes_per_s=CAP_BYTES_PER_S,
         now_s=0.0,
     )
-    share.on_epoch(epoch=1, entries=names, from_platform=True, now_s=0.0)
+    share.apply_table(epoch=1, entries=names, from_platform=True, now_s=0.0)
     for other in names:
         if other != name:
-            share.on_acknowledged(entry=other, epoch=1, now_s=0.0)
+            share.record_acknowledgement(entry=other, epoch=1, now_s=0.0)
     return share
 
 
@@ -172,8 +174,8 @@
     for _ in range(ROUNDS):
         now_s += ROUND_S
         started_s = time.process_time()
-        busy.take_part(size_bytes=CAP_BYTES_PER_S, now_s=now_s)
-        requests = busy.ask(now_s=now_s)
+        busy.acquire_part(size_bytes=CAP_BYTES_PER_S, now_s=now_s)
+        requests = busy.next_loan_requests(now_s=now_s)
         busy_s += time.process_time() - started_s
         loans: list[Loan] = []
         started_s = time.process_time()
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -6,15 +6,15 @@
 
 from almondstair.core.admission import SlotTable
 from almondstair.core.admission_queue import AdmissionQueue
-from almondstair.core.admission_queue import Waiting
+from almondstair.core.admission_queue import QueuedRequest
 from almondstair.core.admission_records import Admission
 from almondstair.core.admission_records import Outcome
 from almondstair.core.admission_records import Refusal
 from almondstair.core.admission_records import UpstreamReport
-from almondstair.core.duty_records import NOBODY
-from almondstair.core.duty_records import DutyOffer
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.entry_table import EntryTable
+from almondstair.core.handover_records import NO_SOURCE
+from almondstair.core.handover_records import HandoverOffer
 from almondstair.core.home_records import HomedUpstream
 from almondstair.core.homes import Homes
 from almondstair.core.model import Configuration
@@ -25,7 +25,7 @@
 from almondstair.core.model import RequestClass
 from almondstair.core.model import Service
 from almondstair.core.model import Upstream
-from almondstair.core.slot_book import SlotBook
+from almondstair.core.slot_tracker import SlotTracker
 from almondstair.errors import ErrorKind
 from features.support.homes_run import Counts
 from features.support.homes_run import Run
@@ -34,13 +34,13 @@
 SHORT_S = 1.0
 SLOTS = 3
 NO_ADDRESSES = ("", "", "", "")
-NOBODY_HELD = DutyOffer(NOBODY, ())
+NOBODY_HELD = HandoverOffer(NO_SOURCE, ())
 
 
 class WithoutT1(Homes):
     """The home always uses the reserve."""
 
-    def _reserve_is_mine(self, *, upstream, now_s):
+    def _may_use_reserve(self, *, upstream, now_s):
         return True
 
 
@@ -56,14 +56,14 @@
 class WithoutWait(Homes):
     """A new home starts before the last holder has said what it runs."""
 
-    def _last_holder(self, *, upstream):
-        return super()._last_holder(upstream=upstream) or NOBODY_HELD
+    def _previous_home(self, *, upstream):
+        return super()._previous_home(upstream=upstream) or NOBODY_HELD
 
 
 class WithoutHeldSlots(Homes):
     """Nothing is held for an entry that was lost."""
 
-    def _accounts_for_lost(self, *, holder):
+    def _rules_out_lost_holder(self, *, holder):
         return True
 
 
@@ -90,19 +90,19 @@
         self.apply("a")
 
     def add(self, name, incarnation):
-        book = SlotBook(margin_s=0.0)
+        book = SlotTracker(margin_s=0.0)
         homes = Homes(
             entry_name=name,
             incarnation=incarnation,
             t1_s=0.5,
             reserve_deadline_s=SHORT_S,
             margin_s=0.1,
-            book=book,
+            tracker=book,
         )
         homes.set_upstreams(
             upstreams=(HomedUpstream(self.upstream, "r", self.slots, LONG_S),)
         )
-        table = SlotTable(homes=homes, book=book)
+        table = SlotTable(homes=homes, tracker=book)
         table.set_configuration(configuration=self._configuration())
         self.entries[name] = homes
         self.tables[name] = table
@@ -126,13 +126,15 @@
 
     def report(self, sender, receiver):
         report = self.entries[sender].report_to(peer=receiver, now_s=self.now_s)
-        self.entries[receiver].heard(report=report, now_s=self.now_s)
+        self.entries[receiver].record_report(report=report, now_s=self.now_s)
 
-    def duty(self, name):
-        return self.entries[name].duty(upstream=self.upstream, now_s=self.now_s)
+    def dispatch_rights(self, name):
+        return self.entries[name].dispatch_rights(
+            upstream=self.upstream, now_s=self.now_s
+        )
 
-    def choose(self, *, priority=Priority.INTERACTIVE, left_s=SHORT_S):
-        return self.tables["a"].choose(
+    def acquire(self, *, priority=Priority.INTERACTIVE, left_s=SHORT_S):
+        return self.tables["a"].acquire(
             service="s",
             priority=priority,
             deadline_s=self.now_s + left_s,
@@ -147,7 +149,7 @@
 
     def answer_many(self, *, times, after_s):
         for _ in range(times):
-            self.answer(self.choose(), after_s=after_s)
+            self.answer(self.acquire(), after_s=after_s)
 
     def free(self):
         return self.tables["a"].free_slots(service="s", now_s=self.now_s)
@@ -166,7 +168,7 @@
             t1_s=1.0,
             reserve_deadline_s=1.0,
             margin_s=0.0,
-            book=SlotBook(margin_s=0.0),
+            tracker=SlotTracker(margin_s=0.0),
         )
         homes.set_upstreams(upstreams=(HomedUpstream(name, "r", 1, 1.0),))
         table = EntryTable()
@@ -244,7 +246,7 @@
     bench = Bench()
     bench.answer_many(times=40, after_s=0.1)
     for left_s in (LONG_S, LONG_S, SHORT_S):
-        assert isinstance(bench.choose(left_s=left_s), Admission)
+        assert isinstance(bench.acquire(left_s=left_s), Admission)
     context.bench = bench
 
 
@@ -271,8 +273,8 @@
 
 @then("the second entry counts the first one's requests as taken")
 def counted(context):
-    duty = context.bench.duty("b")
-    assert len(duty.busy_until_s) == SLOTS, duty
+    rights = context.bench.dispatch_rights("b")
+    assert len(rights.busy_until_s) == SLOTS, rights
 
 
 @given("both apply the table and report")
@@ -297,34 +299,38 @@
     bench = context.bench
     bench.now_s += SHORT_S + LONG_S / 2
     bench.report("a", "b")
-    assert len(bench.duty("b").busy_until_s) == SLOTS - 1, bench.duty("b")
+    assert len(bench.dispatch_rights("b").busy_until_s) == SLOTS - 1, (
+        bench.dispatch_rights("b")
+    )
     bench.now_s += LONG_S / 2
-    assert not bench.duty("b").busy_until_s, bench.duty("b")
+    assert not bench.dispatch_rights("b").busy_until_s, bench.dispatch_rights(
+        "b"
+    )
 
 
 @then("the second entry dispatches and the first does not")
 def moved(context):
-    assert context.bench.duty("b").allowed_slots == SLOTS
-    assert context.bench.duty("a").allowed_slots == 0
+    assert context.bench.dispatch_rights("b").allowed_slots == SLOTS
+    assert context.bench.dispatch_rights("a").allowed_slots == 0
 
 
 @then("nothing counts as taken")
 def nothing_taken(context):
-    assert not context.bench.duty("b").busy_until_s
+    assert not context.bench.dispatch_rights("b").busy_until_s
 
 
 @then("it has no successor and the home uses every slot")
 def no_successor(context):
     bench = context.bench
     assert bench.entries["a"].successor_of(upstream=bench.upstream) is None
-    assert bench.duty("a").allowed_slots == SLOTS
+    assert bench.dispatch_rights("a").allowed_slots == SLOTS
 
 
 @when("batch work takes all it may")
 def batch_takes(context):
     result = None
     while not isinstance(result, Refusal):
-        result = context.bench.choose(priority=Priority.BATCH)
+        result = context.bench.acquire(priority=Priority.BATCH)
     context.result = result
 
 
@@ -366,7 +372,7 @@
     bench = context.bench
     if not bench.tables["a"].status(now_s=bench.now_s)[0].in_flight:
         context.began_s = bench.now_s
-        bench.choose(left_s=LONG_S)
+        bench.acquire(left_s=LONG_S)
     bench.now_s = context.began_s + running_s
 
 
@@ -381,7 +387,7 @@
 
 
 def _hear(bench, report):
-    bench.tables["a"].heard_upstream(
+    bench.tables["a"].record_upstream_report(
         upstream=bench.upstream, report=report, now_s=bench.now_s
     )
 
@@ -393,7 +399,7 @@
 
 @then("work is refused since no upstream takes it")
 def no_upstream(context):
-    result = context.bench.choose()
+    result = context.bench.acquire()
     assert isinstance(result, Refusal)
     assert result.kind is ErrorKind.NO_UPSTREAM
 
@@ -402,7 +408,7 @@
 def cancelled(context, how):
     bench = context.bench
     bench.tables["a"].release(
-        admission=bench.choose(),
+        admission=bench.acquire(),
         outcome=Outcome.CANCELLED,
         now_s=bench.now_s,
         connection_closed=how == "closed",
@@ -434,7 +440,7 @@
     for number in range(more):
         priority = (Priority.BATCH, Priority.INTERACTIVE)[number % 2]
         result = _request(context, priority)
-        if isinstance(result, Waiting):
+        if isinstance(result, QueuedRequest):
             context.waiting.append(result)
         else:
             context.refused.append(result)
@@ -442,7 +448,7 @@
 
 def _request(context, priority):
     bench = context.bench
-    return context.queue.request(
+    return context.queue.submit(
         priority=priority,
         deadline_s=bench.now_s + SHORT_S,
         now_s=bench.now_s,
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -8,7 +8,7 @@
 from behave import then
 from behave import when
 
-from almondstair.core import ledger
+from almondstair.core import idempotency
 from features.support.deployment import SERVICE
 from features.support.deployment import Deployment
 from features.support.deployment import Shape
@@ -73,18 +73,20 @@
 
 def _record_of(context, key):
     """Returns the platform's record of a key, None when there is none."""
-    place = ledger.service_key(service=SERVICE, key=key).encode()
+    place = idempotency.claim_store_key(service=SERVICE, key=key).encode()
     request = {"key": base64.b64encode(place).decode()}
     answer = post(context.deployment.platform, "/v3/kv/range", request).json()
     for item in answer.get("kvs", []):
-        return ledger.decode_record(base64.b64decode(item["value"]))
+        return idempotency.decode_record(base64.b64decode(item["value"]))
     return None
 
 
 def _wait_recorded(context, key):
     def is_done():
         record = _record_of(context, key)
-        return record is not None and record.state is ledger.RecordState.DONE
+        return (
+            record is not None and record.state is idempotency.RecordState.DONE
+        )
 
     wait_until(is_done, limit_s=STEP_LIMIT_S, what=f"the outcome of {key}")
 
@@ -112,7 +114,7 @@
 @given("the platform takes {delay_ms:d} ms for a call and loses the next claim")
 def step_slow_and_lost(context, delay_ms):
     context.deployment.faults(
-        delay_ms=delay_ms, lose_calls=1, lose_prefix=ledger.KEY_PREFIX
+        delay_ms=delay_ms, lose_calls=1, lose_prefix=idempotency.KEY_PREFIX
     )
 
 
@@ -122,25 +124,27 @@
 )
 def step_slow_and_lost_answer(context, delay_ms):
     context.deployment.faults(
-        delay_ms=delay_ms, lose_answers=1, lose_prefix=ledger.KEY_PREFIX
+        delay_ms=delay_ms, lose_answers=1, lose_prefix=idempotency.KEY_PREFIX
     )
 
 
 @given("the platform loses the next claim's answer and goes out")
 def step_lost_answer_and_out(context):
     context.deployment.faults(
-        lose_answers=1, down_after_loss=True, lose_prefix=ledger.KEY_PREFIX
+        lose_answers=1, down_after_loss=True, lose_prefix=idempotency.KEY_PREFIX
     )
 
 
 @when("the platform loses the next claim's answer")
 def step_lose_answer(context):
-    context.deployment.faults(lose_answers=1, lose_prefix=ledger.KEY_PREFIX)
+    context.deployment.faults(
+        lose_answers=1, lose_prefix=idempotency.KEY_PREFIX
+    )
 
 
 @when("the platform loses the next claim")
 def step_lose_call(context):
-    context.deployment.faults(lose_calls=1, lose_prefix=ledger.KEY_PREFIX)
+    context.deployment.faults(lose_calls=1, lose_prefix=idempotency.KEY_PREFIX)
 
 
 @when("the platform is out")
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -70,7 +70,7 @@
         told = context.parts.keeper.slots.set_leaving.call_args
         context.marked_at_duty = told.kwargs["names"] if told else ()
 
-    context.parts.homes.heard.side_effect = take
+    context.parts.homes.record_report.side_effect = take
     context.control = Control(parts=context.parts, tick_s=1.0, refresh_s=1.0)
     configuration = mock.Mock(configuration=None)
     context.control.bind(
--- a/features/steps/ledger_steps.py
+++ b/features/steps/ledger_steps.py
@@ -10,7 +10,7 @@
 
 from almondstair import claims as claims_module
 from almondstair import settling
-from almondstair.core import ledger
+from almondstair.core import idempotency
 from almondstair.errors import AlmondstairError
 from almondstair.key_value import base
 from features.support.memory_service import Fault
@@ -26,7 +26,7 @@
 
 
 def fingerprint(body: bytes = b"body") -> bytes:
-    return ledger.request_fingerprint(
+    return idempotency.request_fingerprint(
         method="POST", path="/approve", body_digest=body
     )
 
@@ -54,7 +54,7 @@
     outcome = run(context, claim(context, entry, key, body, left_s))
     context.took_s = time.monotonic() - start_s
     context.outcomes[entry] = outcome
-    if isinstance(outcome, ledger.Claim):
+    if isinstance(outcome, idempotency.Claim):
         context.held[entry] = outcome
 
 
@@ -174,7 +174,9 @@
 
 @when("entry {entry:w} answers all {count:d} claims with {size_bytes:d} bytes")
 def answers_many(context, entry, count, size_bytes):
-    answer = ledger.keep_answer(status=200, headers=[], body=b"x" * size_bytes)
+    answer = idempotency.recorded_response(
+        status=200, headers=[], body=b"x" * size_bytes
+    )
     for one in context.together[:count]:
         run(context, context.claims[entry].record(one, answer))
 
@@ -182,7 +184,7 @@
 @when('the record is moved to the place of the key "{key}"')
 def move_record(context, key):
     (record,) = context.service.records.values()
-    place = ledger.service_key(service=SERVICE, key=key)
+    place = idempotency.claim_store_key(service=SERVICE, key=key)
     context.service.records = {place: record}
 
 
@@ -201,7 +203,7 @@
 
 @when('entry {entry:w} records the answer {status:d} "{body}"')
 def records(context, entry, status, body):
-    answer = ledger.keep_answer(
+    answer = idempotency.recorded_response(
         status=status,
         headers=[("Content-Type", "text/plain"), ("Server", "x")],
         body=body.encode(),
@@ -211,7 +213,9 @@
 
 @when("entry {entry:w} records an answer of {size_bytes:d} bytes")
 def records_large(context, entry, size_bytes):
-    answer = ledger.keep_answer(status=200, headers=[], body=bytes(size_bytes))
+    answer = idempotency.recorded_response(
+        status=200, headers=[], body=bytes(size_bytes)
+    )
     run(context, context.claims[entry].record(context.held[entry], answer))
 
 
@@ -254,8 +258,8 @@
 @then("entry {entry:w} holds the claim")
 def holds(context, entry):
     outcome = context.outcomes[entry]
-    assert isinstance(outcome, ledger.Claim), outcome
-    assert outcome.phase is ledger.ClaimPhase.HELD, outcome.phase
+    assert isinstance(outcome, idempotency.Claim), outcome
+    assert outcome.phase is idempotency.ClaimPhase.HELD, outcome.phase
 
 
 @then("entry {entry:w} is refused with {kind:w} and ran {ran:w}")
@@ -268,7 +272,7 @@
 
 @then('entry {entry:w} gets the answer {status:d} "{body}"')
 def gets_answer(context, entry, status, body):
-    expected = ledger.RecordedAnswer(
+    expected = idempotency.RecordedResponse(
         status, (("Content-Type", "text/plain"),), body.encode()
     )
     assert context.outcomes[entry] == expected, context.outcomes[entry]
@@ -282,21 +286,25 @@
 
 @then("just one of them holds the claim")
 def one_holds(context):
-    held = [one for one in context.together if isinstance(one, ledger.Claim)]
+    held = [
+        one for one in context.together if isinstance(one, idempotency.Claim)
+    ]
     assert len(held) == 1, context.together
 
 
 @then("the others are refused with {kind:w}")
 def others_refused(context, kind):
     for one in context.together:
-        if isinstance(one, ledger.Claim):
+        if isinstance(one, idempotency.Claim):
             continue
         assert one.kind == kind, one
 
 
 @then("all {count:d} claims are held")
 def all_held(context, count):
-    held = [one for one in context.together if isinstance(one, ledger.Claim)]
+    held = [
+        one for one in context.together if isinstance(one, idempotency.Claim)
+    ]
     assert len(held) == count, context.together
 
 
@@ -321,7 +329,9 @@
     outcomes = []
     for number in range(answers + ran):
         outcomes.append(run(context, claim(context, "B", f"key {number}")))
-    kept = [one for one in outcomes if isinstance(one, ledger.RecordedAnswer)]
+    kept = [
+        one for one in outcomes if isinstance(one, idempotency.RecordedResponse)
+    ]
     errors = [one for one in outcomes if isinstance(one, AlmondstairError)]
     assert len(kept) == answers, outcomes
     assert [one.ran for one in errors] == ["yes"] * ran, errors
--- a/features/steps/loan_steps.py
+++ b/features/steps/loan_steps.py
@@ -19,16 +19,18 @@
         cap_bytes_per_s=context.cap,
         now_s=now_s,
     )
-    share.on_epoch(epoch=1, entries=("a", "b"), from_platform=True, now_s=now_s)
+    share.apply_table(
+        epoch=1, entries=("a", "b"), from_platform=True, now_s=now_s
+    )
     for peer in ("a", "b"):
-        share.on_acknowledged(entry=peer, epoch=1, now_s=now_s)
+        share.record_acknowledgement(entry=peer, epoch=1, now_s=now_s)
     return share
 
 
 def _ask(context):
     # A request is made only by an entry that had to wait.
-    context.borrower.take(size_bytes=context.cap, now_s=context.now_s)
-    (request,) = context.borrower.ask(now_s=context.now_s)
+    context.borrower.acquire(size_bytes=context.cap, now_s=context.now_s)
+    (request,) = context.borrower.next_loan_requests(now_s=context.now_s)
     return request
 
 
@@ -75,7 +77,7 @@
 @when("the lender adopts epoch {epoch:d} with {count:d} entries")
 def lender_adopts(context, epoch, count):
     names = tuple("abcdefghij"[:count])
-    context.lender.on_epoch(
+    context.lender.apply_table(
         epoch=epoch, entries=names, from_platform=True, now_s=context.now_s
     )
 
--- a/features/steps/not_run_steps.py
+++ b/features/steps/not_run_steps.py
@@ -186,13 +186,13 @@
 @given("a request that was dispatched and lost")
 def step_dispatched(context):
     context.progress = RequestProgress()
-    assert context.progress.dispatch()
+    assert context.progress.try_dispatch()
 
 
 @when("it is dispatched again and refused")
 def step_refused(context):
-    assert context.progress.dispatch()
-    context.progress.not_run()
+    assert context.progress.try_dispatch()
+    context.progress.record_not_run()
 
 
 @then("it may have run")
--- a/features/steps/retries_steps.py
+++ b/features/steps/retries_steps.py
@@ -24,12 +24,12 @@
     draw = random.Random(1)
     for _ in range(length_s * rate):
         context.now_s += 1.0 / rate
-        context.budget.first_try(now_s=context.now_s)
+        context.budget.record_first_attempt(now_s=context.now_s)
         while draw.random() < refused_part:
-            if not context.budget.may_retry(now_s=context.now_s):
+            if not context.budget.try_retry(now_s=context.now_s):
                 break
     after = context.budget.counts
-    context.first_tries = after.first_tries - before.first_tries
+    context.first_tries = after.first_attempts - before.first_attempts
     context.retries = after.retries - before.retries
 
 
@@ -50,13 +50,13 @@
 
 @when("one first try comes and is refused")
 def one_refused(context):
-    context.budget.first_try(now_s=context.now_s)
+    context.budget.record_first_attempt(now_s=context.now_s)
 
 
 @then("it may be retried once, and not twice")
 def once_not_twice(context):
-    assert context.budget.may_retry(now_s=context.now_s)
-    assert not context.budget.may_retry(now_s=context.now_s)
+    assert context.budget.try_retry(now_s=context.now_s)
+    assert not context.budget.try_retry(now_s=context.now_s)
 
 
 @then("retries are at most {fraction:g} of first tries")
@@ -81,7 +81,7 @@
     times_ms = []
     for draw in draws():
         times_ms.append(
-            retry_after_ms(base_ms=base_ms, draw=draw, pressure=pressure)
+            retry_after_ms(base_ms=base_ms, draw=draw, load_ratio=pressure)
         )
     step_ms = (high_ms - low_ms) / DRAWS
     assert min(times_ms) == low_ms, min(times_ms)
--- a/features/steps/standing_still_steps.py
+++ b/features/steps/standing_still_steps.py
@@ -41,8 +41,8 @@
 
 def _answer(bench, run_s, still_s, *, late_s=0.0):
     """Lets a request run while the loop turns, and stand still at its end."""
-    standstill = bench.tables["a"].standstill
-    admission = bench.choose()
+    standstill = bench.tables["a"].loop_stall
+    admission = bench.acquire()
     standstill.record_tick(now_s=bench.now_s)
     end_s = bench.now_s + run_s
     while bench.now_s + TICK_INTERVAL_S + late_s < end_s:
--- a/features/support/homes_run.py
+++ b/features/support/homes_run.py
@@ -24,7 +24,7 @@
 from almondstair.core.model import RequestClass
 from almondstair.core.model import Service
 from almondstair.core.model import Upstream
-from almondstair.core.slot_book import SlotBook
+from almondstair.core.slot_tracker import SlotTracker
 from almondstair.core.slow_start import SlowStartLimits
 
 STEP_S = 0.05
@@ -108,20 +108,20 @@
         self.table_due_s = 0.0
         self.planned: list[Planned] = []
         self.begun: list[Begun] = []
-        self.book = SlotBook(margin_s=MARGIN_S)
+        self.book = SlotTracker(margin_s=MARGIN_S)
         self.homes = homes_class(
             entry_name=name,
             incarnation=self.incarnation,
             t1_s=T1_S,
             reserve_deadline_s=RESERVE_DEADLINE_S,
             margin_s=MARGIN_S,
-            book=self.book,
+            tracker=self.book,
         )
         self.slots = SlotTable(
             homes=self.homes,
-            book=self.book,
+            tracker=self.book,
             limits=QUICK_RAMP,
-            kept_fraction=NOTHING_KEPT,
+            held_back_fraction=NOTHING_KEPT,
         )
         settings = configuration()
         self.homes.set_upstreams(
@@ -286,7 +286,7 @@
         if not row.leaving or entry.planned:
             return False
         clock_s = entry.clock_s(self.now_s)
-        if not entry.homes.idle(now_s=clock_s):
+        if not entry.homes.has_released_all(now_s=clock_s):
             return False
         self._table = self._table.without(name=entry.name, released=True)
         del self._entries[entry.name]
@@ -305,7 +305,9 @@
                 # It waits in the socket and is read on waking.
                 waiting.append((due_s, name, report))
                 continue
-            entry.homes.heard(report=report, now_s=entry.clock_s(self.now_s))
+            entry.homes.record_report(
+                report=report, now_s=entry.clock_s(self.now_s)
+            )
         self._messages = waiting
 
     def _send(self, entry: Entry, clock_s: float) -> None:
@@ -342,7 +344,7 @@
     def _admit(self, entry: Entry, clock_s: float) -> None:
         limit_s = self.random.choice((RESERVE_DEADLINE_S, LONG_DEADLINE_S))
         deadline_s = clock_s + limit_s
-        admission = entry.slots.choose(
+        admission = entry.slots.acquire(
             service="s",
             priority=Priority.INTERACTIVE,
             deadline_s=deadline_s,
@@ -354,7 +356,7 @@
     def _write_planned(self, entry: Entry, clock_s: float) -> None:
         """Writes what the last step admitted, maybe after a freeze."""
         for planned in entry.planned:
-            if not entry.slots.still_mine(
+            if not entry.slots.may_still_run(
                 admission=planned.admission, now_s=clock_s
             ):
                 entry.slots.release(
--- a/features/support/simulated_zone.py
+++ b/features/support/simulated_zone.py
@@ -208,7 +208,7 @@
         self._move(process)
         if not process.timers_late:
             clock_s = process.clock_s(self.now_s)
-            for request in process.share.ask(now_s=clock_s):
+            for request in process.share.next_loan_requests(now_s=clock_s):
                 self._send(request.lender, request)
         delay_s = self._random.uniform(0.2, 1.8) * ACT_INTERVAL_S
         self._after(delay_s, lambda: self._act(process))
@@ -221,7 +221,7 @@
         clock_s = process.clock_s(self.now_s)
         while process.backlog_bytes >= 1.0:
             wanted = min(PIECE_BYTES, int(process.backlog_bytes))
-            part = process.share.take_part(size_bytes=wanted, now_s=clock_s)
+            part = process.share.acquire_part(size_bytes=wanted, now_s=clock_s)
             if part.size_bytes == 0:
                 return
             process.backlog_bytes -= part.size_bytes
@@ -275,14 +275,14 @@
         clock_s = process.clock_s(self.now_s)
         share = process.share
         if isinstance(message, Table):
-            share.on_epoch(
+            share.apply_table(
                 epoch=message.epoch,
                 entries=message.entries,
                 from_platform=message.from_platform,
                 now_s=clock_s,
             )
         elif isinstance(message, Acknowledgement):
-            share.on_acknowledged(
+            share.record_acknowledgement(
                 entry=message.entry, epoch=message.epoch, now_s=clock_s
             )
         elif isinstance(message, LoanRequest):
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -40,7 +40,7 @@
 
 
 class Mark(enum.IntEnum):
-    """State of a record; `almondstair.core.ledger.RecordState`."""
+    """State of a record; `almondstair.core.idempotency.RecordState`."""
 
     CLAIMED = 0
     DONE = 1
@@ -260,7 +260,7 @@
         yield f"read back {number}", self._judge(state, number)
 
     def _judge(self, state: State, number: int) -> State:
-        """`ledger.judge` and what follows from it."""
+        """`idempotency.judge` and what follows from it."""
         attempt = state.attempts[number]
         record = state.record
         if record is None:
--- a/spec/homes.py
+++ b/spec/homes.py
@@ -1,4 +1,4 @@
-"""Specification of how the duty of one upstream moves between entries.
+"""Specification of how the home role of one upstream moves between entries.
 
 The upstream has a single slot. Up to three entries of one region come and go.
 The later one in a table ranks higher, so each join and each loss moves the
@@ -58,7 +58,7 @@
       alive: whether it runs.
       incarnation: which start it is.
       epoch: the table that it has applied.
-      held_epoch: last epoch in which it held the duty, 0 for never.
+      held_epoch: last epoch in which it held the home role, 0 for never.
       held_back: time until work of others is surely over.
       source: process whose work `held_back` is for; NOBODY when it is held
         for one that was lost.
@@ -137,7 +137,7 @@
 
 
 def is_holder(state: State, number: int, guards: Guards) -> bool:
-    """Says whether a process believes that it holds the duty."""
+    """Says whether a process believes that it holds the home role."""
     node = state.nodes[number]
     if not is_member(state, number, guards) or node.epoch == 0:
         return False
@@ -265,7 +265,7 @@
 
 
 def free_ended(state: State, number: int, guards: Guards) -> Iterator[Step]:
-    """`Homes._free_ended_work`: the former holder says that less runs."""
+    """`Homes._free_finished_work`: the former holder says that less runs."""
     node = state.nodes[number]
     if not is_holder(state, number, guards) or node.source == NOBODY:
         return
@@ -328,7 +328,7 @@
 
 
 def dispatch(state: State, number: int, guards: Guards) -> Iterator[Step]:
-    """`SlotTable.admit`: a request with the longest deadline."""
+    """`SlotTable.acquire_at`: a request with the longest deadline."""
     node = state.nodes[number]
     if not is_holder(state, number, guards):
         return
@@ -401,7 +401,7 @@
 
 
 def _is_idle(state: State, number: int) -> bool:
-    """`Homes.idle`: a leaving entry has nothing left to hand over."""
+    """`Homes.has_released_all`: a leaving entry has nothing to hand over."""
     node = state.nodes[number]
     row = state.tables[node.epoch].rows[number]
     if row is None or not row.leaving or not node.alive:
@@ -454,7 +454,7 @@
 
 
 def running_pair(*, deaths: int, changes: int) -> State:
-    """The second entry is home, the first has no duty, a third may join."""
+    """The second entry is home, the first has no role, a third may join."""
     rows = (Row(0), Row(0), None)
     tables = (Table((None,) * 3, 0), Table(rows, 0))
     home = Node(epoch=1, held_epoch=1)
--- a/spec/reserve.py
+++ b/spec/reserve.py
@@ -47,7 +47,7 @@
 
     Attributes:
       epoch: 1 or 2.
-      held_epoch: last epoch in which it held the duty.
+      held_epoch: last epoch in which it held the home role.
       running: time left of each request that it dispatched as home.
       held_back: time left of each slot that another's work takes.
       reserve: time left of its request in the reserve slot, as successor.
@@ -134,7 +134,7 @@
         self._guards = guards
 
     def initial(self) -> State:
-        """Everyone has settled under epoch 1 and its home holds the duty."""
+        """Everyone has settled under epoch 1 and its home holds its role."""
         nodes = []
         for number in range(NODES):
             node = Node(settled=True)
@@ -242,7 +242,7 @@
         yield f"echo {number}", state._replace(echoes=frozenset(echoes))
 
     def hear_echo(self, state: State, number: int) -> Iterator[Step]:
-        """`HomePeer.with_echo` and `Homes._reserve_is_mine`."""
+        """`HomePeer.with_echo` and `Homes._may_use_reserve`."""
         node = state.nodes[number]
         rank = self._rank(node)
         for echo in state.echoes:
@@ -285,7 +285,7 @@
         yield f"take over {number}", _with_node(state, number, changed)
 
     def dispatch(self, state: State, number: int) -> Iterator[Step]:
-        """`SlotTable.admit` at the home, with short or long work."""
+        """`SlotTable.acquire_at` at the home, with short or long work."""
         node = state.nodes[number]
         if self._rank(node).home != number or node.held_epoch != node.epoch:
             return
@@ -312,7 +312,7 @@
             )
 
     def dispatch_in_reserve(self, state: State, number: int) -> Iterator[Step]:
-        """`SlotTable.admit` at the successor of a silent home."""
+        """`SlotTable.acquire_at` at the successor of a silent home."""
         node = state.nodes[number]
         if self._rank(node).successor != number or node.reserve:
             return
@@ -343,7 +343,7 @@
         return state._replace(nodes=tuple(nodes), echoes=frozenset(echoes))
 
     def _has_settled(self, state: State, sender: int) -> bool:
-        """`Homes._settled_itself`; once true it stays true.
+        """`Homes._is_settled`; once true it stays true.
 
         A report that says so can be received at any later time, so the report
         itself need not be part of the state.
