--- a/almondstair/body.py
+++ b/almondstair/body.py
@@ -20,7 +20,7 @@
 
     Attributes:
       size_bytes: bytes received so far.
-      whole: whether the end of the body was received.
+      complete: whether the end of the body was received.
       streaming: whether the body is streamed.
       consumed: whether any part of a streamed body was read.
     """
@@ -33,7 +33,7 @@
         """
         self._limit_bytes = limit_bytes
         self.size_bytes = 0
-        self.whole = False
+        self.complete = False
         self.streaming = False
         self.consumed = False
         self._aborted = False
@@ -46,7 +46,7 @@
     @property
     def replayable(self) -> bool:
         """Whether the complete body is buffered and can be sent again."""
-        return self.whole and not self.streaming
+        return self.complete and not self.streaming
 
     def digest(self) -> str:
         """Returns a digest of the bytes received before streaming began."""
@@ -72,13 +72,13 @@
         self._writable = asyncio.get_running_loop().create_future()
         return self._writable
 
-    def overflows(self) -> bool:
+    def exceeds_buffer(self) -> bool:
         """Returns whether the body is larger than the buffer."""
         return self._buffered_bytes > self._limit_bytes
 
     def end(self) -> None:
         """Marks the body complete."""
-        self.whole = True
+        self.complete = True
         self._wake_reader()
 
     def abort(self) -> None:
@@ -87,7 +87,7 @@
         self._wake_reader()
         self._wake_writer()
 
-    def replay(self) -> bytes:
+    def content(self) -> bytes:
         """Returns a replayable body."""
         return b"".join(self._chunks)
 
@@ -100,7 +100,7 @@
         while not self._chunks:
             if self._aborted:
                 raise BodyAbortedError
-            if self.whole:
+            if self.complete:
                 return b""
             self._readable = asyncio.get_running_loop().create_future()
             await self._readable
--- a/almondstair/serving.py
+++ b/almondstair/call_router.py
@@ -26,14 +26,14 @@
 from almondstair.errors import ErrorKind
 from almondstair.errors import Ran
 from almondstair.http_client import Pace
-from almondstair.http_client import no_pace
+from almondstair.http_client import unlimited_pace
+from almondstair.link_pacers import LinkPacers
 from almondstair.metrics import Metric
 from almondstair.metrics import Metrics
-from almondstair.pacing import LinkPacers
-from almondstair.running import SERVER_ERROR
-from almondstair.running import Runner
-from almondstair.running import Work
-from almondstair.running import unknown_if_run
+from almondstair.runner import MIN_SERVER_ERROR_STATUS
+from almondstair.runner import Runner
+from almondstair.runner import RunnerJob
+from almondstair.runner import mark_outcome_unknown
 from almondstair.strike_words import StrikeWords
 from almondstair.tracing import Tracing
 
@@ -78,7 +78,7 @@
 _MIN_TIMEOUT_FRACTION = 0.5
 
 
-class Parts(NamedTuple):
+class CallRouterParts(NamedTuple):
     """Holds the components that call handling depends on.
 
     Attributes:
@@ -92,7 +92,7 @@
       sender: forwards calls to other entries.
       tracing: creates spans.
       metrics: counters and timings.
-      standstill: time for which this process was stalled.
+      loop_stall: time for which this process was stalled.
       strike_words: other entries' reports of requests that crash upstreams.
     """
 
@@ -106,15 +106,15 @@
     sender: Sender
     tracing: Tracing
     metrics: Metrics
-    standstill: LoopStall
-    strike_words: StrikeWords
+    loop_stall: LoopStall
+    strike_exchange: StrikeWords
 
 
 class _AttemptStart(NamedTuple):
     """Holds an attempt's start time and the stall time up to it."""
 
     started_s: float
-    stalled_s: float
+    stall_s: float
 
 
 class _Hop(NamedTuple):
@@ -124,10 +124,10 @@
     row: EntryRow
 
 
-class Serving:
+class CallRouter:
     """Routes the calls of one entry, with retries."""
 
-    def __init__(self, *, parts: Parts) -> None:
+    def __init__(self, *, parts: CallRouterParts) -> None:
         """Creates a router without a configuration."""
         self._parts = parts
         self._budgets: dict[str, RetryBudget] = {}
@@ -177,13 +177,13 @@
             error = raised
         if error is None:
             return None
-        error = unknown_if_run(error, call=call)
+        error = mark_outcome_unknown(error, call=call)
         # Marked as answered before the response is written, so that nothing
         # dispatches the request any more.
         call.progress.try_answer()
         error = await self._replay_known_outcome(call, error)
         if error is not None:
-            call.answer.problem(error)
+            call.response.send_problem(error)
         return error
 
     async def _replay_known_outcome(
@@ -205,7 +205,7 @@
             return error
         try:
             async with asyncio.timeout_at(call.head.deadline_s):
-                if await self._parts.runner.answer_repeat(call):
+                if await self._parts.runner.replay_recorded_response(call):
                     return None
         except TimeoutError:
             return error
@@ -220,15 +220,15 @@
             body_digest=call.body.digest().encode(),
         )
         verdict = self._verdict(fingerprint)
-        if call.alone and verdict is DispatchVerdict.CLEAR:
+        if call.isolated and verdict is DispatchVerdict.CLEAR:
             verdict = DispatchVerdict.ISOLATED
         if call.from_entry:
-            job = Work(call, fingerprint, verdict, no_pace)
+            job = RunnerJob(call, fingerprint, verdict, unlimited_pace)
             return await self._parts.runner.run(job)
         return await self._route_with_retries(call, fingerprint, verdict)
 
     def _verdict(self, fingerprint: int) -> DispatchVerdict:
-        self._parts.strike_words.read_waiting()
+        self._parts.strike_exchange.read_waiting()
         now_s = time.monotonic()
         quarantine = self._parts.quarantine
         verdict = quarantine.verdict(fingerprint=fingerprint, now_s=now_s)
@@ -264,13 +264,13 @@
             if not self._may_retry(call, error, budget):
                 break
             self._parts.metrics.count(Metric.RETRIES)
-            call.answer.reset()
+            call.response.reset()
             verdict = self._verdict(fingerprint)
             if error.kind is ErrorKind.UPSTREAM_LOST:
                 # The report of the strike by the other entry may not have
                 # arrived yet. An ordinary retry could crash an upstream that
                 # runs other requests, so the retry runs isolated.
-                call = call._replace(alone=True)
+                call = call._replace(isolated=True)
                 await asyncio.sleep(STRIKE_PROPAGATION_S)
                 verdict = self._verdict(fingerprint)
                 if verdict is DispatchVerdict.CLEAR:
@@ -342,7 +342,7 @@
         start = self._attempt_start()
         priority = call.head.request_class.priority
         pacers = self._parts.pacers
-        pacers.check(
+        pacers.check_capacity(
             region=hop.region,
             priority=priority,
             body_bytes=call.body_bytes,
@@ -350,14 +350,14 @@
             now_s=start.started_s,
         )
         kind = f"{service}/{call.head.request_class.name}"
-        transfer = pacers.transfer(
+        transfer = pacers.make_transfer(
             region=hop.region,
             priority=priority,
             deadline_s=call.head.deadline_s,
             body_bytes=call.body_bytes,
-            kind=kind,
+            response_kind=kind,
         )
-        call.answer.pace = transfer.answer
+        call.response.pace = transfer.pace_response
         self._parts.hops.record_sent(entry=hop.row.name, service=service)
         self._parts.steering.regions.record_sent(
             region=hop.region, service=service
@@ -366,15 +366,19 @@
             kind=ErrorKind.UPSTREAM_TIMEOUT
         )
         try:
-            await transfer.start()
+            await transfer.reserve_response()
             if hop.row.name == self._parts.own.name:
-                job = Work(call, fingerprint, verdict, transfer.request)
+                job = RunnerJob(
+                    call, fingerprint, verdict, transfer.pace_request
+                )
                 error = await self._run_locally(job)
             else:
                 self._parts.metrics.count(Metric.FORWARDS, hop.region)
-                error = await self._forward(call, hop, transfer.request)
+                error = await self._forward(call, hop, transfer.pace_request)
             if error is None:
-                pacers.note_answer(kind=kind, size_bytes=transfer.answer_bytes)
+                pacers.record_response_size(
+                    response_kind=kind, size_bytes=transfer.response_bytes
+                )
         finally:
             transfer.end()
             self._parts.hops.record_finished(
@@ -385,13 +389,13 @@
 
     def _attempt_start(self) -> _AttemptStart:
         return _AttemptStart(
-            started_s=time.monotonic(), stalled_s=self._stalled_s()
+            started_s=time.monotonic(), stall_s=self._stall_s()
         )
 
-    def _stalled_s(self) -> float:
-        return self._parts.standstill.total_s(now_s=time.monotonic())
+    def _stall_s(self) -> float:
+        return self._parts.loop_stall.total_s(now_s=time.monotonic())
 
-    async def _run_locally(self, job: Work) -> AlmondstairError | None:
+    async def _run_locally(self, job: RunnerJob) -> AlmondstairError | None:
         try:
             return await self._parts.runner.run(job)
         except AlmondstairError as error:
@@ -400,7 +404,7 @@
     async def _forward(
         self, call: Call, hop: _Hop, pace: Pace
     ) -> AlmondstairError | None:
-        attempt = await self._parts.sender.to_entry(
+        attempt = await self._parts.sender.forward_to_entry(
             call=call,
             entry=hop.row,
             pace=pace,
@@ -409,7 +413,7 @@
         if attempt.error is not None:
             return attempt.error
         if call.progress.try_answer():
-            await call.answer.complete()
+            await call.response.complete()
         return None
 
     def _report_to_steering(
@@ -424,7 +428,7 @@
         service = call.head.service
         request_class = call.head.request_class
         regions = self._parts.steering.regions
-        if error is None and call.answer.status >= SERVER_ERROR:
+        if error is None and call.response.status >= MIN_SERVER_ERROR_STATUS:
             # The caller gets this response, but the region counts as failed: a
             # region that fails fast would otherwise look the least loaded.
             regions.record_failure(
@@ -439,7 +443,7 @@
                 request_class=request_class.name,
                 latency_ms=duration_ms,
                 now_s=now_s,
-                stall_ms=(self._stalled_s() - start.stalled_s) * 1000,
+                stall_ms=(self._stall_s() - start.stall_s) * 1000,
             )
             return
         if error.kind is ErrorKind.NO_SLOT:
@@ -474,7 +478,7 @@
         refused, and retries without a budget would saturate the system with
         refusals.
         """
-        if not call.answer.untouched or call.answer.caller_gone:
+        if not call.response.nothing_sent or call.response.caller_disconnected:
             return False
         if not call.body.replayable and call.body.consumed:
             return False
--- a/almondstair/calls.py
+++ b/almondstair/calls.py
@@ -5,12 +5,12 @@
 
 from tornado import httputil
 
-from almondstair.answers import ConnectionAnswer
 from almondstair.body import RequestBody
 from almondstair.core.model import Configuration
 from almondstair.core.requests import RequestHead
 from almondstair.core.requests import RequestProgress
 from almondstair.lookups import LookupBody
+from almondstair.responses import ConnectionResponse
 
 
 class Call(NamedTuple):
@@ -20,25 +20,25 @@
       head: service, class, method, path, key and deadline.
       headers: the end-to-end headers.
       body: the body, possibly still being received.
-      answer: receives the response.
+      response: receives the response.
       progress: whether the request may still be dispatched.
       traceparent: W3C trace header, or empty.
       caller_zone: availability zone of the entry that the caller connected to.
       from_entry: whether another entry forwarded the request.
       body_bytes: Content-Length of the body, 0 if it is not known.
-      alone: whether the request must run on an upstream without other work.
+      isolated: whether the request must run on an upstream without other work.
     """
 
     head: RequestHead
     headers: httputil.HTTPHeaders
     body: RequestBody
-    answer: ConnectionAnswer
+    response: ConnectionResponse
     progress: RequestProgress
     traceparent: str
     caller_zone: str
     from_entry: bool
     body_bytes: int = 0
-    alone: bool = False
+    isolated: bool = False
 
 
 class CallHandler(abc.ABC):
@@ -61,9 +61,9 @@
         """
 
     @abc.abstractmethod
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Returns whether connections are closed after their response."""
 
     @abc.abstractmethod
-    def refusing(self) -> bool:
+    def is_refusing(self) -> bool:
         """Returns whether new requests are refused."""
--- a/almondstair/claims.py
+++ b/almondstair/claims.py
@@ -17,7 +17,7 @@
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 from almondstair.key_value import base
-from almondstair.settling import Settling
+from almondstair.outcome_writer import OutcomeWriter
 
 LEASE_ROTATION_S = 3600.0
 MAX_OBSERVED_CLAIMS = 10_000
@@ -28,24 +28,24 @@
 NONCE_BYTES = 16
 
 
-class ClaimCounts(NamedTuple):
+class ClaimCounters(NamedTuple):
     """Holds counters for metrics.
 
     Attributes:
       writes: conditional writes of claims and outcomes.
       calls: calls to the service that carried these writes.
-      unsettled: outcomes that are not written to the service yet.
+      pending: outcomes that are not written to the service yet.
       dropped: outcomes dropped because the memory limit was reached; a repeat
         of their key gets `outcome_unknown`.
-      overtaken: outcomes whose key holds another claim; expected for
+      superseded: outcomes whose key holds another claim; expected for
         released claims.
     """
 
     writes: int
     calls: int
-    unsettled: int
+    pending: int
     dropped: int
-    overtaken: int
+    superseded: int
 
 
 class Claims:
@@ -61,8 +61,8 @@
         retention_s: float,
         claim_timeout_s: float = 1.0,
         max_batch: int = base.MAX_BATCH,
-        max_under_way: int = 2,
-        settle_delay_s: float = 0.1,
+        max_in_flight: int = 2,
+        batch_delay_s: float = 0.1,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
         """Creates an empty set of claims.
@@ -76,8 +76,8 @@
           retention_s: minimum time that a key is kept, in seconds.
           claim_timeout_s: timeout of one claim, in seconds.
           max_batch: maximum number of writes in one call to the service.
-          max_under_way: maximum number of such calls in flight.
-          settle_delay_s: how long outcomes are collected into one call, in
+          max_in_flight: maximum number of such calls in flight.
+          batch_delay_s: how long outcomes are collected into one call, in
             seconds; 0 disables batching.
           now: monotonic clock of the event loop, in seconds.
         """
@@ -88,7 +88,7 @@
         self._claim_timeout_s = claim_timeout_s
         self._now = now
         self._batcher = batching.WriteBatcher(
-            service=service, max_batch=max_batch, max_under_way=max_under_way
+            service=service, max_batch=max_batch, max_under_way=max_in_flight
         )
         self._lease = batching.SharedLease(
             service=service,
@@ -99,19 +99,19 @@
         self._gate = CircuitBreaker()
         self._open_claims: dict[str, idempotency.ClaimRecord] = {}
         self._first_seen_at_s: dict[bytes, float] = {}
-        self._outcomes = Settling(
-            write=self._write, delay_s=settle_delay_s, now=now
+        self._outcomes = OutcomeWriter(
+            write=self._write, delay_s=batch_delay_s, now=now
         )
 
     @property
-    def counts(self) -> ClaimCounts:
+    def counters(self) -> ClaimCounters:
         """Counters since the start."""
-        return ClaimCounts(
+        return ClaimCounters(
             writes=self._batcher.counts.writes,
             calls=self._batcher.counts.calls,
-            unsettled=self._outcomes.unsettled,
+            pending=self._outcomes.pending_count,
             dropped=self._outcomes.dropped,
-            overtaken=self._outcomes.overtaken,
+            superseded=self._outcomes.superseded,
         )
 
     async def claim(
@@ -127,7 +127,7 @@
 
         Returns:
           The claim, which allows the dispatch of the request and must be ended
-          by `record`, `record_unknown` or `release`;
+          by `record_response`, `record_unknown_outcome` or `release`;
           or the recorded response of the first request with this key.
 
         Raises:
@@ -180,7 +180,7 @@
             state=idempotency.RecordState.CLAIMED,
         )
 
-    async def look(
+    async def look_up(
         self, *, service: str, key: str, fingerprint: bytes, deadline_s: float
     ) -> idempotency.RecordedResponse | None:
         """Looks up a key without claiming it.
@@ -225,7 +225,7 @@
             return None
         return _response_or_raise(verdict, record)
 
-    async def record(
+    async def record_response(
         self, claim: idempotency.Claim, answer: idempotency.RecordedResponse
     ) -> None:
         """Ends a claim whose request has a complete response.
@@ -237,7 +237,7 @@
         claim.close(idempotency.ClaimPhase.DONE)
         self._write_outcome(claim, idempotency.RecordState.DONE, answer)
 
-    async def record_unknown(self, claim: idempotency.Claim) -> None:
+    async def record_unknown_outcome(self, claim: idempotency.Claim) -> None:
         """Ends a claim whose request may have run without full response."""
         claim.close(idempotency.ClaimPhase.UNKNOWN)
         self._write_outcome(claim, idempotency.RecordState.UNKNOWN, None)
@@ -258,7 +258,9 @@
         started_s = self._now()
         until_s = min(claim.deadline_s, started_s + MAX_RELEASE_WAIT_S)
         nonce = claim.record.nonce
-        if not await self._outcomes.until_tried(nonce=nonce, until_s=until_s):
+        if not await self._outcomes.wait_for_attempt(
+            nonce=nonce, until_s=until_s
+        ):
             waited_s = round(self._now() - started_s, 3)
             log.event(log.Event.RELEASE_LATE, waited_s=waited_s)
 
@@ -279,7 +281,7 @@
     ) -> idempotency.RecordedResponse | None:
         """Returns a repeat's response from memory, None if not known here."""
         local = self._open_claims.get(store_key)
-        local = local or self._outcomes.outcome(place=store_key)
+        local = local or self._outcomes.pending_outcome(store_key=store_key)
         if local is None:
             return None
         observation = idempotency.ClaimContext(
@@ -389,8 +391,8 @@
             if not claiming.may_be_written:
                 return
             mod_revision = claiming.base_revision
-        self._outcomes.settle(
-            place=store_key,
+        self._outcomes.enqueue(
+            store_key=store_key,
             record=claiming.wanted._replace(
                 state=idempotency.RecordState.RELEASED
             ),
@@ -420,8 +422,8 @@
     ) -> None:
         self._open_claims.pop(claim.store_key, None)
         record = claim.record._replace(state=state, response=answer)
-        self._outcomes.settle(
-            place=claim.store_key,
+        self._outcomes.enqueue(
+            store_key=claim.store_key,
             record=record,
             mod_revision=claim.mod_revision,
         )
--- a/almondstair/control.py
+++ b/almondstair/control.py
@@ -6,7 +6,6 @@
 from typing import Any, NamedTuple
 
 from almondstair import log
-from almondstair.admitting import SlotKeeper
 from almondstair.configuration_keeper import ConfigurationKeeper
 from almondstair.core.entry_selection import EntrySelector
 from almondstair.core.entry_table import EntryRow
@@ -27,12 +26,13 @@
 from almondstair.document_exchange import DocumentExchange
 from almondstair.errors import AlmondstairError
 from almondstair.heartbeats import Heartbeats
+from almondstair.link_pacers import LinkPacers
 from almondstair.link_shares import LinkShares
 from almondstair.messages import Heartbeat
 from almondstair.messages import LinkEpoch
 from almondstair.metrics import Metrics
-from almondstair.pacing import LinkPacers
-from almondstair.probing import Prober
+from almondstair.prober import Prober
+from almondstair.slot_allocator import SlotAllocator
 from almondstair.strike_words import StrikeWord
 from almondstair.table_keeper import TableKeeper
 from almondstair.zone_loads import ZoneLoads
@@ -44,7 +44,7 @@
     own: EntryRow
     membership: Membership
     homes: Homes
-    keeper: SlotKeeper
+    keeper: SlotAllocator
     steering: Steering
     hops: EntrySelector
     quarantine: Quarantine
@@ -138,12 +138,12 @@
         self._update_silent_entries(now_s)
         self._update_lost_regions(now_s)
         self._update_link_headroom(now_s)
-        self._parts.shares.ask()
+        self._parts.shares.request_loans()
         self._parts.quarantine.drop_expired(now_s=now_s)
-        self._parts.keeper.advance_all()
+        self._parts.keeper.process_all_queues()
         configuration = self._configuration.configuration
         if configuration is not None:
-            self._parts.prober.start_due(configuration=configuration)
+            self._parts.prober.start_due_probes(configuration=configuration)
         self.set_leaving()
 
     async def _refresh(self) -> None:
@@ -163,9 +163,9 @@
         elif isinstance(message, LinkEpoch):
             self._on_link_epoch(name, incarnation, message)
         elif isinstance(message, LoanRequest):
-            self._parts.shares.lend(message)
+            self._parts.shares.handle_loan_request(message)
         elif isinstance(message, Loan):
-            self._parts.shares.accept(message)
+            self._parts.shares.accept_loan(message)
         else:
             self._document_exchange.receive(message)
 
@@ -260,7 +260,7 @@
         if report.incarnation != incarnation_text(incarnation):
             return
         self._parts.homes.record_report(report=report, now_s=time.monotonic())
-        self._parts.keeper.advance_all()
+        self._parts.keeper.process_all_queues()
 
     def _on_link_epoch(
         self, name: str, incarnation: int, message: LinkEpoch
@@ -270,7 +270,9 @@
             # Sent by an earlier process of that VM; the current one has not
             # acknowledged anything.
             return
-        self._parts.shares.heard_epoch(entry=name, epoch=message.epoch)
+        self._parts.shares.record_acknowledged_epoch(
+            entry=name, epoch=message.epoch
+        )
 
     # Messages to peers.
 
@@ -343,7 +345,7 @@
             since_s=self._table.list_described_s,
         )
         self._heartbeats.refresh_table(partners=self._partners(table))
-        self._parts.keeper.advance_all()
+        self._parts.keeper.process_all_queues()
         self._log_homes()
 
     def _partners(self, table: EntryTable) -> list[str]:
--- a/almondstair/dispatch.py
+++ b/almondstair/dispatch.py
@@ -20,9 +20,9 @@
 from almondstair.errors import Ran
 from almondstair.http_client import RECEIVE_BUFFER_BYTES
 from almondstair.http_client import Exchange
+from almondstair.http_client import ExchangeOutcome
 from almondstair.http_client import HttpClient
 from almondstair.http_client import Pace
-from almondstair.http_client import Sent
 from almondstair.http_messages import ALONE_HEADER
 from almondstair.http_messages import ANSWER_HEADER
 from almondstair.http_messages import CALLER_ZONE_HEADER
@@ -30,7 +30,7 @@
 from almondstair.http_messages import KEY_HEADER
 from almondstair.http_messages import TRACE_HEADER
 from almondstair.http_messages import ResponseHead
-from almondstair.http_messages import read_entry_answer
+from almondstair.http_messages import parse_entry_error
 from almondstair.http_messages import remaining_ms
 from almondstair.tracing import Tracing
 
@@ -44,14 +44,14 @@
       exchange: result of the HTTP exchange.
       error: error to respond with, None if the response is complete.
       started_s: monotonic time of the start, in seconds.
-      still_s: time during the attempt for which this process was stalled, in
+      stall_s: time during the attempt for which this process was stalled, in
         seconds.
     """
 
     exchange: Exchange
     error: AlmondstairError | None
     started_s: float = 0.0
-    still_s: float = 0.0
+    stall_s: float = 0.0
 
 
 class Sender:
@@ -61,21 +61,21 @@
         """Creates the HTTP clients for upstreams and for entries."""
         self._tracing = tracing
         self._own_zone = own_zone
-        self.upstreams = HttpClient(
+        self.upstream_client = HttpClient(
             connect_timeout_s=CONNECT_TIMEOUT_S,
             receive_buffer_bytes=RECEIVE_BUFFER_BYTES,
         )
-        self.entries = HttpClient(
+        self.entry_client = HttpClient(
             connect_timeout_s=CONNECT_TIMEOUT_S,
             receive_buffer_bytes=RECEIVE_BUFFER_BYTES,
         )
 
     def close(self) -> None:
         """Closes idle connections."""
-        self.upstreams.close()
-        self.entries.close()
+        self.upstream_client.close()
+        self.entry_client.close()
 
-    async def to_upstream(
+    async def send_to_upstream(
         self,
         *,
         call: Call,
@@ -101,7 +101,7 @@
         ) as span:
             span.set_attribute("upstream", name)
             exchange = await self._exchange(
-                client=self.upstreams,
+                client=self.upstream_client,
                 address=upstream.address,
                 call=call,
                 path=call.head.path,
@@ -111,10 +111,10 @@
                 may_write=may_write,
                 pace=pace,
             )
-            span.set_attribute("sent", exchange.sent.value)
+            span.set_attribute("sent", exchange.outcome.value)
         return Attempt(exchange, _upstream_error(exchange, name))
 
-    async def to_entry(
+    async def forward_to_entry(
         self,
         *,
         call: Call,
@@ -137,7 +137,7 @@
         ) as span:
             span.set_attribute("to", entry.name)
             exchange = await self._exchange(
-                client=self.entries,
+                client=self.entry_client,
                 address=entry.forward_address,
                 call=call,
                 path=f"/{call.head.service}{call.head.path}",
@@ -149,7 +149,7 @@
                 to_entry=True,
                 window_bytes=window_bytes,
             )
-            span.set_attribute("sent", exchange.sent.value)
+            span.set_attribute("sent", exchange.outcome.value)
         return Attempt(exchange, _entry_error(exchange, entry.name))
 
     async def _exchange(
@@ -171,14 +171,14 @@
                 address, fresh=fresh, receive_buffer_bytes=window_bytes
             )
         except (OSError, TimeoutError):
-            return Exchange(sent=Sent.NOT_SENT)
+            return Exchange(outcome=ExchangeOutcome.NOT_SENT)
         # The process may have stalled since the last check. A write after
         # the deadline is not allowed: other entries wait for this one only
         # until then.
         left_ms = remaining_ms(deadline_s=call.head.deadline_s)
         if left_ms <= 0 or not may_write() or not call.progress.try_dispatch():
             stream.close()
-            return Exchange(sent=Sent.TOO_LATE)
+            return Exchange(outcome=ExchangeOutcome.TOO_LATE)
         headers = call.headers.copy()
         headers[DEADLINE_HEADER] = str(left_ms)
         if trace_header:
@@ -187,7 +187,7 @@
             headers[KEY_HEADER] = call.head.key
         if to_entry:
             headers[CALLER_ZONE_HEADER] = self._own_zone
-            if call.alone:
+            if call.isolated:
                 headers[ALONE_HEADER] = "1"
         refusal = None
         if to_entry:
@@ -202,7 +202,7 @@
             ),
             headers=headers,
             body=call.body,
-            sink=call.answer,
+            sink=call.response,
             pace=pace,
             refusal=refusal,
             wait_for_continue=to_entry,
@@ -233,7 +233,7 @@
 def _entry_refusal_header(head: ResponseHead) -> str:
     """Returns another entry's error header if the request did not run."""
     value = head.headers.get(ANSWER_HEADER, "")
-    answer = read_entry_answer(value=value)
+    answer = parse_entry_error(value=value)
     if answer is None or answer.ran is not Ran.NO:
         return ""
     return value
@@ -247,56 +247,56 @@
     serve would fail. Use for idempotent requests only.
     """
     value = head.headers.get(ANSWER_HEADER, "")
-    if read_entry_answer(value=value) is None:
+    if parse_entry_error(value=value) is None:
         return ""
     return value
 
 
 def _did_not_run(exchange: Exchange) -> bool:
-    if exchange.sent in (Sent.NOT_SENT, Sent.TOO_LATE):
+    if exchange.outcome in (ExchangeOutcome.NOT_SENT, ExchangeOutcome.TOO_LATE):
         return True
-    if exchange.sent is not Sent.REFUSED:
+    if exchange.outcome is not ExchangeOutcome.REFUSED:
         return False
-    answer = read_entry_answer(value=exchange.refused)
+    answer = parse_entry_error(value=exchange.refusal)
     return answer is None or answer.ran is Ran.NO
 
 
 def _upstream_error(exchange: Exchange, name: str) -> AlmondstairError | None:
-    if exchange.sent is Sent.WHOLE:
+    if exchange.outcome is ExchangeOutcome.COMPLETE:
         return None
-    if exchange.sent is Sent.NOT_SENT:
+    if exchange.outcome is ExchangeOutcome.NOT_SENT:
         return AlmondstairError(
             kind=ErrorKind.NO_UPSTREAM,
             detail=f"upstream {name} cannot be reached",
         )
-    if exchange.sent is Sent.TOO_LATE:
+    if exchange.outcome is ExchangeOutcome.TOO_LATE:
         return AlmondstairError(
             kind=ErrorKind.NO_UPSTREAM,
             detail=f"the request to upstream {name} can no longer be sent",
         )
-    if exchange.sent is Sent.REFUSED:
+    if exchange.outcome is ExchangeOutcome.REFUSED:
         return AlmondstairError(
             kind=ErrorKind.NO_SLOT,
-            detail=f"upstream {name} refused: {exchange.refused}",
+            detail=f"upstream {name} refused: {exchange.refusal}",
         )
-    if exchange.sent is Sent.WITHDRAWN:
+    if exchange.outcome is ExchangeOutcome.CANCELLED:
         return AlmondstairError(kind=ErrorKind.UPSTREAM_TIMEOUT)
     return AlmondstairError(kind=ErrorKind.UPSTREAM_LOST)
 
 
 def _entry_error(exchange: Exchange, name: str) -> AlmondstairError | None:
-    if exchange.sent is Sent.WHOLE:
+    if exchange.outcome is ExchangeOutcome.COMPLETE:
         return None
-    if exchange.sent is Sent.NOT_SENT:
+    if exchange.outcome is ExchangeOutcome.NOT_SENT:
         return AlmondstairError(
             kind=ErrorKind.ENTRY_LOST,
             detail=f"entry {name} cannot be reached",
             ran=Ran.NO,
         )
-    if exchange.sent is Sent.TOO_LATE:
+    if exchange.outcome is ExchangeOutcome.TOO_LATE:
         return AlmondstairError(kind=ErrorKind.DEADLINE_PASSED)
-    if exchange.sent is Sent.REFUSED:
-        answer = read_entry_answer(value=exchange.refused)
+    if exchange.outcome is ExchangeOutcome.REFUSED:
+        answer = parse_entry_error(value=exchange.refusal)
         assert answer is not None
         return AlmondstairError(
             kind=answer.kind,
--- a/almondstair/entry.py
+++ b/almondstair/entry.py
@@ -8,7 +8,8 @@
 import zmq
 
 from almondstair import log
-from almondstair.admitting import SlotKeeper
+from almondstair.call_router import CallRouter
+from almondstair.call_router import CallRouterParts
 from almondstair.calls import Call
 from almondstair.calls import CallHandler
 from almondstair.claims import Claims
@@ -36,7 +37,7 @@
 from almondstair.document_exchange import DocumentExchange
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
-from almondstair.frontend import FrontDoor
+from almondstair.frontend import RequestListener
 from almondstair.gauges import GaugedParts
 from almondstair.gauges import Gauges
 from almondstair.heartbeats import Heartbeats
@@ -46,6 +47,7 @@
 from almondstair.key_value.etcd import HttpVmList
 from almondstair.leaving import Leaving
 from almondstair.leaving import LeavingParts
+from almondstair.link_pacers import LinkPacers
 from almondstair.link_shares import LinkShares
 from almondstair.lookups import LookupBody
 from almondstair.lookups import Lookups
@@ -55,15 +57,13 @@
 from almondstair.operator_views import OperatorViews
 from almondstair.operator_views import ViewParts
 from almondstair.operators import OperatorServer
-from almondstair.pacing import LinkPacers
 from almondstair.peers import Peers
-from almondstair.probing import Prober
-from almondstair.running import Core
-from almondstair.running import Runner
-from almondstair.serving import Parts
-from almondstair.serving import Serving
+from almondstair.prober import Prober
+from almondstair.runner import Runner
+from almondstair.runner import RunnerState
 from almondstair.settings import Loaded
 from almondstair.settings import Settings
+from almondstair.slot_allocator import SlotAllocator
 from almondstair.store import ConfigurationStore
 from almondstair.store import EntryTableStore
 from almondstair.strike_words import StrikeWords
@@ -145,7 +145,7 @@
             health=self._health,
             loop_stall=self._loop_stall,
         )
-        self._keeper = SlotKeeper(slots=self.slots)
+        self._slot_allocator = SlotAllocator(slots=self.slots)
         report_limit_s = timing.load_report_limit_ms / 1000
         self._entry_selector = EntrySelector(report_limit_s=report_limit_s)
         self.steering = Steering(
@@ -210,7 +210,7 @@
         )
         prober = Prober(
             slots=self.slots,
-            client=self._sender.upstreams,
+            client=self._sender.upstream_client,
             interval_s=settings.timing.probe_interval_ms / 1000,
         )
         self._prober = prober
@@ -231,7 +231,7 @@
             own=self.own,
             membership=self.membership,
             homes=self.homes,
-            keeper=self._keeper,
+            keeper=self._slot_allocator,
             steering=self.steering,
             hops=self._entry_selector,
             quarantine=self._quarantine,
@@ -277,7 +277,7 @@
             parts=GaugedParts(
                 metrics=self.metrics,
                 peers=self._peers,
-                keeper=self._keeper,
+                keeper=self._slot_allocator,
                 pacers=self.pacers,
                 configuration=self.configuration_keeper,
                 loads=self._control.loads,
@@ -300,21 +300,21 @@
         self._loop_stall_monitor = LoopWatch(
             standstill=self._loop_stall, metrics=self.metrics
         )
-        core = Core(
+        core = RunnerState(
             configuration=self.configuration,
             quarantine=self._quarantine,
             health=self._health,
-            on_strike=self._schedule_strike_report,
+            report_strike=self._schedule_strike_report,
         )
         self.runner = Runner(
             core=core,
-            keeper=self._keeper,
+            allocator=self._slot_allocator,
             claims=self._claims,
             sender=self._sender,
             metrics=self.metrics,
         )
-        self._call_router = Serving(
-            parts=Parts(
+        self._call_router = CallRouter(
+            parts=CallRouterParts(
                 own=self.own,
                 membership=self.membership,
                 steering=self.steering,
@@ -325,8 +325,8 @@
                 sender=self._sender,
                 tracing=self._tracing,
                 metrics=self.metrics,
-                standstill=self._loop_stall,
-                strike_words=self._strike_exchange,
+                loop_stall=self._loop_stall,
+                strike_exchange=self._strike_exchange,
             )
         )
         self._lookups = Lookups(
@@ -355,10 +355,10 @@
 
     def _make_listeners(self) -> None:
         zone = self.own.availability_zone
-        self._caller_listener = FrontDoor(
+        self._caller_listener = RequestListener(
             handler=self, own_zone=zone, for_entries=False
         )
-        self._forward_listener = FrontDoor(
+        self._forward_listener = RequestListener(
             handler=self, own_zone=zone, for_entries=True
         )
         self._leaving = self._make_leaving()
@@ -435,17 +435,17 @@
     def lookup(self, *, service: str, caller_ip: str) -> LookupBody:
         """Returns the entries that a caller may use."""
         self.metrics.count(Metric.LOOKUPS)
-        return self._lookups.answer(
+        return self._lookups.look_up(
             configuration=self.configuration(),
             service=service,
             caller_ip=caller_ip,
         )
 
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Returns whether connections are closed after their response."""
         return self.membership.leaving
 
-    def refusing(self) -> bool:
+    def is_refusing(self) -> bool:
         """Returns whether new requests are refused."""
         return self._leaving.refusing
 
--- a/almondstair/frontend.py
+++ b/almondstair/frontend.py
@@ -10,7 +10,6 @@
 from tornado import netutil
 
 from almondstair import log
-from almondstair.answers import ConnectionAnswer
 from almondstair.body import RequestBody
 from almondstair.calls import Call
 from almondstair.calls import CallHandler
@@ -34,6 +33,7 @@
 from almondstair.http_messages import TRACE_HEADER
 from almondstair.http_messages import check_request_framing
 from almondstair.http_messages import end_to_end_headers
+from almondstair.responses import ConnectionResponse
 
 LOOKUP_PATH = "/v1/entries"
 # Headers over MAX_HEADER_BYTES get an error response; over this limit the
@@ -47,14 +47,14 @@
 _STREAMING_METHODS = frozenset(("POST", "PUT", "PATCH"))
 
 
-class FrontDoor(httputil.HTTPServerConnectionDelegate):
+class RequestListener(httputil.HTTPServerConnectionDelegate):
     """Creates an `IncomingRequest` for each request of each connection.
 
     Attributes:
       handler: handles the requests.
       own_zone: availability zone of this entry.
       for_entries: whether other entries connect here.
-      running: tasks of the calls in flight.
+      running_calls: tasks of the calls in flight.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self.handler = handler
         self.own_zone = own_zone
         self.for_entries = for_entries
-        self.running: set[asyncio.Task[None]] = set()
+        self.running_calls: set[asyncio.Task[None]] = set()
         self._server: httpserver.HTTPServer | None = None
 
     def listen(self, address: str) -> None:
@@ -112,25 +112,25 @@
         request_conn: httputil.HTTPConnection,
     ) -> httputil.HTTPMessageDelegate:
         """Returns the receiver of a connection's next request."""
-        return IncomingRequest(door=self, connection=request_conn)
+        return IncomingRequest(listener=self, connection=request_conn)
 
 
 class IncomingRequest(httputil.HTTPMessageDelegate):
     """Reads one request and passes it to the handler."""
 
     def __init__(
-        self, *, door: FrontDoor, connection: httputil.HTTPConnection
+        self, *, listener: RequestListener, connection: httputil.HTTPConnection
     ) -> None:
         """Creates the receiver of one request.
 
         Args:
-          door: the listener that accepted the connection.
+          listener: the listener that accepted the connection.
           connection: the connection of the request.
         """
-        self._listener = door
+        self._listener = listener
         self._connection = connection
-        self._response = ConnectionAnswer(
-            connection=connection, for_entry=door.for_entries
+        self._response = ConnectionResponse(
+            connection=connection, for_entry=listener.for_entries
         )
         self._response.end_connection = self._end_response
         self._body = RequestBody()
@@ -157,7 +157,7 @@
             # tornado recognizes only the lower-case value.
             headers["Expect"] = headers["Expect"].lower()
         self._response.method = start_line.method
-        self._response.close_after = self._listener.handler.leaving()
+        self._response.close_after = self._listener.handler.is_leaving()
         try:
             length = check_request_framing(
                 start_line=start_line, headers=headers
@@ -189,7 +189,7 @@
             method=start_line.method,
             path=service_path,
         )
-        if self._listener.handler.refusing():
+        if self._listener.handler.is_refusing():
             raise AlmondstairError(kind=ErrorKind.ENTRY_LEAVING)
         self._body_limit_bytes = request_class.body_limit_bytes
         if length is not None and length > self._body_limit_bytes:
@@ -220,13 +220,13 @@
             head=head,
             headers=end_to_end_headers(headers=headers),
             body=self._body,
-            answer=self._response,
+            response=self._response,
             progress=RequestProgress(),
             traceparent=headers.get(TRACE_HEADER, ""),
             caller_zone=zone,
             from_entry=from_entry,
             body_bytes=length or 0,
-            alone=from_entry and ALONE_HEADER in headers,
+            isolated=from_entry and ALONE_HEADER in headers,
         )
         if length == 0:
             self._body.end()
@@ -253,7 +253,7 @@
     async def _wait_until_admitted(self) -> None:
         assert self._call is not None
         assert self._task is not None
-        admitted = self._call.answer.admitted
+        admitted = self._call.response.admitted
         waiter = asyncio.ensure_future(admitted.wait())
         await asyncio.wait(
             (waiter, self._task), return_when=asyncio.FIRST_COMPLETED
@@ -270,7 +270,7 @@
             self._refuse_oversized_body()
             return None
         wait = self._body.put(chunk)
-        if not self._started and self._body.overflows():
+        if not self._started and self._body.exceeds_buffer():
             self._body.streaming = True
             self._start()
         return wait
@@ -348,7 +348,7 @@
         A request with an idempotency key that may have started is not
         cancelled: its outcome is recorded and returned to the caller's repeat.
         """
-        self._response.caller_gone = True
+        self._response.caller_disconnected = True
         if self._call is None or self._task is None:
             return
         if not self._call.head.key:
@@ -357,7 +357,7 @@
         if self._call.progress.state is not Progress.DISPATCHED:
             self._task.cancel()
             return
-        if not self._body.whole:
+        if not self._body.complete:
             self._task.cancel()
 
     def _start(self) -> None:
@@ -366,8 +366,8 @@
         if self._body_timer is not None:
             self._body_timer.cancel()
         self._task = asyncio.ensure_future(self._run(self._call))
-        self._listener.running.add(self._task)
-        self._task.add_done_callback(self._listener.running.discard)
+        self._listener.running_calls.add(self._task)
+        self._task.add_done_callback(self._listener.running_calls.discard)
 
     async def _run(self, call: Call) -> None:
         try:
@@ -382,7 +382,7 @@
             ran = Ran.NO
             if call.progress.may_have_run:
                 ran = Ran.UNKNOWN
-            self._response.problem(
+            self._response.send_problem(
                 AlmondstairError(kind=ErrorKind.INTERNAL, ran=ran)
             )
 
@@ -423,7 +423,7 @@
         instead of the refusal.
         """
         self._call = None
-        if not self._response.untouched:
+        if not self._response.nothing_sent:
             self._response.abort()
             return
         if self._expects_continue and not self._request_read:
@@ -435,7 +435,7 @@
         log.event(
             log.Event.REQUEST_REFUSED, kind=str(error.kind), detail=error.detail
         )
-        self._response.problem(error)
+        self._response.send_problem(error)
 
     def _end_response(self) -> None:
         """Ends the exchange, or first discards the rest of the request."""
--- a/almondstair/gateway/caller_connection.py
+++ b/almondstair/gateway/caller_connection.py
@@ -271,7 +271,7 @@
             )
             return
         wait = request.body.put(data)
-        if request.task is None and request.body.overflows():
+        if request.task is None and request.body.exceeds_buffer():
             request.body.streaming = True
             self._start(request)
         if wait is not None and request.body.streaming:
--- a/almondstair/gateway/upstream_connection.py
+++ b/almondstair/gateway/upstream_connection.py
@@ -381,7 +381,7 @@
             self._transport.write(head)
             return
         if body.replayable:
-            self._transport.write(head + body.replay())
+            self._transport.write(head + body.content())
             return
         self._transport.write(head)
         self._body_unfinished = True
--- a/almondstair/gauges.py
+++ b/almondstair/gauges.py
@@ -5,14 +5,14 @@
 import time
 from typing import NamedTuple
 
-from almondstair.admitting import SlotKeeper
 from almondstair.configuration_keeper import ConfigurationKeeper
 from almondstair.core.heartbeat_payloads import ServiceLoad
+from almondstair.link_pacers import LinkPacers
 from almondstair.metrics import Metric
 from almondstair.metrics import Metrics
-from almondstair.pacing import LinkPacers
 from almondstair.peers import PeerCounts
 from almondstair.peers import Peers
+from almondstair.slot_allocator import SlotAllocator
 
 # Time between two samples; an older gauge says little about the load.
 METRICS_INTERVAL_S = 1.0
@@ -32,7 +32,7 @@
 
     metrics: Metrics
     peers: Peers
-    keeper: SlotKeeper
+    keeper: SlotAllocator
     pacers: LinkPacers
     configuration: ConfigurationKeeper
     loads: Callable[[], Iterable[ServiceLoad]]
--- a/almondstair/http_client.py
+++ b/almondstair/http_client.py
@@ -21,10 +21,10 @@
 from almondstair.body import RequestBody
 from almondstair.http_messages import REFUSED_HEADER
 from almondstair.http_messages import ResponseHead
-from almondstair.http_messages import answer_is_framed
+from almondstair.http_messages import response_is_framed
 
 MAX_IDLE_S = 4.0
-FRESH_LIMIT_S = 0.5
+MAX_FRESH_IDLE_S = 0.5
 MAX_IDLE_PER_ADDRESS = 16
 CHUNK_BYTES = 64 * 1024
 MAX_BUFFER_BYTES = 1 << 20
@@ -48,66 +48,66 @@
 Pace = Callable[[int], Awaitable[int]]
 
 
-class Sent(enum.Enum):
+class ExchangeOutcome(enum.Enum):
     """How an exchange ended.
 
     Attributes:
-      WHOLE: the response is complete.
+      COMPLETE: the response is complete.
       NOT_SENT: nothing was written, because the peer was not reached.
       TOO_LATE: nothing was written, because the time or the slot ran out.
       REFUSED: the peer refused the request without running it.
-      LOST: the connection was lost before the head of a response.
-      CUT: the response was truncated, or has no framing for its end.
-      CALLER_GONE: the sender of the request's body disconnected.
-      WITHDRAWN: the request was written too late and cancelled at once.
+      CONNECTION_LOST: the connection was lost before the head of a response.
+      TRUNCATED: the response was truncated, or has no framing for its end.
+      SENDER_DISCONNECTED: the sender of the request's body disconnected.
+      CANCELLED: the request was written too late and cancelled at once.
     """
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     NOT_SENT = "not_sent"
     TOO_LATE = "too_late"
     REFUSED = "refused"
-    LOST = "lost"
-    CUT = "cut"
-    CALLER_GONE = "caller_gone"
-    WITHDRAWN = "withdrawn"
+    CONNECTION_LOST = "lost"
+    TRUNCATED = "cut"
+    SENDER_DISCONNECTED = "caller_gone"
+    CANCELLED = "withdrawn"
 
 
 class Exchange(NamedTuple):
     """Holds the result of one exchange.
 
     Attributes:
-      sent: how the exchange ended.
+      outcome: how the exchange ended.
       head: head of the response, None if none was received.
-      refused: value of the peer's refusal header, or empty.
-      answer_bytes: bytes of the response's body that were passed on.
+      refusal: value of the peer's refusal header, or empty.
+      response_bytes: bytes of the response's body that were passed on.
       request_bytes: bytes of the request's body that were written.
     """
 
-    sent: Sent
+    outcome: ExchangeOutcome
     head: ResponseHead | None = None
-    refused: str = ""
-    answer_bytes: int = 0
+    refusal: str = ""
+    response_bytes: int = 0
     request_bytes: int = 0
 
 
-class AnswerSink(abc.ABC):
+class ResponseSink(abc.ABC):
     """Receives the response of an exchange."""
 
     @abc.abstractmethod
-    def head(self, head: ResponseHead) -> None:
+    def receive_head(self, head: ResponseHead) -> None:
         """Receives the head of a final response."""
 
     @abc.abstractmethod
-    def data(self, chunk: bytes) -> Awaitable[None]:
+    def receive_data(self, chunk: bytes) -> Awaitable[None]:
         """Receives a chunk of the body; awaited before more is read."""
 
 
-async def no_pace(size_bytes: int) -> int:
+async def unlimited_pace(size_bytes: int) -> int:
     """Returns at once, without a limit."""
     return size_bytes
 
 
-async def pace_whole(pace: Pace, size_bytes: int) -> None:
+async def pace_all(pace: Pace, size_bytes: int) -> None:
     """Waits until all of `size_bytes` may be sent."""
     while size_bytes > 0:
         size_bytes -= await pace(size_bytes)
@@ -116,7 +116,7 @@
 class _ResponseDelegate(httputil.HTTPMessageDelegate):
     """Receives one response from tornado's parser."""
 
-    def __init__(self, *, method: str, sink: AnswerSink) -> None:
+    def __init__(self, *, method: str, sink: ResponseSink) -> None:
         self.method = method
         self.sink = sink
         self.response: ResponseHead | None = None
@@ -144,16 +144,16 @@
         self.refused = self.find_refusal(head)
         # Without a length the body ends when the connection closes, which
         # cannot be distinguished from a crash: it is never complete.
-        self.framed = answer_is_framed(method=self.method, head=head)
+        self.framed = response_is_framed(method=self.method, head=head)
         if self.refused or not self.framed:
             return
-        self.sink.head(head)
+        self.sink.receive_head(head)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
         if self.refused or not self.framed:
             return None
         self.response_bytes += len(chunk)
-        return self.sink.data(chunk)
+        return self.sink.receive_data(chunk)
 
     def finish(self) -> None:
         self.complete = True
@@ -245,7 +245,7 @@
 
         Args:
           address: `ip:port`.
-          fresh: whether to skip connections idle for over `FRESH_LIMIT_S`.
+          fresh: whether to skip connections idle for over `MAX_FRESH_IDLE_S`.
           receive_buffer_bytes: kernel receive buffer of a new connection; 0
             for the client's default.
 
@@ -253,7 +253,7 @@
           OSError: the connection failed.
           TimeoutError: the connection was not made in time.
         """
-        max_idle_s = FRESH_LIMIT_S if fresh else MAX_IDLE_S
+        max_idle_s = MAX_FRESH_IDLE_S if fresh else MAX_IDLE_S
         stream = self._pop_idle(address, max_idle_s)
         if stream is not None:
             return stream
@@ -281,8 +281,8 @@
         start_line: httputil.RequestStartLine,
         headers: httputil.HTTPHeaders,
         body: RequestBody,
-        sink: AnswerSink,
-        pace: Pace = no_pace,
+        sink: ResponseSink,
+        pace: Pace = unlimited_pace,
         refusal: Callable[[ResponseHead], str] | None = None,
         wait_for_continue: bool = False,
         after_write: Callable[[], bool] = lambda: True,
@@ -340,7 +340,7 @@
         *,
         stream: iostream.IOStream,
         method: str,
-        sink: AnswerSink,
+        sink: ResponseSink,
         body: RequestBody,
     ) -> None:
         self.stream = stream
@@ -379,23 +379,23 @@
     ) -> Exchange:
         complete_body = None
         if self.body.replayable:
-            complete_body = self.body.replay()
+            complete_body = self.body.content()
             headers["Content-Length"] = str(len(complete_body))
-            await pace_whole(pace, len(complete_body) + HEAD_ESTIMATE_BYTES)
+            await pace_all(pace, len(complete_body) + HEAD_ESTIMATE_BYTES)
             if not complete_body and start_line.method in _NO_LENGTH_METHODS:
                 del headers["Content-Length"]
         elif wait_for_continue:
             headers["Expect"] = "100-continue"
         if self.stream.closed():
             # Closed while the body waited for the pacer: nothing was written.
-            return Exchange(sent=Sent.NOT_SENT)
+            return Exchange(outcome=ExchangeOutcome.NOT_SENT)
         write = self.connection.write_headers(
             start_line, headers, complete_body
         )
         write.add_done_callback(_mark_exception_retrieved)
         if not after_write():
             self.close()
-            return Exchange(sent=Sent.WITHDRAWN)
+            return Exchange(outcome=ExchangeOutcome.CANCELLED)
         if complete_body is not None:
             self.request_bytes = len(complete_body)
             self.request_written = True
@@ -440,10 +440,10 @@
             self._pump.cancel()
         self.reusable = self._may_be_reused(stays_open)
         return Exchange(
-            sent=self._outcome(),
+            outcome=self._outcome(),
             head=self.delegate.response,
-            refused=self.delegate.refused,
-            answer_bytes=self.delegate.response_bytes,
+            refusal=self.delegate.refused,
+            response_bytes=self.delegate.response_bytes,
             request_bytes=self.request_bytes,
         )
 
@@ -456,18 +456,18 @@
         connection = self.delegate.response.headers.get("Connection", "")
         return connection.lower() != "close"
 
-    def _outcome(self) -> Sent:
+    def _outcome(self) -> ExchangeOutcome:
         if self.delegate.refused:
-            return Sent.REFUSED
+            return ExchangeOutcome.REFUSED
         if self.sender_disconnected:
-            return Sent.CALLER_GONE
+            return ExchangeOutcome.SENDER_DISCONNECTED
         if self.delegate.response is None:
-            return Sent.LOST
+            return ExchangeOutcome.CONNECTION_LOST
         if not self.delegate.framed:
-            return Sent.CUT
+            return ExchangeOutcome.TRUNCATED
         if not self.delegate.complete:
-            return Sent.CUT
-        return Sent.WHOLE
+            return ExchangeOutcome.TRUNCATED
+        return ExchangeOutcome.COMPLETE
 
 
 def _mark_exception_retrieved(future: "asyncio.Future[None]") -> None:
--- a/almondstair/http_messages.py
+++ b/almondstair/http_messages.py
@@ -16,7 +16,7 @@
 KEY_HEADER = "Idempotency-Key"
 DEADLINE_HEADER = "Deadline-Ms"
 TRACE_HEADER = "Traceparent"
-OWN_PREFIX = "Almondstair-"
+HEADER_PREFIX = "Almondstair-"
 # An entry's error in a response to another entry: `kind;ran;retry_after_ms`.
 ANSWER_HEADER_PARTS = 3
 ANSWER_HEADER = "Almondstair-Answer"
@@ -115,7 +115,7 @@
     return AlmondstairError(kind=ErrorKind.BAD_REQUEST, detail=detail)
 
 
-def answer_is_framed(*, method: str, head: ResponseHead) -> bool:
+def response_is_framed(*, method: str, head: ResponseHead) -> bool:
     """Returns whether a truncated response can be detected."""
     if method == "HEAD" or head.status in _STATUS_WITHOUT_BODY:
         return True
@@ -137,7 +137,7 @@
     for name, value in headers.get_all():
         if name in _HOP_BY_HOP or name in named:
             continue
-        if name.startswith(OWN_PREFIX):
+        if name.startswith(HEADER_PREFIX):
             continue
         kept.add(name, value)
     return kept
@@ -189,7 +189,7 @@
     return msgspec.json.encode(error.problem())
 
 
-class EntryAnswer(NamedTuple):
+class EntryError(NamedTuple):
     """Holds another entry's error, parsed from its header."""
 
     kind: ErrorKind
@@ -197,14 +197,14 @@
     retry_after_ms: int | None
 
 
-def read_entry_answer(*, value: str) -> EntryAnswer | None:
+def parse_entry_error(*, value: str) -> EntryError | None:
     """Parses `Almondstair-Answer`; returns None if absent or malformed."""
     parts = value.split(";")
     if len(parts) != ANSWER_HEADER_PARTS:
         return None
     kind, ran, retry_after_ms = parts
     try:
-        return EntryAnswer(
+        return EntryError(
             ErrorKind(kind),
             Ran(ran),
             int(retry_after_ms) if retry_after_ms else None,
--- a/almondstair/joining.py
+++ b/almondstair/joining.py
@@ -83,7 +83,7 @@
         """
         deadline_s = time.monotonic() + LINK_SHARES_LIMIT_S
         while (
-            not self._components.shares.ready()
+            not self._components.shares.is_ready()
             and time.monotonic() < deadline_s
         ):
             await asyncio.sleep(START_POLL_S)
--- a/almondstair/key_value/etcd_calls.py
+++ b/almondstair/key_value/etcd_calls.py
@@ -12,10 +12,10 @@
 from tornado.iostream import IOStream
 
 from almondstair.body import RequestBody
-from almondstair.http_client import AnswerSink
 from almondstair.http_client import Exchange
+from almondstair.http_client import ExchangeOutcome
 from almondstair.http_client import HttpClient
-from almondstair.http_client import Sent
+from almondstair.http_client import ResponseSink
 from almondstair.http_messages import ResponseHead
 from almondstair.key_value import base
 
@@ -38,17 +38,17 @@
     return ""
 
 
-class _BufferedResponse(AnswerSink):
+class _BufferedResponse(ResponseSink):
     """Buffers a complete response."""
 
     def __init__(self) -> None:
         self.status = 0
         self.body = bytearray()
 
-    def head(self, head: ResponseHead) -> None:
+    def receive_head(self, head: ResponseHead) -> None:
         self.status = head.status
 
-    async def data(self, chunk: bytes) -> None:
+    async def receive_data(self, chunk: bytes) -> None:
         if len(self.body) + len(chunk) > MAX_RESPONSE_BYTES:
             raise OSError("the response is too large")
         self.body += chunk
@@ -132,9 +132,9 @@
                 stream = await self._client.connect(self._address, fresh=writes)
                 written = True
                 exchange = await self._exchange(stream, path, body, response)
-            if exchange.sent is Sent.WHOLE:
+            if exchange.outcome is ExchangeOutcome.COMPLETE:
                 return response
-            written = exchange.sent is not Sent.NOT_SENT
+            written = exchange.outcome is not ExchangeOutcome.NOT_SENT
         except OSError as error:
             problem = str(error) or "no answer in time"
         failure = base.PlatformFailure.UNAVAILABLE
--- a/almondstair/key_value/etcd_watch.py
+++ b/almondstair/key_value/etcd_watch.py
@@ -11,8 +11,8 @@
 from tornado.iostream import IOStream
 
 from almondstair.body import RequestBody
-from almondstair.http_client import AnswerSink
 from almondstair.http_client import HttpClient
+from almondstair.http_client import ResponseSink
 from almondstair.http_messages import ResponseHead
 from almondstair.key_value import base
 from almondstair.key_value.etcd_wire import WatchLine
@@ -28,16 +28,16 @@
 RECONNECT_LAST_S = 5.0
 
 
-class _WatchSink(AnswerSink):
+class _WatchSink(ResponseSink):
     """Passes on the bytes of a watch as they arrive."""
 
     def __init__(self, *, receive: Callable[[bytes], None]) -> None:
         self._receive = receive
 
-    def head(self, head: ResponseHead) -> None:
+    def receive_head(self, head: ResponseHead) -> None:
         """Ignores the head: the lines carry the state of the watch."""
 
-    async def data(self, chunk: bytes) -> None:
+    async def receive_data(self, chunk: bytes) -> None:
         self._receive(chunk)
 
 
--- a/almondstair/leaving.py
+++ b/almondstair/leaving.py
@@ -8,7 +8,7 @@
 from almondstair.claims import Claims
 from almondstair.core.homes import Homes
 from almondstair.core.membership import Membership
-from almondstair.frontend import FrontDoor
+from almondstair.frontend import RequestListener
 from almondstair.heartbeats import Heartbeats
 from almondstair.link_shares import LinkShares
 from almondstair.table_keeper import TableKeeper
@@ -28,8 +28,8 @@
     homes: Homes
     shares: LinkShares
     claims: Claims
-    caller_door: FrontDoor
-    forward_door: FrontDoor
+    caller_door: RequestListener
+    forward_door: RequestListener
 
 
 class Leaving:
@@ -103,15 +103,15 @@
     def running(self) -> int:
         """Returns the number of requests in flight."""
         components = self._components
-        return len(components.caller_door.running) + len(
-            components.forward_door.running
+        return len(components.caller_door.running_calls) + len(
+            components.forward_door.running_calls
         )
 
     async def _release(self) -> None:
         """Releases links and home roles, and removes the row from the table."""
         components = self._components
         deadline_s = time.monotonic() + RELEASE_LIMIT_S
-        components.shares.release()
+        components.shares.release_all()
         while not components.homes.has_released_all(now_s=time.monotonic()):
             if time.monotonic() > deadline_s:
                 break
--- a/almondstair/pacing.py
+++ b/almondstair/link_pacers.py
@@ -76,7 +76,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._committed_bytes = dict.fromkeys(PRIORITY_RANKS.values(), 0)
 
-    async def move(
+    async def acquire(
         self, size_bytes: int, priority: Priority, deadline_s: float
     ) -> int:
         """Waits until at least part of a chunk may be sent.
@@ -100,7 +100,7 @@
             size_bytes, priority, deadline_s, all_at_once=False
         )
 
-    async def pay_ahead(
+    async def reserve(
         self, size_bytes: int, priority: Priority, deadline_s: float
     ) -> None:
         """Waits until all of a chunk that is sent later is reserved.
@@ -134,7 +134,7 @@
         self._queued_bytes += size_bytes
         return await future
 
-    def queue_s(self, *, now_s: float) -> float:
+    def queue_delay_s(self, *, now_s: float) -> float:
         """Returns roughly how long a new chunk would queue, in seconds."""
         if not self._queued_bytes:
             return 0.0
@@ -143,7 +143,7 @@
             return float("inf")
         return self._queued_bytes / rate
 
-    def promise(self, *, size_bytes: int, priority: Priority) -> None:
+    def commit(self, *, size_bytes: int, priority: Priority) -> None:
         """Adds bytes that an accepted request will send.
 
         Args:
@@ -152,7 +152,7 @@
         """
         self._committed_bytes[PRIORITY_RANKS[priority]] += size_bytes
 
-    def carry_s(
+    def transfer_s(
         self, *, size_bytes: int, priority: Priority, now_s: float
     ) -> float:
         """Returns how long a body takes behind all bytes ahead, in seconds."""
@@ -223,7 +223,7 @@
     """Paces the bytes of one attempt over one link, in both directions.
 
     Attributes:
-      answer_bytes: bytes of the response read so far.
+      response_bytes: bytes of the response read so far.
     """
 
     def __init__(
@@ -233,7 +233,7 @@
         priority: Priority,
         deadline_s: float,
         body_bytes: int,
-        answer_bytes: int,
+        response_bytes: int,
     ) -> None:
         """Commits the bytes of the body until `end`.
 
@@ -242,19 +242,19 @@
           priority: priority of the request's class.
           deadline_s: the request's deadline, in monotonic seconds.
           body_bytes: size of the request's body, 0 if it is not known.
-          answer_bytes: bytes of the response that may cross the link before
+          response_bytes: bytes of the response that may cross the link before
             any of them is read.
         """
         self._pacers = pacers
         self._priority = priority
         self._deadline_s = deadline_s
         self._committed_bytes = 0
-        self._reserved_bytes = answer_bytes
-        self.answer_bytes = 0
+        self._reserved_bytes = response_bytes
+        self.response_bytes = 0
         if pacers:
             self._commit(body_bytes)
 
-    async def start(self) -> None:
+    async def reserve_response(self) -> None:
         """Reserves the first bytes of the response, before the request is sent.
 
         These bytes cross the link as soon as the peer writes them, and wait in
@@ -262,31 +262,31 @@
         that begin at once would exceed the link's cap.
         """
         if self._pacers and self._reserved_bytes:
-            await self._pacers[1].pay_ahead(
+            await self._pacers[1].reserve(
                 self._reserved_bytes, self._priority, self._deadline_s
             )
 
-    async def request(self, size_bytes: int) -> int:
+    async def pace_request(self, size_bytes: int) -> int:
         """Waits until bytes of the request may be sent; see `Pace`."""
         if not self._pacers:
             return size_bytes
-        moved_bytes = await self._pacers[0].move(
+        moved_bytes = await self._pacers[0].acquire(
             size_bytes, self._priority, self._deadline_s
         )
         self._commit(-min(moved_bytes, self._committed_bytes))
         return moved_bytes
 
-    async def answer(self, size_bytes: int) -> int:
+    async def pace_response(self, size_bytes: int) -> int:
         """Waits until bytes of the response may be read; see `Pace`."""
         moved_bytes = min(size_bytes, self._reserved_bytes)
         self._reserved_bytes -= moved_bytes
         if not moved_bytes:
             moved_bytes = size_bytes
             if self._pacers:
-                moved_bytes = await self._pacers[1].move(
+                moved_bytes = await self._pacers[1].acquire(
                     size_bytes, self._priority, self._deadline_s
                 )
-        self.answer_bytes += moved_bytes
+        self.response_bytes += moved_bytes
         return moved_bytes
 
     def end(self) -> None:
@@ -297,7 +297,7 @@
         if not size_bytes:
             return
         self._committed_bytes += size_bytes
-        self._pacers[0].promise(size_bytes=size_bytes, priority=self._priority)
+        self._pacers[0].commit(size_bytes=size_bytes, priority=self._priority)
 
 
 class LinkPacers:
@@ -311,13 +311,13 @@
         self._response_bytes: dict[str, float] = {}
 
     def add(
-        self, *, region: str, outward: LinkPacer, inward: LinkPacer
+        self, *, region: str, outbound: LinkPacer, inbound: LinkPacer
     ) -> None:
         """Adds the link to a region."""
-        self._outbound[region] = outward
-        self._inbound[region] = inward
+        self._outbound[region] = outbound
+        self._inbound[region] = inbound
 
-    def set_window(self, *, region: str, size_bytes: int) -> None:
+    def set_window_bytes(self, *, region: str, size_bytes: int) -> None:
         """Sets the receive buffer of connections to a region."""
         self._windows[region] = size_bytes
 
@@ -347,7 +347,7 @@
             return ()
         return self._outbound[region], self._inbound[region]
 
-    def all(self) -> tuple[LinkPacer, ...]:
+    def all_pacers(self) -> tuple[LinkPacer, ...]:
         """Returns the pacers of both directions of every link."""
         return tuple(self._outbound.values()) + tuple(self._inbound.values())
 
@@ -358,7 +358,7 @@
             smallest = min(smallest, pacer.headroom(now_s=now_s))
         return smallest
 
-    def check(
+    def check_capacity(
         self,
         *,
         region: str,
@@ -383,7 +383,7 @@
         limit_s = min(MAX_QUEUE_DELAY_S, left_s)
         pacers = self.pacers(region=region)
         for pacer in pacers:
-            queue_s = pacer.queue_s(now_s=now_s)
+            queue_s = pacer.queue_delay_s(now_s=now_s)
             # Without a queue the link is not the bottleneck.
             if queue_s and queue_s > limit_s:
                 raise _link_full(region, queue_s, queue_s)
@@ -391,20 +391,20 @@
             return
         # A body that cannot arrive before its deadline would occupy the link to
         # no use.
-        carry_s = pacers[0].carry_s(
+        transfer_s = pacers[0].transfer_s(
             size_bytes=body_bytes, priority=priority, now_s=now_s
         )
-        if carry_s > left_s:
-            raise _link_full(region, carry_s, carry_s - left_s)
+        if transfer_s > left_s:
+            raise _link_full(region, transfer_s, transfer_s - left_s)
 
-    def transfer(
+    def make_transfer(
         self,
         *,
         region: str,
         priority: Priority,
         deadline_s: float,
         body_bytes: int,
-        kind: str,
+        response_kind: str,
     ) -> Transfer:
         """Returns the pacing of one attempt's bytes to and from a region.
 
@@ -413,23 +413,27 @@
           priority: priority of the request's class.
           deadline_s: the request's deadline, in monotonic seconds.
           body_bytes: size of the request's body, 0 if it is not known.
-          kind: one kind of request has responses of similar size.
+          response_kind: one kind of request has responses of similar size.
         """
         return Transfer(
             pacers=self.pacers(region=region),
             priority=priority,
             deadline_s=deadline_s,
             body_bytes=body_bytes,
-            answer_bytes=self._unread_response_bytes(region, kind),
+            response_bytes=self._unread_response_bytes(region, response_kind),
         )
 
-    def note_answer(self, *, kind: str, size_bytes: int) -> None:
+    def record_response_size(
+        self, *, response_kind: str, size_bytes: int
+    ) -> None:
         """Updates the expected response size of a kind of request."""
-        expected = self._response_bytes.get(kind)
+        expected = self._response_bytes.get(response_kind)
         if expected is None or size_bytes < expected:
-            self._response_bytes[kind] = size_bytes
+            self._response_bytes[response_kind] = size_bytes
             return
-        self._response_bytes[kind] += (size_bytes - expected) * SIZE_SMOOTHING
+        self._response_bytes[response_kind] += (
+            size_bytes - expected
+        ) * SIZE_SMOOTHING
 
 
 def _link_full(
--- a/almondstair/link_shares.py
+++ b/almondstair/link_shares.py
@@ -11,10 +11,10 @@
 from almondstair.core.loans import LoanRequest
 from almondstair.core.model import Configuration
 from almondstair.core.model import Link
+from almondstair.link_pacers import LinkPacer
+from almondstair.link_pacers import LinkPacers
+from almondstair.link_pacers import window_bytes
 from almondstair.messages import LinkEpoch
-from almondstair.pacing import LinkPacer
-from almondstair.pacing import LinkPacers
-from almondstair.pacing import window_bytes
 
 OUTBOUND = ">"
 INBOUND = "<"
@@ -59,7 +59,7 @@
             if region not in links:
                 self._remove(region)
         for region, link in links.items():
-            self._pacers.set_window(
+            self._pacers.set_window_bytes(
                 region=region,
                 size_bytes=window_bytes(
                     cap_bytes_per_s=link.cap_bytes_per_s,
@@ -84,7 +84,7 @@
         for share in self._shares.values():
             self._apply_table(share, from_platform)
 
-    def heard_epoch(self, *, entry: str, epoch: int) -> None:
+    def record_acknowledged_epoch(self, *, entry: str, epoch: int) -> None:
         """Records the epoch that another entry acknowledged."""
         self._acknowledged_epochs[entry] = epoch
         now_s = time.monotonic()
@@ -103,14 +103,14 @@
             return LinkEpoch(self._table.epoch)
         return LinkEpoch(lowest)
 
-    def ask(self) -> None:
+    def request_loans(self) -> None:
         """Requests loans from peers for shares that are too small."""
         now_s = time.monotonic()
         for share in self._shares.values():
             for request in share.next_loan_requests(now_s=now_s):
                 self._send(request.lender, request)
 
-    def lend(self, request: LoanRequest) -> None:
+    def handle_loan_request(self, request: LoanRequest) -> None:
         """Handles a peer's loan request."""
         share = self._shares.get(request.link)
         if share is None:
@@ -119,13 +119,13 @@
         if loan is not None:
             self._send(request.borrower, loan)
 
-    def accept(self, loan: Loan) -> None:
+    def accept_loan(self, loan: Loan) -> None:
         """Applies a loan from a peer."""
         share = self._shares.get(loan.link)
         if share is not None:
             share.accept(loan=loan, now_s=time.monotonic())
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Returns whether every link has a share above 0."""
         now_s = time.monotonic()
         for share in self._shares.values():
@@ -133,7 +133,7 @@
                 return False
         return True
 
-    def release(self) -> None:
+    def release_all(self) -> None:
         """Releases every share permanently."""
         now_s = time.monotonic()
         for share in self._shares.values():
@@ -142,8 +142,8 @@
     def _add(self, link: Link) -> None:
         self._pacers.add(
             region=link.region,
-            outward=LinkPacer(share=self._make_share(link, OUTBOUND)),
-            inward=LinkPacer(share=self._make_share(link, INBOUND)),
+            outbound=LinkPacer(share=self._make_share(link, OUTBOUND)),
+            inbound=LinkPacer(share=self._make_share(link, INBOUND)),
         )
 
     def _make_share(self, link: Link, direction: str) -> LinkShare:
--- a/almondstair/lookups.py
+++ b/almondstair/lookups.py
@@ -68,7 +68,7 @@
         )
         self._table = None
 
-    def answer(
+    def look_up(
         self, *, configuration: Configuration, service: str, caller_ip: str
     ) -> LookupBody:
         """Returns the entries for a caller.
--- a/almondstair/operator_views.py
+++ b/almondstair/operator_views.py
@@ -15,13 +15,13 @@
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 from almondstair.heartbeats import Heartbeats
+from almondstair.link_pacers import LinkPacers
 from almondstair.operators import CheckRequest
 from almondstair.operators import EditAnswer
 from almondstair.operators import EditRequest
 from almondstair.operators import MarkRequest
 from almondstair.operators import OperatorHandler
-from almondstair.pacing import LinkPacers
-from almondstair.running import Runner
+from almondstair.runner import Runner
 from almondstair.settings import read_configuration
 from almondstair.table_keeper import TableKeeper
 
@@ -147,7 +147,7 @@
             if row is not None:
                 # Includes work of former homes until it must have ended.
                 in_flight = row.in_flight + row.busy_elsewhere
-        sent_s = self._parts.runner.last_new_work_s.get(name)
+        sent_s = self._parts.runner.last_dispatch_s.get(name)
         return {
             "name": name,
             "home": home,
--- a/almondstair/settling.py
+++ b/almondstair/outcome_writer.py
@@ -11,7 +11,7 @@
 # Limits on the outcomes kept during an outage of the service and on their
 # response bodies; the bodies may take an eighth of an entry's 128 MB.
 MAX_PENDING = 10_000
-MAX_UNSETTLED_BODY_BYTES = 16 << 20
+MAX_PENDING_BODY_BYTES = 16 << 20
 # Outcomes in one round; one call to the service carries as many.
 MAX_WRITES_PER_ROUND = base.MAX_BATCH
 # Timeout of one write; long, since no caller waits for it.
@@ -27,12 +27,12 @@
 ]
 
 
-class Settling:
+class OutcomeWriter:
     """Buffers outcomes and writes them to the service in batches.
 
     Attributes:
       dropped: outcomes dropped because the memory limit was reached.
-      overtaken: outcomes whose key holds another claim.
+      superseded: outcomes whose key holds another claim.
     """
 
     def __init__(
@@ -60,16 +60,18 @@
         self._attempted: dict[bytes, asyncio.Event] = {}
         self._flush_requested = asyncio.Event()
         self.dropped = 0
-        self.overtaken = 0
+        self.superseded = 0
 
     @property
-    def unsettled(self) -> int:
+    def pending_count(self) -> int:
         """Number of outcomes that are not written to the service yet."""
         return len(self._pending)
 
-    def outcome(self, *, place: str) -> idempotency.ClaimRecord | None:
+    def pending_outcome(
+        self, *, store_key: str
+    ) -> idempotency.ClaimRecord | None:
         """Returns the pending outcome of a key, None if there is none."""
-        return self._outcomes.get(place)
+        return self._outcomes.get(store_key)
 
     def is_released(self, *, nonce: bytes) -> bool:
         """Returns whether the release of a claim is pending."""
@@ -78,13 +80,17 @@
             return False
         return recording.record.state is idempotency.RecordState.RELEASED
 
-    def settle(
-        self, *, place: str, record: idempotency.ClaimRecord, mod_revision: int
+    def enqueue(
+        self,
+        *,
+        store_key: str,
+        record: idempotency.ClaimRecord,
+        mod_revision: int,
     ) -> None:
         """Queues an outcome to be written; returns at once.
 
         Args:
-          place: key of the record in the service.
+          store_key: key of the record in the service.
           record: the record with its outcome.
           mod_revision: revision that the write is conditional on.
         """
@@ -93,25 +99,22 @@
             self.dropped += 1
             return
         size_bytes = _body_size_bytes(record) + self._pending_body_bytes
-        if (
-            record.response is not None
-            and size_bytes > MAX_UNSETTLED_BODY_BYTES
-        ):
+        if record.response is not None and size_bytes > MAX_PENDING_BODY_BYTES:
             record = record._replace(
                 response=record.response._replace(body=None)
             )
         self._pending_body_bytes += _body_size_bytes(record)
         self._pending[record.nonce] = idempotency.OutcomeRecording(
-            store_key=place, record=record, mod_revision=mod_revision
+            store_key=store_key, record=record, mod_revision=mod_revision
         )
         if record.state is not idempotency.RecordState.RELEASED:
-            self._outcomes[place] = record
+            self._outcomes[store_key] = record
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(
                 self._write_all()
             )
 
-    async def until_tried(self, *, nonce: bytes, until_s: float) -> bool:
+    async def wait_for_attempt(self, *, nonce: bytes, until_s: float) -> bool:
         """Writes an outcome without delay and waits for the write's result.
 
         Returns:
@@ -198,7 +201,7 @@
                 return False
             state = recording.on_write(result)
         if state is idempotency.OutcomeRecordingState.SUPERSEDED:
-            self.overtaken += 1
+            self.superseded += 1
         self._remove(recording)
         return True
 
--- a/almondstair/probing.py
+++ b/almondstair/prober.py
@@ -14,26 +14,26 @@
 from almondstair.core.admission import SlotTable
 from almondstair.core.admission_records import UpstreamReport
 from almondstair.core.model import Configuration
-from almondstair.http_client import AnswerSink
+from almondstair.http_client import ExchangeOutcome
 from almondstair.http_client import HttpClient
-from almondstair.http_client import Sent
+from almondstair.http_client import ResponseSink
 from almondstair.http_messages import ResponseHead
 
 PROBE_TIMEOUT_S = 2.0
 MAX_RESPONSE_BYTES = 4096
 
 
-class _BufferedResponse(AnswerSink):
+class _BufferedResponse(ResponseSink):
     """Buffers a short response."""
 
     def __init__(self) -> None:
         self.status = 0
         self.body = b""
 
-    def head(self, head: ResponseHead) -> None:
+    def receive_head(self, head: ResponseHead) -> None:
         self.status = head.status
 
-    async def data(self, chunk: bytes) -> None:
+    async def receive_data(self, chunk: bytes) -> None:
         if len(self.body) + len(chunk) <= MAX_RESPONSE_BYTES:
             self.body += chunk
 
@@ -57,7 +57,7 @@
         self._interval_s = interval_s
         self._in_flight: dict[str, asyncio.Task[None]] = {}
 
-    def start_due(self, *, configuration: Configuration) -> None:
+    def start_due_probes(self, *, configuration: Configuration) -> None:
         """Starts the probes that are due."""
         for row in self._slots.status(now_s=time.monotonic()):
             age_s = row.report_age_s
@@ -106,7 +106,10 @@
             body=body,
             sink=response,
         )
-        if exchange.sent is not Sent.WHOLE or response.status != 200:
+        if (
+            exchange.outcome is not ExchangeOutcome.COMPLETE
+            or response.status != 200
+        ):
             return None
         try:
             return _decode_report(response.body)
--- a/almondstair/answers.py
+++ b/almondstair/responses.py
@@ -9,9 +9,9 @@
 from tornado import iostream
 
 from almondstair.errors import AlmondstairError
-from almondstair.http_client import AnswerSink
 from almondstair.http_client import Pace
-from almondstair.http_client import no_pace
+from almondstair.http_client import ResponseSink
+from almondstair.http_client import unlimited_pace
 from almondstair.http_messages import LOAD_HEADER
 from almondstair.http_messages import ResponseHead
 from almondstair.http_messages import end_to_end_headers
@@ -22,16 +22,16 @@
 _NO_CONTENT = 204
 
 
-class AnswerState(enum.Enum):
+class ResponseState(enum.Enum):
     """How much of a response has been sent."""
 
     NOTHING = "nothing"
     STARTED = "started"
     FINISHED = "finished"
-    CUT = "cut"
+    TRUNCATED = "cut"
 
 
-class Answer(AnswerSink, abc.ABC):
+class Response(ResponseSink, abc.ABC):
     """Buffers a small response and streams a large one.
 
     A small response is sent in one write when it is complete, so that the
@@ -41,16 +41,16 @@
 
     Attributes:
       state: how much has been sent.
-      caller_gone: whether the receiver disconnected; further data
+      caller_disconnected: whether the receiver disconnected; further data
         is buffered for the record of a claim, or dropped.
       pace: awaited with a size in bytes before body bytes are processed.
     """
 
     def __init__(self) -> None:
         """Creates a response of which nothing is sent."""
-        self.state = AnswerState.NOTHING
-        self.caller_gone = False
-        self.pace: Pace = no_pace
+        self.state = ResponseState.NOTHING
+        self.caller_disconnected = False
+        self.pace: Pace = unlimited_pace
         self._head: ResponseHead | None = None
         self._buffered: list[bytes] = []
         self._buffered_bytes = 0
@@ -77,11 +77,11 @@
         return self._head.status if self._head is not None else 0
 
     @property
-    def untouched(self) -> bool:
+    def nothing_sent(self) -> bool:
         """Whether nothing has been sent yet."""
-        return self.state is AnswerState.NOTHING
+        return self.state is ResponseState.NOTHING
 
-    def head(self, head: ResponseHead) -> None:
+    def receive_head(self, head: ResponseHead) -> None:
         """Buffers the head until it is known whether the response is small.
 
         Removes the headers that entries use among themselves. Otherwise an
@@ -93,7 +93,7 @@
             del headers[LOAD_HEADER]
         self._head = head._replace(headers=headers)
 
-    async def data(self, chunk: bytes) -> None:
+    async def receive_data(self, chunk: bytes) -> None:
         """Buffers a chunk of the body, or sends it."""
         size_bytes = await self.pace(len(chunk))
         while size_bytes < len(chunk):
@@ -103,19 +103,25 @@
         await self._buffer_or_send(chunk)
 
     async def _buffer_or_send(self, chunk: bytes) -> None:
-        if self.caller_gone and self._buffered_bytes >= BUFFER_LIMIT_BYTES:
+        if (
+            self.caller_disconnected
+            and self._buffered_bytes >= BUFFER_LIMIT_BYTES
+        ):
             return
-        if self.state is AnswerState.STARTED:
+        if self.state is ResponseState.STARTED:
             await self._send(self.write_chunk(chunk))
             return
         self._buffered.append(chunk)
         self._buffered_bytes += len(chunk)
-        if self._buffered_bytes >= BUFFER_LIMIT_BYTES and not self.caller_gone:
+        if (
+            self._buffered_bytes >= BUFFER_LIMIT_BYTES
+            and not self.caller_disconnected
+        ):
             await self._send(self._flush())
 
-    def held_answer(self) -> tuple[ResponseHead, bytes] | None:
+    def buffered_response(self) -> tuple[ResponseHead, bytes] | None:
         """Returns the response if it is buffered completely, else None."""
-        if self._head is None or self.state is not AnswerState.NOTHING:
+        if self._head is None or self.state is not ResponseState.NOTHING:
             return None
         if self._buffered_bytes >= BUFFER_LIMIT_BYTES:
             return None
@@ -129,19 +135,19 @@
 
     async def complete(self) -> None:
         """Sends buffered data and ends the response."""
-        if self.state is AnswerState.NOTHING and not self.caller_gone:
+        if self.state is ResponseState.NOTHING and not self.caller_disconnected:
             await self._send(self._flush())
         self._finish()
 
-    def problem(self, error: AlmondstairError) -> None:
+    def send_problem(self, error: AlmondstairError) -> None:
         """Sends an error as the response.
 
         If part of another response has been sent, closes the connection
         instead, so that the caller cannot take that part for a complete one.
         """
-        if self.state is AnswerState.STARTED:
+        if self.state is ResponseState.STARTED:
             self.abort()
-        if self.state is not AnswerState.NOTHING or self.caller_gone:
+        if self.state is not ResponseState.NOTHING or self.caller_disconnected:
             return
         self.reset()
         body = problem_body(error=error)
@@ -158,30 +164,30 @@
 
     def abort(self) -> None:
         """Closes the connection so that the caller detects the truncation."""
-        if self.state in (AnswerState.FINISHED, AnswerState.CUT):
+        if self.state in (ResponseState.FINISHED, ResponseState.TRUNCATED):
             return
-        self.state = AnswerState.CUT
+        self.state = ResponseState.TRUNCATED
         self.close_connection()
 
     def _flush(self) -> Awaitable[None]:
         assert self._head is not None
         chunk = b"".join(self._buffered)
-        self.state = AnswerState.STARTED
+        self.state = ResponseState.STARTED
         return self.write_head(self._head, chunk)
 
     def _finish(self) -> None:
-        if self.state is AnswerState.STARTED:
-            self.state = AnswerState.FINISHED
+        if self.state is ResponseState.STARTED:
+            self.state = ResponseState.FINISHED
             self.write_end()
 
     async def _send(self, write: Awaitable[None]) -> None:
         try:
             await write
         except iostream.StreamClosedError:
-            self.caller_gone = True
+            self.caller_disconnected = True
 
 
-class ConnectionAnswer(Answer):
+class ConnectionResponse(Response):
     """Sends a response over a connection of the HTTP server."""
 
     def __init__(
--- a/almondstair/running.py
+++ b/almondstair/runner.py
@@ -8,7 +8,6 @@
 from tornado import httputil
 
 from almondstair import log
-from almondstair.admitting import SlotKeeper
 from almondstair.calls import Call
 from almondstair.claims import Claims
 from almondstair.core import idempotency
@@ -24,30 +23,31 @@
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 from almondstair.errors import Ran
+from almondstair.http_client import ExchangeOutcome
 from almondstair.http_client import Pace
-from almondstair.http_client import Sent
 from almondstair.http_messages import LOAD_HEADER
 from almondstair.http_messages import ResponseHead
 from almondstair.metrics import Metric
 from almondstair.metrics import Metrics
+from almondstair.slot_allocator import SlotAllocator
 
 # Upstreams that one entry tries for one call. A further one is tried only if
 # the request certainly did not run, and a refusal costs an upstream little.
 # More than two, since several upstreams of a lost rack may not be detected yet.
 MAX_UPSTREAMS_PER_CALL = 3
-SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 # Time for an upstream to notice that its connection was closed.
 CANCEL_GRACE_S = 0.02
 
 
-class Core(NamedTuple):
+class RunnerState(NamedTuple):
     """Holds the state that dispatches read and update.
 
     Attributes:
       configuration: returns the configuration in force.
       quarantine: requests that crashed upstreams.
       health: health of each upstream, derived from responses.
-      on_strike: reports a strike to the other entries at once. If it
+      report_strike: reports a strike to the other entries at once. If it
         waited for the next heartbeat, an immediate retry by the caller through
         another entry would crash one more upstream.
     """
@@ -55,10 +55,10 @@
     configuration: Callable[[], Configuration]
     quarantine: Quarantine
     health: HealthTable
-    on_strike: Callable[[], None]
+    report_strike: Callable[[], None]
 
 
-class Work(NamedTuple):
+class RunnerJob(NamedTuple):
     """Holds a call to run, with what the runner needs to run it.
 
     Attributes:
@@ -80,21 +80,21 @@
     def __init__(
         self,
         *,
-        core: Core,
-        keeper: SlotKeeper,
+        core: RunnerState,
+        allocator: SlotAllocator,
         claims: Claims,
         sender: Sender,
         metrics: Metrics,
     ) -> None:
         """Creates a runner with no request in flight."""
         self._core = core
-        self._keeper = keeper
+        self._allocator = allocator
         self._claims = claims
         self._sender = sender
         self._metrics = metrics
-        self.last_new_work_s: dict[str, float] = {}
+        self.last_dispatch_s: dict[str, float] = {}
 
-    async def run(self, work: Work) -> AlmondstairError | None:
+    async def run(self, job: RunnerJob) -> AlmondstairError | None:
         """Runs a call at one of this entry's upstreams.
 
         Returns:
@@ -104,11 +104,11 @@
         Raises:
           AlmondstairError: the call was refused before any dispatch.
         """
-        call = work.call
-        admission = await self._acquire_slot(work, frozenset())
+        call = job.call
+        admission = await self._acquire_slot(job, frozenset())
         if not call.head.key:
-            call.answer.admitted.set()
-            return await self._dispatch(work, admission, None)
+            call.response.admitted.set()
+            return await self._dispatch(job, admission, None)
         claim = None
         try:
             found = await self._claim_key(call)
@@ -119,29 +119,29 @@
         finally:
             if claim is None:
                 self._release_slot(call, admission, Outcome.CANCELLED)
-        call.answer.admitted.set()
+        call.response.admitted.set()
         try:
-            return await self._dispatch(work, admission, claim)
+            return await self._dispatch(job, admission, claim)
         finally:
             await self._end_claim(call, claim)
 
     async def _acquire_slot(
-        self, work: Work, excluded: frozenset[str]
+        self, job: RunnerJob, excluded: frozenset[str]
     ) -> Admission:
-        head = work.call.head
-        if work.verdict is DispatchVerdict.ISOLATED:
+        head = job.call.head
+        if job.verdict is DispatchVerdict.ISOLATED:
             excluded = excluded | self._busy_upstreams()
-        return await self._keeper.take(
+        return await self._allocator.acquire(
             service=head.service,
             request_class=head.request_class,
             deadline_s=head.deadline_s,
-            avoid=excluded,
+            excluded=excluded,
         )
 
     def _busy_upstreams(self) -> frozenset[str]:
         """Returns the upstreams with work that a crash would end as well."""
         names = []
-        for row in self._keeper.slots.status(now_s=time.monotonic()):
+        for row in self._allocator.slots.status(now_s=time.monotonic()):
             if row.in_flight or row.busy_elsewhere:
                 names.append(row.name)
         return frozenset(names)
@@ -162,7 +162,7 @@
         self._metrics.count(Metric.CLAIMS, "claimed")
         return found
 
-    async def answer_repeat(self, call: Call) -> bool:
+    async def replay_recorded_response(self, call: Call) -> bool:
         """Responds to a refused call with the recorded response of its key.
 
         Returns:
@@ -173,7 +173,7 @@
           AlmondstairError: `claim_in_flight`, `outcome_unknown` or
             `key_reused`.
         """
-        found = await self._claims.look(
+        found = await self._claims.look_up(
             service=call.head.service,
             key=call.head.key,
             fingerprint=_claim_fingerprint(call),
@@ -193,11 +193,11 @@
         body = found.body or b""
         headers["Content-Length"] = str(len(body))
         reason = httputil.responses.get(found.status, "Unknown")
-        call.answer.head(ResponseHead(found.status, reason, headers))
+        call.response.receive_head(ResponseHead(found.status, reason, headers))
         if body:
-            await call.answer.data(body)
+            await call.response.receive_data(body)
         call.progress.try_answer()
-        await call.answer.complete()
+        await call.response.complete()
 
     async def _end_claim(self, call: Call, claim: idempotency.Claim) -> None:
         """Ends a claim that is still open when its call ends."""
@@ -209,41 +209,45 @@
         if not call.progress.may_have_run:
             await self._claims.release(claim)
             return
-        await self._claims.record_unknown(claim)
+        await self._claims.record_unknown_outcome(claim)
 
     async def _dispatch(
-        self, work: Work, admission: Admission, claim: idempotency.Claim | None
+        self,
+        job: RunnerJob,
+        admission: Admission,
+        claim: idempotency.Claim | None,
     ) -> AlmondstairError | None:
-        call = work.call
+        call = job.call
         excluded: frozenset[str] = frozenset()
         for attempts_left in reversed(range(MAX_UPSTREAMS_PER_CALL)):
-            attempt = await self._attempt(work, admission, claim)
+            attempt = await self._attempt(job, admission, claim)
             error = attempt.error
             if error is None:
-                self._core.quarantine.record_answer(
-                    fingerprint=work.fingerprint
-                )
+                self._core.quarantine.record_answer(fingerprint=job.fingerprint)
                 await self._complete_response(call, attempt, claim)
                 return None
-            self._record_failure(work, admission.upstream, attempt)
-            if attempt.exchange.sent not in _NOT_RUN:
+            self._record_failure(job, admission.upstream, attempt)
+            if attempt.exchange.outcome not in _NOT_RUN:
                 return error
-            if not call.answer.untouched or not call.body.replayable:
+            if not call.response.nothing_sent or not call.body.replayable:
                 return error
             if not attempts_left:
                 return error
             excluded = excluded | {admission.upstream}
-            call.answer.reset()
+            call.response.reset()
             try:
-                admission = await self._acquire_slot(work, excluded)
+                admission = await self._acquire_slot(job, excluded)
             except AlmondstairError as refusal:
                 return refusal
         return None
 
     async def _attempt(
-        self, work: Work, admission: Admission, claim: idempotency.Claim | None
+        self,
+        job: RunnerJob,
+        admission: Admission,
+        claim: idempotency.Claim | None,
     ) -> Attempt:
-        call = work.call
+        call = job.call
         name = admission.upstream
         upstream = self._core.configuration().upstreams[name]
         outcome = Outcome.CANCELLED
@@ -251,7 +255,7 @@
 
         def may_write() -> bool:
             now_s = time.monotonic()
-            if not self._keeper.slots.may_still_run(
+            if not self._allocator.slots.may_still_run(
                 admission=admission, now_s=now_s
             ):
                 return False
@@ -263,30 +267,30 @@
             return True
 
         started_s = time.monotonic()
-        stalled_s = self._stalled_s()
-        self.last_new_work_s[name] = started_s
+        stall_s = self._stall_s()
+        self.last_dispatch_s[name] = started_s
         try:
-            attempt = await self._sender.to_upstream(
+            attempt = await self._sender.send_to_upstream(
                 call=call,
                 name=name,
                 upstream=upstream,
                 may_write=may_write,
-                pace=work.pace,
+                pace=job.pace,
             )
-            outcome = _OUTCOMES[attempt.exchange.sent]
-            finished = attempt.exchange.sent in _ENDED_AT_UPSTREAM
+            outcome = _SLOT_OUTCOMES[attempt.exchange.outcome]
+            finished = attempt.exchange.outcome in _ENDED_AT_UPSTREAM
             self._apply_reported_load(name, attempt)
         finally:
             self._release_slot(call, admission, outcome, finished=finished)
         attempt = attempt._replace(
-            started_s=started_s, still_s=self._stalled_s() - stalled_s
+            started_s=started_s, stall_s=self._stall_s() - stall_s
         )
         self._record_health(name, attempt, call.head.request_class.name)
         return attempt
 
-    def _stalled_s(self) -> float:
-        standstill = self._keeper.slots.loop_stall
-        return standstill.total_s(now_s=time.monotonic())
+    def _stall_s(self) -> float:
+        loop_stall = self._allocator.slots.loop_stall
+        return loop_stall.total_s(now_s=time.monotonic())
 
     def _release_slot(
         self,
@@ -304,11 +308,11 @@
         """
 
         def release() -> None:
-            self._keeper.give_back(
+            self._allocator.release(
                 admission=admission,
                 outcome=outcome,
-                over=True,
-                work=call.head.request_class.name,
+                finished=True,
+                class_name=call.head.request_class.name,
             )
 
         if finished:
@@ -322,12 +326,12 @@
         if claim is not None:
             await self._record_response(call, attempt, claim)
         if call.progress.try_answer():
-            await call.answer.complete()
+            await call.response.complete()
 
     async def _record_response(
         self, call: Call, attempt: Attempt, claim: idempotency.Claim
     ) -> None:
-        buffered = call.answer.held_answer()
+        buffered = call.response.buffered_response()
         head = attempt.exchange.head
         assert head is not None
         body = None
@@ -338,7 +342,7 @@
             headers=list(head.headers.get_all()),
             body=body,
         )
-        await self._claims.record(claim, recorded)
+        await self._claims.record_response(claim, recorded)
 
     def _apply_reported_load(self, name: str, attempt: Attempt) -> None:
         """Applies the load in a response while its slot is still held.
@@ -351,9 +355,9 @@
         head = attempt.exchange.head
         if head is None:
             return
-        report = read_load(head.headers.get(LOAD_HEADER, ""))
+        report = parse_load_header(head.headers.get(LOAD_HEADER, ""))
         if report is not None:
-            self._keeper.slots.record_upstream_report(
+            self._allocator.slots.record_upstream_report(
                 upstream=name, report=report, now_s=time.monotonic()
             )
 
@@ -365,7 +369,7 @@
         head = attempt.exchange.head
         if head is None or attempt.error is not None:
             return
-        if head.status >= SERVER_ERROR:
+        if head.status >= MIN_SERVER_ERROR_STATUS:
             self._core.health.record_failure(name=name, now_s=now_s)
             return
         self._core.health.record_answer(
@@ -373,18 +377,20 @@
             request_class=request_class,
             latency_ms=latency_ms,
             now_s=now_s,
-            stall_ms=attempt.still_s * 1000,
+            stall_ms=attempt.stall_s * 1000,
         )
 
-    def _record_failure(self, work: Work, name: str, attempt: Attempt) -> None:
-        call = work.call
+    def _record_failure(
+        self, job: RunnerJob, name: str, attempt: Attempt
+    ) -> None:
+        call = job.call
         now_s = time.monotonic()
-        sent = attempt.exchange.sent
-        if sent is Sent.NOT_SENT:
+        sent = attempt.exchange.outcome
+        if sent is ExchangeOutcome.NOT_SENT:
             log.event(log.Event.UPSTREAM_UNREACHABLE, upstream=name)
             self._core.health.record_failure(name=name, now_s=now_s)
             return
-        if sent is Sent.REFUSED:
+        if sent is ExchangeOutcome.REFUSED:
             self._core.health.record_refusal(name=name, now_s=now_s)
             return
         if sent in _NOT_UPSTREAM_FAULT:
@@ -399,32 +405,42 @@
             service=call.head.service,
             request_class=call.head.request_class.name,
         )
-        if sent is Sent.LOST:
+        if sent is ExchangeOutcome.CONNECTION_LOST:
             self._core.quarantine.record_strike(
-                fingerprint=work.fingerprint,
+                fingerprint=job.fingerprint,
                 upstream=name,
                 ran_s=now_s - attempt.started_s,
                 now_s=now_s,
             )
-            self._core.on_strike()
+            self._core.report_strike()
 
 
 # Outcomes after which the request does not run at its upstream.
-_NOT_RUN = frozenset((Sent.NOT_SENT, Sent.TOO_LATE, Sent.REFUSED))
-_ENDED_AT_UPSTREAM = _NOT_RUN | {Sent.WHOLE}
+_NOT_RUN = frozenset(
+    (
+        ExchangeOutcome.NOT_SENT,
+        ExchangeOutcome.TOO_LATE,
+        ExchangeOutcome.REFUSED,
+    )
+)
+_ENDED_AT_UPSTREAM = _NOT_RUN | {ExchangeOutcome.COMPLETE}
 # Outcomes caused by the caller or this entry, not by the upstream.
 _NOT_UPSTREAM_FAULT = frozenset(
-    (Sent.CALLER_GONE, Sent.WITHDRAWN, Sent.TOO_LATE)
+    (
+        ExchangeOutcome.SENDER_DISCONNECTED,
+        ExchangeOutcome.CANCELLED,
+        ExchangeOutcome.TOO_LATE,
+    )
 )
-_OUTCOMES = {
-    Sent.WHOLE: Outcome.ANSWERED,
-    Sent.NOT_SENT: Outcome.FAILED,
-    Sent.TOO_LATE: Outcome.CANCELLED,
-    Sent.REFUSED: Outcome.REFUSED,
-    Sent.LOST: Outcome.FAILED,
-    Sent.CUT: Outcome.FAILED,
-    Sent.CALLER_GONE: Outcome.CANCELLED,
-    Sent.WITHDRAWN: Outcome.CANCELLED,
+_SLOT_OUTCOMES = {
+    ExchangeOutcome.COMPLETE: Outcome.ANSWERED,
+    ExchangeOutcome.NOT_SENT: Outcome.FAILED,
+    ExchangeOutcome.TOO_LATE: Outcome.CANCELLED,
+    ExchangeOutcome.REFUSED: Outcome.REFUSED,
+    ExchangeOutcome.CONNECTION_LOST: Outcome.FAILED,
+    ExchangeOutcome.TRUNCATED: Outcome.FAILED,
+    ExchangeOutcome.SENDER_DISCONNECTED: Outcome.CANCELLED,
+    ExchangeOutcome.CANCELLED: Outcome.CANCELLED,
 }
 
 
@@ -436,7 +452,7 @@
     )
 
 
-def read_load(value: str) -> UpstreamReport | None:
+def parse_load_header(value: str) -> UpstreamReport | None:
     """Parses an upstream's load header, `slots=4;busy=1;draining=0`.
 
     Returns:
@@ -457,7 +473,9 @@
     )
 
 
-def unknown_if_run(error: AlmondstairError, *, call: Call) -> AlmondstairError:
+def mark_outcome_unknown(
+    error: AlmondstairError, *, call: Call
+) -> AlmondstairError:
     """Returns the error with `ran` unknown if the call may have run."""
     if error.ran is not Ran.NO or not call.progress.may_have_run:
         return error
--- a/almondstair/admitting.py
+++ b/almondstair/slot_allocator.py
@@ -15,7 +15,7 @@
 _Result = Admission | Refusal
 
 
-class SlotKeeper:
+class SlotAllocator:
     """Runs the admission queues of all services on the event loop."""
 
     def __init__(self, *, slots: SlotTable) -> None:
@@ -25,13 +25,13 @@
         self._futures: dict[tuple[str, int], asyncio.Future[_Result]] = {}
         self._timers: dict[str, asyncio.TimerHandle] = {}
 
-    async def take(
+    async def acquire(
         self,
         *,
         service: str,
         request_class: RequestClass,
         deadline_s: float,
-        avoid: frozenset[str],
+        excluded: frozenset[str],
     ) -> Admission:
         """Acquires a slot, queueing for a short time if none is free.
 
@@ -39,7 +39,7 @@
           service: name of the service.
           request_class: class of the request.
           deadline_s: the request's deadline, in monotonic seconds.
-          avoid: names of upstreams to exclude.
+          excluded: names of upstreams to exclude.
 
         Raises:
           AlmondstairError: `no_slot`, `no_upstream` or `deadline_passed`.
@@ -49,7 +49,7 @@
             priority=request_class.priority,
             deadline_s=deadline_s,
             now_s=time.monotonic(),
-            excluded=avoid,
+            excluded=excluded,
         )
         if isinstance(result, QueuedRequest):
             result = await self._wait(service, queue, result)
@@ -59,40 +59,45 @@
             )
         return result
 
-    def give_back(
-        self, *, admission: Admission, outcome: Outcome, over: bool, work: str
+    def release(
+        self,
+        *,
+        admission: Admission,
+        outcome: Outcome,
+        finished: bool,
+        class_name: str,
     ) -> None:
         """Releases a slot and admits the next queued request.
 
         Args:
           admission: the acquired slot.
           outcome: how the request ended.
-          over: whether the request surely no longer runs upstream.
-          work: name of the request class, whose latencies are
+          finished: whether the request surely no longer runs upstream.
+          class_name: name of the request class, whose latencies are
             compared with each other.
         """
         self.slots.release(
             admission=admission,
             outcome=outcome,
             now_s=time.monotonic(),
-            connection_closed=over,
-            work=work,
+            connection_closed=finished,
+            work=class_name,
         )
-        self.advance(admission.service)
+        self.process_queue(admission.service)
 
-    def advance(self, service: str) -> None:
+    def process_queue(self, service: str) -> None:
         """Admits or refuses queued requests of a service after a change."""
         queue = self._queue(service)
         for decision in queue.advance(now_s=time.monotonic()):
             self._resolve(service, decision.number, decision.result)
         self._set_timer(service, queue)
 
-    def advance_all(self) -> None:
+    def process_all_queues(self) -> None:
         """Admits or refuses queued requests of every service."""
         for service in self._queues:
-            self.advance(service)
+            self.process_queue(service)
 
-    def waiting(self) -> int:
+    def queued_requests(self) -> int:
         """Returns the number of queued requests."""
         return len(self._futures)
 
@@ -109,7 +114,7 @@
         key = (service, queued.number)
         future = asyncio.get_running_loop().create_future()
         self._futures[key] = future
-        self.advance(service)
+        self.process_queue(service)
         try:
             return await future
         except asyncio.CancelledError:
@@ -128,11 +133,11 @@
             return
         result = future.result()
         if isinstance(result, Admission):
-            self.give_back(
+            self.release(
                 admission=result,
                 outcome=Outcome.CANCELLED,
-                over=True,
-                work="",
+                finished=True,
+                class_name="",
             )
 
     def _resolve(self, service: str, number: int, result: _Result) -> None:
@@ -156,5 +161,5 @@
             return
         delay_s = max(0.0, due_s - time.monotonic())
         self._timers[service] = asyncio.get_running_loop().call_later(
-            delay_s, self.advance, service
+            delay_s, self.process_queue, service
         )
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -86,8 +86,8 @@
         is_live=lambda entry, incarnation: True,
         retention_s=3600,
         max_batch=way.max_batch,
-        max_under_way=way.max_under_way,
-        settle_delay_s=way.settle_delay_s,
+        max_in_flight=way.max_under_way,
+        batch_delay_s=way.settle_delay_s,
     )
     latencies_us = HdrHistogram(1, 60_000_000, 3)
     refused = 0
@@ -110,7 +110,7 @@
             raise TypeError("a key was used twice")
         claim.dispatch(now_s=time.monotonic())
         await asyncio.sleep(WORK_S)
-        await claims.record(claim, ANSWER)
+        await claims.record_response(claim, ANSWER)
 
     await request(-1)
     await claims.drain(timeout_s=10)
--- a/benchmarks/delayed_daemon.py
+++ b/benchmarks/delayed_daemon.py
@@ -20,14 +20,14 @@
 
 def delay_forwards(*, one_way_ms: float) -> None:
     """Makes forwards to another availability zone wait."""
-    forward = Sender.to_entry
+    forward = Sender.forward_to_entry
 
     async def delayed(self: Sender, *, entry: EntryRow, **rest: Any) -> Attempt:
         if entry.availability_zone != self._own_zone:
             await asyncio.sleep(2 * one_way_ms / 1000)
         return await forward(self, entry=entry, **rest)
 
-    Sender.to_entry = delayed  # type: ignore[method-assign]
+    Sender.forward_to_entry = delayed  # type: ignore[method-assign]
 
 
 def main() -> None:
--- a/benchmarks/hops.py
+++ b/benchmarks/hops.py
@@ -22,8 +22,8 @@
 from tornado import httputil
 
 from almondstair.body import RequestBody
-from almondstair.http_client import AnswerSink
 from almondstair.http_client import HttpClient
+from almondstair.http_client import ResponseSink
 from almondstair.http_messages import ResponseHead
 from features.support.deployment import Deployment
 from features.support.deployment import Shape
@@ -195,13 +195,13 @@
 # The client libraries, each against the upstream, CPU of this process.
 
 
-class _Nothing(AnswerSink):
+class _Nothing(ResponseSink):
     """Drops an answer."""
 
-    def head(self, head: ResponseHead) -> None:
+    def receive_head(self, head: ResponseHead) -> None:
         del head
 
-    async def data(self, chunk: bytes) -> None:
+    async def receive_data(self, chunk: bytes) -> None:
         del chunk
 
 
--- a/features/steps/ledger_steps.py
+++ b/features/steps/ledger_steps.py
@@ -9,7 +9,7 @@
 from behave import when
 
 from almondstair import claims as claims_module
-from almondstair import settling
+from almondstair import outcome_writer
 from almondstair.core import idempotency
 from almondstair.errors import AlmondstairError
 from almondstair.key_value import base
@@ -130,7 +130,9 @@
 
 @given("room for {size_bytes:d} bytes of outcomes")
 def room(context, size_bytes):
-    patch = mock.patch.object(settling, "MAX_UNSETTLED_BODY_BYTES", size_bytes)
+    patch = mock.patch.object(
+        outcome_writer, "MAX_PENDING_BODY_BYTES", size_bytes
+    )
     patch.start()
     context.add_cleanup(patch.stop)
 
@@ -178,7 +180,7 @@
         status=200, headers=[], body=b"x" * size_bytes
     )
     for one in context.together[:count]:
-        run(context, context.claims[entry].record(one, answer))
+        run(context, context.claims[entry].record_response(one, answer))
 
 
 @when('the record is moved to the place of the key "{key}"')
@@ -208,7 +210,10 @@
         headers=[("Content-Type", "text/plain"), ("Server", "x")],
         body=body.encode(),
     )
-    run(context, context.claims[entry].record(context.held[entry], answer))
+    run(
+        context,
+        context.claims[entry].record_response(context.held[entry], answer),
+    )
 
 
 @when("entry {entry:w} records an answer of {size_bytes:d} bytes")
@@ -216,12 +221,18 @@
     answer = idempotency.recorded_response(
         status=200, headers=[], body=bytes(size_bytes)
     )
-    run(context, context.claims[entry].record(context.held[entry], answer))
+    run(
+        context,
+        context.claims[entry].record_response(context.held[entry], answer),
+    )
 
 
 @when("entry {entry:w} loses the answer")
 def loses(context, entry):
-    run(context, context.claims[entry].record_unknown(context.held[entry]))
+    run(
+        context,
+        context.claims[entry].record_unknown_outcome(context.held[entry]),
+    )
 
 
 @when("entry {entry:w} releases")
@@ -245,8 +256,8 @@
 @when("the outcomes reach the service")
 def outcomes_reach(context):
     for one in context.claims.values():
-        assert run(context, one.drain(timeout_s=5)), one.counts
-        assert one.counts.unsettled == 0, one.counts
+        assert run(context, one.drain(timeout_s=5)), one.counters
+        assert one.counters.pending == 0, one.counters
 
 
 @when("the late write arrives")
--- a/features/steps/standing_still_steps.py
+++ b/features/steps/standing_still_steps.py
@@ -8,11 +8,11 @@
 from behave import then
 from behave import when
 
-from almondstair import running
+from almondstair import runner
 from almondstair.core.admission_records import Outcome
 from almondstair.core.loop_stall import TICK_INTERVAL_S
 from almondstair.dispatch import Sender
-from almondstair.http_client import no_pace
+from almondstair.http_client import unlimited_pace
 from almondstair.tracing import Tracing
 
 # Usual time of the requests of `Bench`.
@@ -77,12 +77,12 @@
     tracing = Tracing(
         exporter="none", file="", sample_fraction=0.0, entry_name=ENTRY
     )
-    attempt = await Sender(tracing=tracing, own_zone="r1-1").to_upstream(
+    attempt = await Sender(tracing=tracing, own_zone="r1-1").send_to_upstream(
         call=call,
         name=UPSTREAM,
         upstream=mock.Mock(address=f"{ip}:{port}"),
         may_write=lambda: True,
-        pace=no_pace,
+        pace=unlimited_pace,
     )
     async with asyncio.timeout(1.0):
         while not received:
@@ -94,5 +94,5 @@
 @then("no byte was written, and it does not count against the upstream")
 def step_no_blame(context):
     assert context.received == [b""], context.received
-    outcome = running._OUTCOMES[context.attempt.exchange.sent]
+    outcome = runner._SLOT_OUTCOMES[context.attempt.exchange.outcome]
     assert outcome is Outcome.CANCELLED, outcome
