--- a/almondstair/claims.py
+++ b/almondstair/claims.py
@@ -10,8 +10,8 @@
 import time
 from typing import NamedTuple
 
-from almondstair import batching
 from almondstair import log
+from almondstair import write_batcher
 from almondstair.core import idempotency
 from almondstair.core.circuit_breaker import CircuitBreaker
 from almondstair.errors import AlmondstairError
@@ -87,12 +87,12 @@
         self._is_live = is_live
         self._claim_timeout_s = claim_timeout_s
         self._now = now
-        self._batcher = batching.WriteBatcher(
-            service=service, max_batch=max_batch, max_under_way=max_in_flight
+        self._batcher = write_batcher.WriteBatcher(
+            service=service, max_batch=max_batch, max_in_flight=max_in_flight
         )
-        self._lease = batching.SharedLease(
+        self._lease = write_batcher.SharedLease(
             service=service,
-            keep_s=retention_s,
+            min_key_lifetime_s=retention_s,
             period_s=LEASE_ROTATION_S,
             now=now,
         )
@@ -360,12 +360,12 @@
             result = await self._batcher.write(
                 write=write._replace(lease_id=lease_id),
                 urgent=urgent,
-                until_s=until_s,
+                deadline_s=until_s,
             )
         except base.PlatformError as error:
             if error.failure is base.PlatformFailure.REFUSED:
                 # A lease that the service lost would make later claims fail.
-                self._lease.forget(lease_id)
+                self._lease.discard(lease_id)
             else:
                 self._gate.record_failure(now_s=self._now())
             raise
@@ -375,7 +375,7 @@
     async def _current_lease(self, until_s: float) -> int:
         try:
             async with asyncio.timeout_at(until_s):
-                return await self._lease.current()
+                return await self._lease.current_id()
         except TimeoutError as error:
             raise base.PlatformError(
                 failure=base.PlatformFailure.UNAVAILABLE,
--- a/almondstair/configuration_checks.py
+++ b/almondstair/configuration_checks.py
@@ -8,7 +8,7 @@
 import re
 
 from almondstair import addresses
-from almondstair import faults as faults_module
+from almondstair import document_faults as faults_module
 from almondstair.core import model
 
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]*$"
@@ -20,7 +20,7 @@
 _HTTP_METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
 
 
-def check(
+def check_configuration(
     configuration: model.Configuration, *, faults: faults_module.FaultList
 ) -> None:
     """Adds every inconsistency of a configuration to `faults`."""
--- a/almondstair/documents.py
+++ b/almondstair/configuration_edits.py
@@ -9,8 +9,8 @@
 
 import tomlkit
 
+from almondstair import document_faults
 from almondstair import errors
-from almondstair import faults
 
 Scalar = str | int | float | bool
 
@@ -35,7 +35,7 @@
     expected = _parse(text)
     profiles = expected.setdefault("profiles", {})
     if profile not in profiles and key != "policy":
-        remedy = faults.remedy_for_word(profile, tuple(profiles))
+        remedy = document_faults.remedy_for_word(profile, tuple(profiles))
         raise _not_found(f"there is no profile {profile!r}; {remedy}")
     if profile not in profiles:
         profiles[profile] = {key: value}
@@ -68,10 +68,10 @@
     services = expected.get("services", {})
     profiles = expected.get("profiles", {})
     if service not in services:
-        remedy = faults.remedy_for_word(service, tuple(services))
+        remedy = document_faults.remedy_for_word(service, tuple(services))
         raise _not_found(f"there is no service {service!r}; {remedy}")
     if profile not in profiles:
-        remedy = faults.remedy_for_word(profile, tuple(profiles))
+        remedy = document_faults.remedy_for_word(profile, tuple(profiles))
         raise _not_found(f"there is no profile {profile!r}; {remedy}")
     services[service]["profile"] = profile
 
--- a/almondstair/configuration_keeper.py
+++ b/almondstair/configuration_manager.py
@@ -6,7 +6,7 @@
 import time
 import uuid
 
-from almondstair import documents
+from almondstair import configuration_edits
 from almondstair import log
 from almondstair.core.configuration import ApplyOutcome
 from almondstair.core.configuration import ConfigurationState
@@ -18,6 +18,7 @@
 from almondstair.core.configuration import result_of_stored_edit
 from almondstair.core.membership import Membership
 from almondstair.core.model import Configuration
+from almondstair.elected_watcher import ElectedWatcher
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 from almondstair.errors import Ran
@@ -25,7 +26,6 @@
 from almondstair.operators import EditRequest
 from almondstair.settings import read_configuration
 from almondstair.store import ConfigurationStore
-from almondstair.watch_turns import ElectedWatcher
 
 # Maximum wait for an edit to take effect before returning `edit_pending`.
 ACCEPT_WAIT_S = 5.0
@@ -40,7 +40,7 @@
 }
 
 
-class ConfigurationKeeper:
+class ConfigurationManager:
     """Synchronizes this entry's configuration with the platform's.
 
     Attributes:
@@ -73,8 +73,8 @@
         self._on_configuration = on_configuration
         self._watcher = ElectedWatcher(
             membership=membership,
-            create_watcher=lambda: self._store.follower(
-                on_configuration=self.take
+            create_watcher=lambda: self._store.watcher(
+                on_configuration=self.apply
             ),
         )
         self._invalid_version = 0
@@ -92,7 +92,7 @@
         """Returns the stored configuration in force on this entry."""
         return self._state.in_force
 
-    def take(self, stored: StoredConfiguration) -> None:
+    def apply(self, stored: StoredConfiguration) -> None:
         """Applies a configuration from the platform or a peer, if newer."""
         outcome = self._state.compare(stored)
         if outcome in (ApplyOutcome.OLDER, ApplyOutcome.DIVERGED):
@@ -128,7 +128,7 @@
             edit_id=stored.edit_id,
         )
 
-    def follow(self) -> None:
+    def update_watch(self) -> None:
         """Starts or stops the watch as this entry is elected."""
         self._watcher.update()
 
@@ -147,7 +147,7 @@
         """
         stored = await self._store.read()
         if stored is not None:
-            self.take(stored)
+            self.apply(stored)
         return stored is not None
 
     async def seed(self, text: str) -> None:
@@ -171,7 +171,7 @@
             edited_at=_timestamp(),
             text=text,
         )
-        self.take(await self._store.seed(edit=edit))
+        self.apply(await self._store.seed(edit=edit))
 
     async def edit(self, request: EditRequest) -> EditAnswer:
         """Applies an operator's edit and waits until it is in force.
@@ -209,7 +209,7 @@
             self._unknown_edits[edit.edit_id] = edit.base_version
         return await self._edit_answer(result, request.base_version, before)
 
-    async def fate(self, edit_id: str) -> EditAnswer:
+    async def edit_status(self, edit_id: str) -> EditAnswer:
         """Returns the status of an edit.
 
         Raises:
@@ -219,7 +219,7 @@
         # platform may be unavailable.
         edit_record = self._record_in_force(edit_id)
         if edit_record is None and edit_id in self._unknown_edits:
-            result = await self._store.fate(
+            result = await self._store.edit_status(
                 edit_id=edit_id, base_version=self._unknown_edits[edit_id]
             )
             return await self._edit_answer(
@@ -228,7 +228,7 @@
         if edit_record is None:
             stored = await self._store.read()
             if stored is not None:
-                self.take(stored)
+                self.apply(stored)
                 edit_record = stored.find_edit(edit_id=edit_id)
         if edit_record is not None:
             result = EditResult(
@@ -259,7 +259,9 @@
             versions.append(dict(edit_record._asdict()))
         return versions
 
-    def marked(self, *, name: str, leaving: bool) -> tuple[int, str]:
+    def text_with_leaving_mark(
+        self, *, name: str, leaving: bool
+    ) -> tuple[int, str]:
         """Returns the version in force, and its text with a mark changed.
 
         Raises:
@@ -277,13 +279,13 @@
                 kind=ErrorKind.NOT_FOUND,
                 detail=f"there is neither an upstream nor an entry {name!r}",
             )
-        text = documents.set_leaving(stored.text, name, leaving)
+        text = configuration_edits.set_leaving(stored.text, name, leaving)
         return stored.version, text
 
     async def _wait_until_accepted(self, result: EditResult) -> EditAnswer:
         stored = await self._read_or_none()
         if stored is not None:
-            self.take(stored)
+            self.apply(stored)
         deadline_s = time.monotonic() + ACCEPT_WAIT_S
         status = self._applied_status(result)
         while (
@@ -354,12 +356,14 @@
         stored = await self._read_or_none()
         if stored is None:
             return ()
-        self.take(stored)
+        self.apply(stored)
         if before is None or before.version != base_version:
             before = await self._past_version_or_none(base_version)
         if before is None:
             return ()
-        return tuple(documents.describe_changes(before.text, stored.text))
+        return tuple(
+            configuration_edits.describe_changes(before.text, stored.text)
+        )
 
     async def _past_version_or_none(
         self, version: int
@@ -370,7 +374,7 @@
         already, so it no longer has the base.
         """
         try:
-            return await self._store.past(version=version)
+            return await self._store.past_version(version=version)
         except AlmondstairError:
             return None
 
--- a/almondstair/control.py
+++ b/almondstair/control.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from almondstair import log
-from almondstair.configuration_keeper import ConfigurationKeeper
+from almondstair.configuration_manager import ConfigurationManager
 from almondstair.core.entry_selection import EntrySelector
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.entry_table import EntryTable
@@ -24,6 +24,7 @@
 from almondstair.core.quarantine import Quarantine
 from almondstair.core.steering import Steering
 from almondstair.document_exchange import DocumentExchange
+from almondstair.entry_table_manager import EntryTableManager
 from almondstair.errors import AlmondstairError
 from almondstair.heartbeats import Heartbeats
 from almondstair.link_pacers import LinkPacers
@@ -34,7 +35,6 @@
 from almondstair.prober import Prober
 from almondstair.slot_allocator import SlotAllocator
 from almondstair.strike_words import StrikeWord
-from almondstair.table_keeper import TableKeeper
 from almondstair.zone_loads import ZoneLoads
 
 
@@ -82,16 +82,16 @@
         self._heartbeats: Heartbeats
         self._zone_loads: ZoneLoads
         self._document_exchange: DocumentExchange
-        self._table: TableKeeper
-        self._configuration: ConfigurationKeeper
+        self._table: EntryTableManager
+        self._configuration: ConfigurationManager
 
     def bind(
         self,
         *,
         heartbeats: Heartbeats,
         exchange: DocumentExchange,
-        table: TableKeeper,
-        configuration: ConfigurationKeeper,
+        table: EntryTableManager,
+        configuration: ConfigurationManager,
     ) -> None:
         """Sets the components that call back into this one."""
         self._heartbeats = heartbeats
@@ -147,10 +147,10 @@
         self.set_leaving()
 
     async def _refresh(self) -> None:
-        await self._table.observe_vms()
-        self._table.follow()
-        self._configuration.follow()
-        await self._table.plan()
+        await self._table.refresh_vm_list()
+        self._table.update_watch()
+        self._configuration.update_watch()
+        await self._table.write_due_change()
 
     # Messages from peers.
 
@@ -167,12 +167,12 @@
         elif isinstance(message, Loan):
             self._parts.shares.accept_loan(message)
         else:
-            self._document_exchange.receive(message)
+            self._document_exchange.handle_message(message)
 
     def _on_heartbeat(
         self, name: str, incarnation: int, heartbeat: Heartbeat
     ) -> None:
-        self._document_exchange.follow_heartbeat(name=name, heartbeat=heartbeat)
+        self._document_exchange.on_heartbeat(name=name, heartbeat=heartbeat)
         self._record_peer_marks(name, incarnation, heartbeat)
         accepted = self._heartbeats.receive(
             name=name, incarnation=incarnation, heartbeat=heartbeat
@@ -229,7 +229,7 @@
             names=heartbeat.detail.leaving_upstreams,
             now_s=time.monotonic(),
         )
-        if self._table.list_is_out:
+        if self._table.vm_list_unavailable:
             # The homes report that follows may transfer a home role.
             self.set_leaving()
 
@@ -342,7 +342,7 @@
                 self._parts.steering.regions.forget_source(source=name)
         self._peer_marks.forget(
             known=_entry_incarnations(table),
-            since_s=self._table.list_described_s,
+            since_s=self._table.vm_list_as_of_s,
         )
         self._heartbeats.refresh_table(partners=self._partners(table))
         self._parts.keeper.process_all_queues()
@@ -413,9 +413,9 @@
         to be leaving. It relays these marks because the entry that read the
         list may be gone.
         """
-        names = set(self._table.vms_leaving)
-        if self._table.list_is_out:
-            since_s = self._table.list_described_s
+        names = set(self._table.leaving_vms)
+        if self._table.vm_list_unavailable:
+            since_s = self._table.vm_list_as_of_s
             names |= self._peer_marks.leaving_names(since_s=since_s)
         return names
 
--- a/almondstair/daemon.py
+++ b/almondstair/daemon.py
@@ -65,7 +65,7 @@
     gc.set_threshold(OBJECTS_PER_COLLECTION)
 
 
-async def _run(loaded: settings.Loaded) -> None:
+async def _run(loaded: settings.LoadedSettings) -> None:
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
--- a/almondstair/document_exchange.py
+++ b/almondstair/document_exchange.py
@@ -86,7 +86,7 @@
             )
             self._peers.send_to_address(address, self._configuration_request())
 
-    def follow_heartbeat(self, *, name: str, heartbeat: Heartbeat) -> None:
+    def on_heartbeat(self, *, name: str, heartbeat: Heartbeat) -> None:
         """Requests the documents that a peer's heartbeat shows as newer."""
         now_s = self._clock()
         if heartbeat.epoch > self._membership.table.epoch:
@@ -101,7 +101,7 @@
                 self._configuration_requested_s = now_s
                 self._peers.send(name, self._configuration_request())
 
-    def receive(self, message: object) -> bool:
+    def handle_message(self, message: object) -> bool:
         """Handles a message if it belongs to this exchange.
 
         Returns:
--- a/almondstair/faults.py
+++ b/almondstair/document_faults.py
@@ -11,7 +11,7 @@
 _CLOSE_MATCH_CUTOFF = 0.85
 
 
-class Fault(NamedTuple):
+class DocumentFault(NamedTuple):
     """A fault in a document.
 
     Attributes:
@@ -42,7 +42,7 @@
     """
 
     def __init__(
-        self, *, kind: errors.ErrorKind, faults: tuple[Fault, ...]
+        self, *, kind: errors.ErrorKind, faults: tuple[DocumentFault, ...]
     ) -> None:
         """Initializes with a detail of one line for each fault."""
         lines: list[str] = []
@@ -62,12 +62,14 @@
     def __init__(self, *, file: str) -> None:
         """Initializes an empty list."""
         self.file = file
-        self._faults: list[Fault] = []
+        self._faults: list[DocumentFault] = []
 
     def add(self, *, key: str, problem: str, remedy: str) -> None:
         """Adds a fault of this document."""
         self._faults.append(
-            Fault(file=self.file, key=key, problem=problem, remedy=remedy)
+            DocumentFault(
+                file=self.file, key=key, problem=problem, remedy=remedy
+            )
         )
 
     def add_unless_covered(self, other: "FaultList") -> None:
@@ -94,7 +96,7 @@
                 return True
         return False
 
-    def faults(self) -> tuple[Fault, ...]:
+    def faults(self) -> tuple[DocumentFault, ...]:
         """Returns the faults in the order in which they were added."""
         return tuple(self._faults)
 
--- a/almondstair/watch_turns.py
+++ b/almondstair/elected_watcher.py
@@ -9,7 +9,7 @@
 
 from almondstair.core.heartbeats import is_watcher
 from almondstair.core.membership import Membership
-from almondstair.store_follower import KeyWatcher
+from almondstair.key_watcher import KeyWatcher
 
 
 class ElectedWatcher:
--- a/almondstair/entry.py
+++ b/almondstair/entry.py
@@ -13,7 +13,7 @@
 from almondstair.calls import Call
 from almondstair.calls import CallHandler
 from almondstair.claims import Claims
-from almondstair.configuration_keeper import ConfigurationKeeper
+from almondstair.configuration_manager import ConfigurationManager
 from almondstair.control import Control
 from almondstair.control import ControlParts
 from almondstair.core.admission import SlotTable
@@ -35,18 +35,15 @@
 from almondstair.core.steering_records import SteeringLimits
 from almondstair.dispatch import Sender
 from almondstair.document_exchange import DocumentExchange
+from almondstair.entry_table_manager import EntryTableManager
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 from almondstair.frontend import RequestListener
 from almondstair.gauges import GaugedParts
 from almondstair.gauges import Gauges
 from almondstair.heartbeats import Heartbeats
-from almondstair.joining import Joining
-from almondstair.joining import JoiningParts
 from almondstair.key_value.etcd import EtcdService
 from almondstair.key_value.etcd import HttpVmList
-from almondstair.leaving import Leaving
-from almondstair.leaving import LeavingParts
 from almondstair.link_pacers import LinkPacers
 from almondstair.link_shares import LinkShares
 from almondstair.lookups import LookupBody
@@ -61,13 +58,16 @@
 from almondstair.prober import Prober
 from almondstair.runner import Runner
 from almondstair.runner import RunnerState
-from almondstair.settings import Loaded
+from almondstair.settings import LoadedSettings
 from almondstair.settings import Settings
+from almondstair.shutdown_sequence import ShutdownComponents
+from almondstair.shutdown_sequence import ShutdownSequence
 from almondstair.slot_allocator import SlotAllocator
+from almondstair.startup_sequence import StartupComponents
+from almondstair.startup_sequence import StartupSequence
 from almondstair.store import ConfigurationStore
 from almondstair.store import EntryTableStore
 from almondstair.strike_words import StrikeWords
-from almondstair.table_keeper import TableKeeper
 from almondstair.tracing import Tracing
 
 # How long the home may use a reserve slot after the last report of its
@@ -91,7 +91,7 @@
 class Entry(CallHandler):
     """Runs one entry."""
 
-    def __init__(self, *, loaded: Loaded) -> None:
+    def __init__(self, *, loaded: LoadedSettings) -> None:
         """Creates the components; nothing listens yet.
 
         Args:
@@ -214,13 +214,13 @@
             interval_s=settings.timing.probe_interval_ms / 1000,
         )
         self._prober = prober
-        self.table_keeper = TableKeeper(
+        self.table_manager = EntryTableManager(
             membership=self.membership,
             store=EntryTableStore(service=self._service),
             vm_list=self._vm_list,
             on_table=self._on_table,
         )
-        self.configuration_keeper = ConfigurationKeeper(
+        self.configuration_manager = ConfigurationManager(
             state=self._configuration_state,
             membership=self.membership,
             store=ConfigurationStore(service=self._service),
@@ -267,10 +267,10 @@
             peers=self._peers,
             membership=self.membership,
             configuration=self._configuration_state,
-            on_table=lambda table: self.table_keeper.take(
+            on_table=lambda table: self.table_manager.apply(
                 table, from_platform=False
             ),
-            on_configuration=self.configuration_keeper.take,
+            on_configuration=self.configuration_manager.apply,
             clock=time.monotonic,
         )
         self._gauges = Gauges(
@@ -279,15 +279,15 @@
                 peers=self._peers,
                 keeper=self._slot_allocator,
                 pacers=self.pacers,
-                configuration=self.configuration_keeper,
+                configuration=self.configuration_manager,
                 loads=self._control.loads,
             )
         )
         self._control.bind(
             heartbeats=self.heartbeats,
             exchange=self._document_exchange,
-            table=self.table_keeper,
-            configuration=self.configuration_keeper,
+            table=self.table_manager,
+            configuration=self.configuration_manager,
         )
 
     def _on_message(self, name: str, incarnation: int, message: object) -> None:
@@ -372,20 +372,20 @@
                 pacers=self.pacers,
                 runner=self.runner,
                 heartbeats=self.heartbeats,
-                configuration=self.configuration_keeper,
-                table=self.table_keeper,
-                running=self._leaving.running,
+                configuration=self.configuration_manager,
+                table=self.table_manager,
+                running=self._leaving.requests_in_flight,
             )
         )
         self._operators = OperatorServer(handler=views)
 
-    def _make_joining(self, seed_text: str) -> Joining:
-        return Joining(
-            parts=JoiningParts(
+    def _make_joining(self, seed_text: str) -> StartupSequence:
+        return StartupSequence(
+            components=StartupComponents(
                 membership=self.membership,
                 heartbeats=self.heartbeats,
-                table_keeper=self.table_keeper,
-                configuration_keeper=self.configuration_keeper,
+                table_manager=self.table_manager,
+                configuration_manager=self.configuration_manager,
                 exchange=self._document_exchange,
                 shares=self._link_shares,
                 control=self._control,
@@ -394,21 +394,22 @@
             seed_text=seed_text,
         )
 
-    def _make_leaving(self) -> Leaving:
+    def _make_leaving(self) -> ShutdownSequence:
         timing = self._settings.timing
-        return Leaving(
-            parts=LeavingParts(
+        return ShutdownSequence(
+            components=ShutdownComponents(
                 membership=self.membership,
                 heartbeats=self.heartbeats,
-                table_keeper=self.table_keeper,
+                table_manager=self.table_manager,
                 homes=self.homes,
                 shares=self._link_shares,
                 claims=self._claims,
-                caller_door=self._caller_listener,
-                forward_door=self._forward_listener,
+                caller_listener=self._caller_listener,
+                forward_listener=self._forward_listener,
             ),
-            serve_s=(timing.lookup_ttl_ms + timing.drain_margin_ms) / 1000,
-            finish_s=timing.stop_limit_ms / 1000,
+            lookup_grace_s=(timing.lookup_ttl_ms + timing.drain_margin_ms)
+            / 1000,
+            drain_limit_s=timing.stop_limit_ms / 1000,
         )
 
     # Calls from the listeners.
@@ -420,7 +421,7 @@
           AlmondstairError: `platform_unavailable` before the first one is in
             force.
         """
-        configuration = self.configuration_keeper.configuration
+        configuration = self.configuration_manager.configuration
         if configuration is None:
             raise AlmondstairError(
                 kind=ErrorKind.PLATFORM_UNAVAILABLE,
@@ -447,7 +448,7 @@
 
     def is_refusing(self) -> bool:
         """Returns whether new requests are refused."""
-        return self._leaving.refusing
+        return self._leaving.is_refusing
 
     # Start.
 
@@ -495,8 +496,8 @@
         self._control.stop()
         self._prober.stop()
         self.heartbeats.stop()
-        self.table_keeper.stop()
-        self.configuration_keeper.stop()
+        self.table_manager.stop()
+        self.configuration_manager.stop()
         for timer in self._timers:
             timer.cancel()
         await self._operators.close()
--- a/almondstair/table_keeper.py
+++ b/almondstair/entry_table_manager.py
@@ -10,25 +10,25 @@
 from almondstair.core.membership import Membership
 from almondstair.core.membership_records import VmStatusReport
 from almondstair.core.table_planner import TablePlanner
+from almondstair.elected_watcher import ElectedWatcher
 from almondstair.errors import AlmondstairError
 from almondstair.key_value.base import VmList
 from almondstair.key_value.base import VmState
 from almondstair.store import EntryTableStore
-from almondstair.watch_turns import ElectedWatcher
 
 # Delay before a write, for each entry with a lower planner rank.
 CHANGE_DELAY_PER_RANK_S = 0.5
 REGISTER_RETRY_DELAY_S = 0.5
 
 
-class TableKeeper:
+class EntryTableManager:
     """Synchronizes this entry's membership with the platform's entry table.
 
     Attributes:
       plans: computes the changes that this entry may make to the table.
       joined: whether this entry has been registered since it started.
-      vms_leaving: VMs that the VM list shows as leaving.
-      list_described_s: monotonic time that the newest listing describes.
+      leaving_vms: VMs that the VM list shows as leaving.
+      vm_list_as_of_s: monotonic time that the newest listing describes.
     """
 
     def __init__(
@@ -55,23 +55,23 @@
         self._on_table = on_table
         self._watcher = ElectedWatcher(
             membership=membership,
-            create_watcher=lambda: self._store.follower(
-                on_table=lambda table: self.take(table, from_platform=True)
+            create_watcher=lambda: self._store.watcher(
+                on_table=lambda table: self.apply(table, from_platform=True)
             ),
         )
         self._change_due_since_s: float | None = None
         self._changing = False
         self._vm_list_failed = False
         self.joined = False
-        self.vms_leaving: frozenset[str] = frozenset()
-        self.list_described_s = float("-inf")
+        self.leaving_vms: frozenset[str] = frozenset()
+        self.vm_list_as_of_s = float("-inf")
 
     @property
-    def list_is_out(self) -> bool:
+    def vm_list_unavailable(self) -> bool:
         """Whether the VM list was never read or the last read failed."""
-        return self._vm_list_failed or math.isinf(self.list_described_s)
+        return self._vm_list_failed or math.isinf(self.vm_list_as_of_s)
 
-    def take(self, table: EntryTable, *, from_platform: bool) -> None:
+    def apply(self, table: EntryTable, *, from_platform: bool) -> None:
         """Applies a table from the platform or a peer if it is newer."""
         newer = self._membership.replace_table(
             table=table, now_s=time.monotonic()
@@ -127,10 +127,10 @@
             table = await self._store.change(plan=self._plan_from_base(plan))
         except AlmondstairError:
             return False
-        self.take(table, from_platform=True)
+        self.apply(table, from_platform=True)
         return True
 
-    def follow(self) -> None:
+    def update_watch(self) -> None:
         """Starts or stops the watch on the table as this entry is elected."""
         self._watcher.update()
 
@@ -138,7 +138,7 @@
         """Stops the watch on the table."""
         self._watcher.stop()
 
-    async def observe_vms(self) -> None:
+    async def refresh_vm_list(self) -> None:
         """Reads the VM list once; on failure the last list stays in force."""
         requested_s = time.monotonic()
         try:
@@ -167,14 +167,14 @@
     def _update_leaving_vms(
         self, listed: set[str], leaving: set[str], as_of_s: float
     ) -> None:
-        if as_of_s < self.list_described_s:
+        if as_of_s < self.vm_list_as_of_s:
             return
-        self.list_described_s = as_of_s
+        self.vm_list_as_of_s = as_of_s
         # Absence from the list says nothing: the VM stays marked as leaving.
-        unlisted = self.vms_leaving - listed
-        self.vms_leaving = frozenset(unlisted | leaving)
+        unlisted = self.leaving_vms - listed
+        self.leaving_vms = frozenset(unlisted | leaving)
 
-    async def plan(self) -> None:
+    async def write_due_change(self) -> None:
         """Writes a due change after a delay that depends on the planner rank.
 
         Every entry sees the same VM list; without the delay all of them would
--- a/almondstair/gauges.py
+++ b/almondstair/gauges.py
@@ -5,7 +5,7 @@
 import time
 from typing import NamedTuple
 
-from almondstair.configuration_keeper import ConfigurationKeeper
+from almondstair.configuration_manager import ConfigurationManager
 from almondstair.core.heartbeat_payloads import ServiceLoad
 from almondstair.link_pacers import LinkPacers
 from almondstair.metrics import Metric
@@ -34,7 +34,7 @@
     peers: Peers
     keeper: SlotAllocator
     pacers: LinkPacers
-    configuration: ConfigurationKeeper
+    configuration: ConfigurationManager
     loads: Callable[[], Iterable[ServiceLoad]]
 
 
--- a/almondstair/key_value/etcd.py
+++ b/almondstair/key_value/etcd.py
@@ -9,7 +9,6 @@
 import msgspec
 
 from almondstair.key_value import base
-from almondstair.key_value.etcd_calls import JsonClient
 from almondstair.key_value.etcd_watch import EtcdWatch
 from almondstair.key_value.etcd_wire import LeaseAnswer
 from almondstair.key_value.etcd_wire import RangeAnswer
@@ -22,6 +21,7 @@
 from almondstair.key_value.etcd_wire import to_record
 from almondstair.key_value.etcd_wire import to_revision
 from almondstair.key_value.etcd_wire import to_wire
+from almondstair.key_value.json_client import JsonClient
 
 _HTTP_OK = 200
 
--- a/almondstair/operator_views.py
+++ b/almondstair/operator_views.py
@@ -4,7 +4,7 @@
 import time
 from typing import Any, NamedTuple
 
-from almondstair.configuration_keeper import ConfigurationKeeper
+from almondstair.configuration_manager import ConfigurationManager
 from almondstair.core.admission import SlotTable
 from almondstair.core.admission_records import UpstreamStatus
 from almondstair.core.entry_table import EntryRow
@@ -12,6 +12,7 @@
 from almondstair.core.membership import Membership
 from almondstair.core.model import Configuration
 from almondstair.core.steering import Steering
+from almondstair.entry_table_manager import EntryTableManager
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 from almondstair.heartbeats import Heartbeats
@@ -23,7 +24,6 @@
 from almondstair.operators import OperatorHandler
 from almondstair.runner import Runner
 from almondstair.settings import read_configuration
-from almondstair.table_keeper import TableKeeper
 
 
 class ViewParts(NamedTuple):
@@ -41,8 +41,8 @@
     pacers: LinkPacers
     runner: Runner
     heartbeats: Heartbeats
-    configuration: ConfigurationKeeper
-    table: TableKeeper
+    configuration: ConfigurationManager
+    table: EntryTableManager
     running: Callable[[], int]
 
 
@@ -97,7 +97,7 @@
 
     async def mark(self, request: MarkRequest) -> EditAnswer:
         """Sets or clears the leaving mark of an upstream or entry."""
-        version, text = self._parts.configuration.marked(
+        version, text = self._parts.configuration.text_with_leaving_mark(
             name=request.name, leaving=request.leaving
         )
         edit = EditRequest(
@@ -110,7 +110,7 @@
 
     async def edit_fate(self, edit_id: str) -> EditAnswer:
         """Returns the state of an edit."""
-        return await self._parts.configuration.fate(edit_id)
+        return await self._parts.configuration.edit_status(edit_id)
 
     def check(self, request: CheckRequest) -> dict[str, Any]:
         """Checks a document without storing it.
@@ -186,7 +186,7 @@
     def _is_leaving(self, name: str) -> bool:
         if name in self._configuration().marks.leaving:
             return True
-        if name in self._parts.table.vms_leaving:
+        if name in self._parts.table.leaving_vms:
             return True
         return name in self._reported_leaving()
 
--- a/almondstair/settings.py
+++ b/almondstair/settings.py
@@ -17,8 +17,8 @@
 
 from almondstair import addresses
 from almondstair import configuration_checks
+from almondstair import document_faults as faults_module
 from almondstair import errors
-from almondstair import faults as faults_module
 from almondstair import validation
 from almondstair.core import model
 
@@ -209,7 +209,7 @@
     tracing: TracingSettings = TracingSettings()
 
 
-class Loaded(NamedTuple):
+class LoadedSettings(NamedTuple):
     """Settings and the deployment configuration that they refer to.
 
     Attributes:
@@ -267,7 +267,7 @@
     return configuration
 
 
-def load(path: str | Path) -> Loaded:
+def load(path: str | Path) -> LoadedSettings:
     """Reads a settings file and the deployment file it refers to.
 
     Args:
@@ -301,7 +301,7 @@
         raise faults_module.InvalidDocumentError(
             kind=errors.ErrorKind.SETTINGS_INVALID, faults=faults
         )
-    return Loaded(
+    return LoadedSettings(
         settings=settings,
         configuration=configuration,
         configuration_text=text,
@@ -310,7 +310,7 @@
 
 def _settings_and_faults(
     path: Path,
-) -> tuple[Settings | None, tuple[faults_module.Fault, ...]]:
+) -> tuple[Settings | None, tuple[faults_module.DocumentFault, ...]]:
     faults = faults_module.FaultList(file=str(path))
     text = validation.read_text(path, faults=faults)
     if text is None:
@@ -332,14 +332,14 @@
 
 def _configuration_and_faults(
     text: str, *, source: str
-) -> tuple[model.Configuration | None, tuple[faults_module.Fault, ...]]:
+) -> tuple[model.Configuration | None, tuple[faults_module.DocumentFault, ...]]:
     faults = faults_module.FaultList(file=source)
     configuration = _convert(text, to=model.Configuration, faults=faults)
     if configuration is None or faults.has_replaced("regions"):
         # Without regions, nearly every other name would be reported as unknown.
         return None, faults.faults()
     cross_checks = faults_module.FaultList(file=source)
-    configuration_checks.check(configuration, faults=cross_checks)
+    configuration_checks.check_configuration(configuration, faults=cross_checks)
     faults.add_unless_covered(cross_checks)
     return configuration, faults.faults()
 
@@ -397,7 +397,7 @@
 
 def check_consistency(
     *, settings: Settings, configuration: model.Configuration, source: str
-) -> tuple[faults_module.Fault, ...]:
+) -> tuple[faults_module.DocumentFault, ...]:
     """Returns the inconsistencies of the settings with the configuration."""
     faults = faults_module.FaultList(file=source)
     zone = settings.entry.availability_zone
--- a/almondstair/leaving.py
+++ b/almondstair/shutdown_sequence.py
@@ -8,10 +8,10 @@
 from almondstair.claims import Claims
 from almondstair.core.homes import Homes
 from almondstair.core.membership import Membership
+from almondstair.entry_table_manager import EntryTableManager
 from almondstair.frontend import RequestListener
 from almondstair.heartbeats import Heartbeats
 from almondstair.link_shares import LinkShares
-from almondstair.table_keeper import TableKeeper
 
 DRAIN_POLL_S = 0.05
 MARK_LEAVING_POLL_S = 0.2
@@ -19,40 +19,44 @@
 RELEASE_LIMIT_S = 3.0
 
 
-class LeavingParts(NamedTuple):
+class ShutdownComponents(NamedTuple):
     """Components that the shutdown uses."""
 
     membership: Membership
     heartbeats: Heartbeats
-    table_keeper: TableKeeper
+    table_manager: EntryTableManager
     homes: Homes
     shares: LinkShares
     claims: Claims
-    caller_door: RequestListener
-    forward_door: RequestListener
+    caller_listener: RequestListener
+    forward_listener: RequestListener
 
 
-class Leaving:
+class ShutdownSequence:
     """Takes an entry out of service without aborting requests.
 
     Attributes:
-      refusing: whether new requests are refused.
+      is_refusing: whether new requests are refused.
     """
 
     def __init__(
-        self, *, parts: LeavingParts, serve_s: float, finish_s: float
+        self,
+        *,
+        components: ShutdownComponents,
+        lookup_grace_s: float,
+        drain_limit_s: float,
     ) -> None:
         """Initializes; `run` does the shutdown.
 
         Args:
-          parts: components to shut down.
-          serve_s: how long callers may still use cached lookups.
-          finish_s: how long requests in flight may take after that.
+          components: components to shut down.
+          lookup_grace_s: how long callers may still use cached lookups.
+          drain_limit_s: how long requests in flight may take after that.
         """
-        self._components = parts
-        self._lookup_grace_s = serve_s
-        self._drain_limit_s = finish_s
-        self.refusing = False
+        self._components = components
+        self._lookup_grace_s = lookup_grace_s
+        self._drain_limit_s = drain_limit_s
+        self.is_refusing = False
 
     async def run(self) -> None:
         """Shuts down; on return no request runs and nothing is held.
@@ -63,14 +67,14 @@
         """
         components = self._components
         components.membership.leaving = True
-        components.caller_door.end_keep_alive()
-        components.forward_door.end_keep_alive()
+        components.caller_listener.end_keep_alive()
+        components.forward_listener.end_keep_alive()
         components.heartbeats.announce()
         deadline_s = time.monotonic() + self._lookup_grace_s
         await self._mark_leaving(deadline_s)
         await asyncio.sleep(max(0.0, deadline_s - time.monotonic()))
-        self.refusing = True
-        components.caller_door.stop_listening()
+        self.is_refusing = True
+        components.caller_listener.stop_listening()
         await self._drain_requests()
         await self._release()
 
@@ -82,7 +86,7 @@
         be idle until then.
         """
         membership = self._components.membership
-        table_manager = self._components.table_keeper
+        table_manager = self._components.table_manager
         while True:
             await table_manager.change(
                 lambda table: table_manager.plans.plan_leaving(table=table)
@@ -94,17 +98,17 @@
 
     async def _drain_requests(self) -> None:
         deadline_s = time.monotonic() + self._drain_limit_s
-        while self.running() and time.monotonic() < deadline_s:
+        while self.requests_in_flight() and time.monotonic() < deadline_s:
             await asyncio.sleep(DRAIN_POLL_S)
-        if self.running():
-            log.event(log.Event.STOP_CUT, running=self.running())
+        if self.requests_in_flight():
+            log.event(log.Event.STOP_CUT, running=self.requests_in_flight())
         await self._components.claims.drain(timeout_s=RELEASE_LIMIT_S)
 
-    def running(self) -> int:
+    def requests_in_flight(self) -> int:
         """Returns the number of requests in flight."""
         components = self._components
-        return len(components.caller_door.running_calls) + len(
-            components.forward_door.running_calls
+        return len(components.caller_listener.running_calls) + len(
+            components.forward_listener.running_calls
         )
 
     async def _release(self) -> None:
@@ -121,8 +125,8 @@
         # If the platform is unavailable, the row stays. Because of `finished`
         # the peers remove it once the platform is back; otherwise they would
         # hold its upstreams' slots back for the longest deadline.
-        components.forward_door.stop_listening()
-        table_manager = components.table_keeper
+        components.forward_listener.stop_listening()
+        table_manager = components.table_manager
         await table_manager.change(
             lambda table: table_manager.plans.plan_release(table=table)
         )
--- a/almondstair/joining.py
+++ b/almondstair/startup_sequence.py
@@ -6,14 +6,14 @@
 from typing import NamedTuple
 
 from almondstair import log
-from almondstair.configuration_keeper import ConfigurationKeeper
+from almondstair.configuration_manager import ConfigurationManager
 from almondstair.control import Control
 from almondstair.core.membership import Membership
 from almondstair.document_exchange import DocumentExchange
+from almondstair.entry_table_manager import EntryTableManager
 from almondstair.errors import AlmondstairError
 from almondstair.heartbeats import Heartbeats
 from almondstair.link_shares import LinkShares
-from almondstair.table_keeper import TableKeeper
 
 # Poll interval during startup; a peer normally responds within it.
 START_POLL_S = 0.1
@@ -23,36 +23,36 @@
 LINK_SHARES_LIMIT_S = 5.0
 
 
-class JoiningParts(NamedTuple):
+class StartupComponents(NamedTuple):
     """Components that the startup uses."""
 
     membership: Membership
     heartbeats: Heartbeats
-    table_keeper: TableKeeper
-    configuration_keeper: ConfigurationKeeper
+    table_manager: EntryTableManager
+    configuration_manager: ConfigurationManager
     exchange: DocumentExchange
     shares: LinkShares
     control: Control
 
 
-class Joining:
+class StartupSequence:
     """Brings a new entry into service."""
 
     def __init__(
         self,
         *,
-        parts: JoiningParts,
+        components: StartupComponents,
         peer_addresses: tuple[str, ...],
         seed_text: str,
     ) -> None:
         """Initializes; `run` does the startup.
 
         Args:
-          parts: components to start.
+          components: components to start.
           peer_addresses: peer addresses from the settings.
           seed_text: configuration to write if the platform has none.
         """
-        self._components = parts
+        self._components = components
         self._peer_addresses = peer_addresses
         self._seed_text = seed_text
 
@@ -60,13 +60,13 @@
         """Joins the fleet; on return, lookups include this entry."""
         components = self._components
         await self._request_from_peers()
-        while components.configuration_keeper.configuration is None:
+        while components.configuration_manager.configuration is None:
             # Retried in the next iteration; the adapter logs the failure.
             with contextlib.suppress(AlmondstairError):
-                await components.configuration_keeper.seed(self._seed_text)
+                await components.configuration_manager.seed(self._seed_text)
             components.exchange.request_from_addresses(self._peer_addresses)
             await asyncio.sleep(START_POLL_S)
-        await components.table_keeper.register()
+        await components.table_manager.register()
         await self._wait_for_link_shares()
         components.membership.joining = False
         components.control.note_live()
@@ -103,14 +103,14 @@
             # table in force on a peer shows whether it is the latest.
             if not exchange.highest_peer_epoch:
                 continue
-            if self._components.configuration_keeper.configuration is not None:
+            if self._components.configuration_manager.configuration is not None:
                 return
             if await self._read_platform():
                 return
 
     async def _read_platform(self) -> bool:
         try:
-            return await self._components.configuration_keeper.read()
+            return await self._components.configuration_manager.read()
         except AlmondstairError:
             # Logged by the adapter and retried in the next iteration.
             return False
--- a/almondstair/store.py
+++ b/almondstair/store.py
@@ -39,7 +39,7 @@
 from almondstair.key_value.base import PlatformError
 from almondstair.key_value.base import PlatformFailure
 from almondstair.key_value.base import Record
-from almondstair.store_follower import KeyWatcher
+from almondstair.key_watcher import KeyWatcher
 
 DEFAULT_PREFIX = "almondstair/"
 # The platform accepts values up to 1 MB; the rest is for the edit records.
@@ -152,7 +152,7 @@
             return False
         return result.succeeded
 
-    def follower(self, *, on_table: Callable[[EntryTable], None]) -> KeyWatcher:
+    def watcher(self, *, on_table: Callable[[EntryTable], None]) -> KeyWatcher:
         """Returns a watcher of the table, not yet started."""
 
         def on_value(value: bytes) -> None:
@@ -311,7 +311,7 @@
     def _history_key(self, version: int) -> str:
         return f"{self._history_prefix}{version % RECENT_EDITS:02d}"
 
-    async def fate(
+    async def edit_status(
         self, *, edit_id: str, base_version: int | None
     ) -> EditResult:
         """Looks up the outcome of an edit, after a lost response or later.
@@ -353,7 +353,7 @@
             return ()
         return stored.recent
 
-    async def past(self, *, version: int) -> StoredConfiguration | None:
+    async def past_version(self, *, version: int) -> StoredConfiguration | None:
         """Returns an earlier version, None if it is no longer stored.
 
         Raises:
@@ -368,7 +368,7 @@
             return None
         return archived
 
-    def follower(
+    def watcher(
         self, *, on_configuration: Callable[[StoredConfiguration], None]
     ) -> KeyWatcher:
         """Returns a watcher of the configuration, not yet started."""
--- a/almondstair/tools/commands.py
+++ b/almondstair/tools/commands.py
@@ -12,9 +12,9 @@
 import time
 from typing import Any
 
-from almondstair import documents
+from almondstair import configuration_edits
+from almondstair import document_faults as faults_module
 from almondstair import errors
-from almondstair import faults as faults_module
 from almondstair import operator_api
 from almondstair import settings as settings_module
 from almondstair import validation
@@ -135,7 +135,7 @@
         """
         text = _read_file(file)
         current = self._session.client.configuration()
-        changed = documents.describe_changes(current["text"], text)
+        changed = configuration_edits.describe_changes(current["text"], text)
         body = {"base_version": current["version"], "changed": changed}
         if self._session.json:
             self._session.show(body)
@@ -219,7 +219,7 @@
         self,
         profile: str,
         key: str,
-        value: documents.Scalar,
+        value: configuration_edits.Scalar,
         *,
         wait_s: float = 10.0,
     ) -> None:
@@ -241,7 +241,9 @@
                 detail=f"{value!r} is not a number, a string or a boolean",
             )
         current = self._session.client.configuration()
-        text = documents.set_profile_field(current["text"], profile, key, value)
+        text = configuration_edits.set_profile_field(
+            current["text"], profile, key, value
+        )
         self._session.edit(
             base_version=current["version"], text=text, wait_s=wait_s
         )
@@ -261,7 +263,9 @@
           wait_s: how long to wait for every entry, in seconds.
         """
         current = self._session.client.configuration()
-        text = documents.assign_profile(current["text"], service, profile)
+        text = configuration_edits.assign_profile(
+            current["text"], service, profile
+        )
         self._session.edit(
             base_version=current["version"], text=text, wait_s=wait_s
         )
--- a/almondstair/validation.py
+++ b/almondstair/validation.py
@@ -21,11 +21,11 @@
 import pydantic
 from pydantic_core import ErrorDetails
 
-from almondstair.faults import UNKNOWN_KEY
-from almondstair.faults import FaultList
-from almondstair.faults import Location
-from almondstair.faults import dotted_key
-from almondstair.faults import remedy_for_word
+from almondstair.document_faults import UNKNOWN_KEY
+from almondstair.document_faults import FaultList
+from almondstair.document_faults import Location
+from almondstair.document_faults import dotted_key
+from almondstair.document_faults import remedy_for_word
 
 T = TypeVar("T")
 
--- a/almondstair/batching.py
+++ b/almondstair/write_batcher.py
@@ -42,18 +42,18 @@
         *,
         service: base.KeyValueService,
         max_batch: int = base.MAX_BATCH,
-        max_under_way: int = 1,
+        max_in_flight: int = 1,
     ) -> None:
         """Initializes an idle batcher.
 
         Args:
           service: service that receives the writes.
           max_batch: maximum writes in a call; 1 disables batching.
-          max_under_way: maximum concurrent calls.
+          max_in_flight: maximum concurrent calls.
         """
         self._service = service
         self._max_batch = max_batch
-        self._max_in_flight = max_under_way
+        self._max_in_flight = max_in_flight
         self._urgent: collections.deque[_QueuedWrite] = collections.deque()
         self._normal: collections.deque[_QueuedWrite] = collections.deque()
         self._in_flight: set[asyncio.Task[None]] = set()
@@ -65,14 +65,14 @@
         return self._counts
 
     async def write(
-        self, *, write: base.ConditionalWrite, urgent: bool, until_s: float
+        self, *, write: base.ConditionalWrite, urgent: bool, deadline_s: float
     ) -> base.CasResult:
         """Performs one write.
 
         Args:
           write: the write.
           urgent: whether to send it before non-urgent writes.
-          until_s: when to stop waiting, in event loop time in seconds.
+          deadline_s: when to stop waiting, in event loop time in seconds.
 
         Returns:
           The result of this write.
@@ -89,7 +89,7 @@
             self._normal.append(queued)
         self._send_next()
         try:
-            async with asyncio.timeout_at(until_s):
+            async with asyncio.timeout_at(deadline_s):
                 return await queued.future
         except TimeoutError as error:
             failure = base.PlatformFailure.UNAVAILABLE
@@ -216,7 +216,7 @@
         self,
         *,
         service: base.KeyValueService,
-        keep_s: float,
+        min_key_lifetime_s: float,
         period_s: float,
         now: Callable[[], float],
     ) -> None:
@@ -224,19 +224,19 @@
 
         Args:
           service: service that grants the leases.
-          keep_s: minimum lifetime of a key, in seconds.
+          min_key_lifetime_s: minimum lifetime of a key, in seconds.
           period_s: how long a lease is used for new keys, in seconds.
           now: returns monotonic seconds.
         """
         self._service = service
-        self._ttl_s = int(keep_s + period_s)
+        self._ttl_s = int(min_key_lifetime_s + period_s)
         self._period_s = period_s
         self._now = now
         self._lease_id = 0
         self._granted_s = 0.0
         self._grant: asyncio.Task[int] | None = None
 
-    async def current(self) -> int:
+    async def current_id(self) -> int:
         """Returns the ID of the lease for new keys.
 
         Raises:
@@ -258,7 +258,7 @@
                 failure=base.PlatformFailure.UNAVAILABLE, detail=error.detail
             ) from error
 
-    def forget(self, lease_id: int) -> None:
+    def discard(self, lease_id: int) -> None:
         """Discards a lease that the service refused."""
         if self._lease_id == lease_id:
             self._lease_id = 0
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -39,7 +39,7 @@
     def on_configuration(stored):
         context.states[name].apply_if_newer(stored)
 
-    follower = context.store.follower(on_configuration=on_configuration)
+    follower = context.store.watcher(on_configuration=on_configuration)
     follower.start()
     await asyncio.sleep(0.01)
     return follower
@@ -244,7 +244,7 @@
 @then('asking for the edit says "{fate}"')
 def step_ask(context, fate):
     result = asyncio.run(
-        context.store.fate(
+        context.store.edit_status(
             edit_id=context.edit.edit_id,
             base_version=context.edit.base_version,
         )
@@ -255,7 +255,9 @@
 @then('asking for the edit of "{author}" says "{fate}"')
 def step_ask_author(context, author, fate):
     edit_id = context.results[author].edit_id
-    result = asyncio.run(context.store.fate(edit_id=edit_id, base_version=1))
+    result = asyncio.run(
+        context.store.edit_status(edit_id=edit_id, base_version=1)
+    )
     assert result.status == fate, result
 
 
@@ -308,10 +310,10 @@
 
 @then("the text of version {version:d} is kept")
 def step_kept(context, version):
-    past = asyncio.run(context.store.past(version=version))
+    past = asyncio.run(context.store.past_version(version=version))
     assert past.text == make_edit("moira", version - 1).text, past
 
 
 @then("the text of version {version:d} is no longer kept")
 def step_not_kept(context, version):
-    assert asyncio.run(context.store.past(version=version)) is None
+    assert asyncio.run(context.store.past_version(version=version)) is None
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -8,7 +8,7 @@
 from behave import then
 from behave import when
 
-from almondstair import documents
+from almondstair import configuration_edits
 from features.support import control
 from features.support import operator_fake
 
@@ -210,7 +210,7 @@
     assert body["base_version"] == version
     assert body["author"] == "bob"
     assert body["edit_id"]
-    changed = documents.describe_changes(
+    changed = configuration_edits.describe_changes(
         context.configuration_text, body["text"]
     )
     assert changed == [key], changed
--- a/features/steps/documents_steps.py
+++ b/features/steps/documents_steps.py
@@ -8,7 +8,7 @@
 from behave import then
 from behave import when
 
-from almondstair import documents
+from almondstair import configuration_edits
 from almondstair import errors
 from almondstair import settings
 from features.support import step_types  # noqa: F401 - registers its types
@@ -42,17 +42,17 @@
 @when('the field "{key}" of profile "{profile}" is set to {value}')
 def step_field(context, key, profile, value):
     value = json.loads(value)
-    _edit(context, documents.set_profile_field, profile, key, value)
+    _edit(context, configuration_edits.set_profile_field, profile, key, value)
 
 
 @when('the service "{service}" is put under the profile "{profile}"')
 def step_assign(context, service, profile):
-    _edit(context, documents.assign_profile, service, profile)
+    _edit(context, configuration_edits.assign_profile, service, profile)
 
 
 @when('the text marks "{name}" as {state:w}')
 def step_text_mark(context, name, state):
-    _edit(context, documents.set_leaving, name, state == "leaving")
+    _edit(context, configuration_edits.set_leaving, name, state == "leaving")
 
 
 @when("in the text {old} is rewritten to {new}")
@@ -110,7 +110,9 @@
 @then('the changed keys are "{keys:Maybe}"')
 def step_keys(context, keys):
     expected = [key for key in keys.split(", ") if key]
-    seen = documents.describe_changes(context.old_text, context.text_now)
+    seen = configuration_edits.describe_changes(
+        context.old_text, context.text_now
+    )
     assert seen == expected, seen
 
 
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -38,9 +38,9 @@
 
 def _table(*, described_s, is_out):
     return mock.Mock(
-        vms_leaving=frozenset(),
-        list_described_s=described_s,
-        list_is_out=is_out,
+        leaving_vms=frozenset(),
+        vm_list_as_of_s=described_s,
+        vm_list_unavailable=is_out,
     )
 
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -11,7 +11,7 @@
 
 from almondstair.key_value import base
 from almondstair.key_value import etcd
-from almondstair.key_value import etcd_calls
+from almondstair.key_value import json_client
 from features.support import harness
 
 KEY = "a/key"
@@ -160,7 +160,7 @@
 
 @when("{count:d} writes hang and one more waits")
 def writes_hang(context, count):
-    assert count == etcd_calls.MAX_CALLS, count
+    assert count == json_client.MAX_CALLS, count
     set_faults(context, {"delay_ms": LONG_DELAY_MS})
 
     async def fill():
@@ -172,7 +172,7 @@
 
     # The calls start a little apart on a busy machine; the one more must stop
     # waiting before the first of them gives its place back.
-    with mock.patch.object(etcd_calls, "MIN_CALL_S", context.limit_s / 2):
+    with mock.patch.object(json_client, "MIN_CALL_S", context.limit_s / 2):
         context.failures = run(context, fill())
 
 
