--- a/almondstair/tools/almondstairctl.py
+++ b/almondstair/tools/almondstairctl.py
@@ -16,8 +16,8 @@
 from almondstair.tools import commands
 from almondstair.tools import gateway_commands
 from almondstair.tools import session as session_module
+from almondstair.tools import system_status
 from almondstair.tools import tables
-from almondstair.tools import whole_status
 
 ENTRY_VARIABLE = "ALMONDSTAIR_ENTRY"
 _PROGRAM = "almondstairctl"
@@ -64,7 +64,7 @@
           almondstairctl status
           almondstairctl status --json
         """
-        body = whole_status.gather(self._session.client)
+        body = system_status.collect(self._session.client)
         self._session.show(
             body,
             f"entry table of {body['entry']}, epoch {body['epoch']}",
@@ -105,9 +105,9 @@
         session.show_error(error)
         return error.rule.exit_code
     except KeyboardInterrupt:
-        session.note("stopped waiting; what was sent stays in force")
+        session.print_note("stopped waiting; what was sent stays in force")
         return _INTERRUPTED_EXIT_CODE
-    session.note_silences()
+    session.print_unreachable()
     return exit_code
 
 
@@ -119,7 +119,7 @@
             Control(session),
             command=arguments,
             name=_PROGRAM,
-            serialize=commands.run_pending,
+            serialize=commands.run_prepared,
         )
     except fire_core.FireExit as error:
         if error.code == _FIRE_USAGE_EXIT_CODE:
--- a/almondstair/tools/commands.py
+++ b/almondstair/tools/commands.py
@@ -22,10 +22,10 @@
 from almondstair.tools import tables
 
 _IN_FORCE_SOURCE = "configuration in force"
-_MARK_TRIES = 4
+_MARK_ATTEMPTS = 4
 
 
-class Pending:
+class PreparedCommand:
     """A command that was understood and has not run yet."""
 
     def __init__(self, *, action: Callable[[], None]) -> None:
@@ -36,27 +36,29 @@
         self._action()
 
 
-def run_pending(result: Any) -> Any:
+def run_prepared(result: Any) -> Any:
     """Runs a command; returns any other result, such as a group, as it is."""
-    if not isinstance(result, Pending):
+    if not isinstance(result, PreparedCommand):
         return result
     result._run()
     return None
 
 
-def command(method: Callable[..., None]) -> Callable[..., Pending]:
+def command(method: Callable[..., None]) -> Callable[..., PreparedCommand]:
     """Makes a method return its work instead of doing it."""
 
     @functools.wraps(method)
-    def prepare(*args: Any, **kwargs: Any) -> Pending:
+    def prepare(*args: Any, **kwargs: Any) -> PreparedCommand:
         bound = inspect.signature(method).bind(*args, **kwargs)
-        _refuse_numbers_for_text(method, arguments=bound.arguments)
-        return Pending(action=functools.partial(method, *args, **kwargs))
+        _reject_non_text(method, arguments=bound.arguments)
+        return PreparedCommand(
+            action=functools.partial(method, *args, **kwargs)
+        )
 
     return prepare
 
 
-def _refuse_numbers_for_text(
+def _reject_non_text(
     method: Callable[..., None], *, arguments: dict[str, Any]
 ) -> None:
     """Refuses a name that `fire` took for a number.
@@ -97,12 +99,14 @@
             self._session.show(body)
             return
         print(body["text"], end="")
-        self._session.note(f"version {body['version']} by {body['author']}")
+        self._session.print_note(
+            f"version {body['version']} by {body['author']}"
+        )
         for entry, version in body["in_force"].items():
             if version == body["version"]:
                 continue
             known = "unknown" if version is None else str(version)
-            self._session.note(f"in force on {entry}: {known}")
+            self._session.print_note(f"in force on {entry}: {known}")
 
     @command
     def check(self, file: str, *, remote: bool = False) -> None:
@@ -148,7 +152,7 @@
         ):
             print(line, end="")
         if not changed:
-            self._session.note("no setting differs")
+            self._session.print_note("no setting differs")
 
     @command
     def edit(
@@ -295,7 +299,7 @@
             done = drain["leaving"] and drain["in_flight"] == 0
             if done or time.monotonic() >= until_s:
                 break
-            self._note_drain(drain, elapsed_s=elapsed_s)
+            self._print_drain(drain, elapsed_s=elapsed_s)
             time.sleep(session_module.POLL_INTERVAL_S)
         if not done:
             left = _count(drain["in_flight"])
@@ -310,7 +314,7 @@
         )
 
     @command
-    def _take_back(self, name: str, *, wait_s: float = 10.0) -> None:
+    def _return_vm(self, name: str, *, wait_s: float = 10.0) -> None:
         """Takes the mark off a VM, so that it gets work again.
 
         Examples:
@@ -338,7 +342,7 @@
         state = self._session.wait_accepted(state, wait_s=wait_s)
         if state["state"] != operator_api.ACCEPTED:
             self._session.show_edit(state)
-        self._session.note(f"the mark is in force everywhere: {name}")
+        self._session.print_note(f"the mark is in force everywhere: {name}")
 
     def _send_mark(self, name: str, *, leaving: bool) -> operator_api.EditState:
         """Sends a mark again if another edit came first.
@@ -346,9 +350,9 @@
         A mark depends on no other setting, so the operator need not read the
         configuration again, as after a conflict of two edits.
         """
-        for _ in range(_MARK_TRIES):
+        for _ in range(_MARK_ATTEMPTS):
             edit_id = session_module.new_edit_id()
-            self._session.note(f"edit {edit_id}")
+            self._session.print_note(f"edit {edit_id}")
             mark = operator_api.MarkBody(
                 name=name,
                 leaving=leaving,
@@ -364,19 +368,19 @@
             time.sleep(session_module.POLL_INTERVAL_S)
         raise conflict
 
-    def _note_drain(
+    def _print_drain(
         self, drain: operator_api.DrainBody, *, elapsed_s: float
     ) -> None:
         age_s = drain["last_new_work_age_s"]
         age = "unknown" if age_s is None else f"{age_s:.1f} s ago"
-        self._session.note(
+        self._session.print_note(
             f"{elapsed_s:.1f} s: work left {_count(drain['in_flight'])}, "
             f"last new work {age}"
         )
 
 
 # `return` is a word of the language, so no method can be defined under it.
-setattr(VmCommands, "return", VmCommands._take_back)
+setattr(VmCommands, "return", VmCommands._return_vm)
 
 
 class EditCommands:
--- a/almondstair/tools/gateway_commands.py
+++ b/almondstair/tools/gateway_commands.py
@@ -15,8 +15,8 @@
 from almondstair.tools import gateway_tables
 from almondstair.tools import gateway_views
 from almondstair.tools import losses as losses_module
+from almondstair.tools import request_explanations
 from almondstair.tools import session as session_module
-from almondstair.tools import stories
 
 
 class GatewayCommands:
@@ -119,7 +119,7 @@
           almondstairctl gateway why 9c41d07be2a35f68 /var/log/gateway-*.log
           cat *.log | almondstairctl gateway why 9c41d07be2a35f68 --json
         """
-        story = stories.tell(request, _read(files))
+        story = request_explanations.explain(request, _read(files))
         body = story._asdict()
         body["lines"] = [line.fields for line in story.lines]
         body["around"] = [line.fields for line in story.around]
@@ -141,7 +141,7 @@
           almondstairctl gateway losses /var/log/gateway-*.log
           cat *.log | almondstairctl gateway losses --json
         """
-        told = losses_module.tell(_read(files))
+        told = losses_module.summarize(_read(files))
         self._session.show(
             losses_module.as_json(told),
             gateway_tables.losses("All", [told.total]),
@@ -151,9 +151,9 @@
         )
 
 
-def _read(files: tuple[str, ...]) -> list[stories.Line]:
+def _read(files: tuple[str, ...]) -> list[request_explanations.LogLine]:
     if not files:
-        return stories.read_lines("standard input", sys.stdin)
+        return request_explanations.read_lines("standard input", sys.stdin)
     lines = []
     for name in files:
         try:
@@ -162,5 +162,5 @@
             raise errors.AlmondstairError(
                 kind=errors.ErrorKind.NOT_FOUND, detail=f"{name}: {error}"
             ) from error
-        lines += stories.read_lines(name, text.splitlines())
+        lines += request_explanations.read_lines(name, text.splitlines())
     return lines
--- a/almondstair/tools/gateway_config_commands.py
+++ b/almondstair/tools/gateway_config_commands.py
@@ -34,7 +34,7 @@
             self._session.show(body)
             return
         print(_lines_of(body["text"]))
-        self._session.note(
+        self._session.print_note(
             f"version {body['version']} on {body['entry']}, which heard of "
             f"the store {body['store_age_s']:.1f} s ago"
         )
@@ -96,7 +96,7 @@
             return
         print("\n".join(lines))
         if not lines:
-            self._session.note("nothing differs")
+            self._session.print_note("nothing differs")
 
 
 def _lines_of(text: str) -> str:
--- a/almondstair/tools/gateway_tables.py
+++ b/almondstair/tools/gateway_tables.py
@@ -7,7 +7,7 @@
 
 from almondstair.tools import gateway_views
 from almondstair.tools import losses as losses_module
-from almondstair.tools import stories
+from almondstair.tools import request_explanations
 from almondstair.tools import tables
 
 # Figures older than this are marked; the store is asked twice a second.
@@ -71,7 +71,9 @@
     return ", ".join(states) or "ready"
 
 
-def lines(title: str, found: list[stories.Line]) -> rich_table.Table:
+def lines(
+    title: str, found: list[request_explanations.LogLine]
+) -> rich_table.Table:
     """Returns the table of log lines."""
     table = tables.make_table(title, ("time", "log", "event", "what it says"))
     for line in found:
@@ -79,7 +81,7 @@
             line.time,
             Path(line.source).name,
             f"{line.event} {line.fields.get('event_name')}",
-            stories.details(line),
+            request_explanations.details(line),
         )
     return table
 
@@ -190,7 +192,7 @@
     table = tables.make_table(title, ("part", "requests", "lost or late, why"))
     for row in rows:
         causes = []
-        for cause, count in losses_module.lost(row):
+        for cause, count in losses_module.loss_counts(row):
             causes.append(f"{count} {cause}")
         table.add_row(row.part, str(row.asked), ", ".join(causes) or "none")
     return table
--- a/almondstair/tools/gateway_views.py
+++ b/almondstair/tools/gateway_views.py
@@ -80,7 +80,7 @@
     return {name: [row._asdict() for row in rows], "store_age_s": ages_s}
 
 
-def _answering(bodies: list[dict[str, Any]]) -> Iterator[dict[str, Any]]:
+def _reachable(bodies: list[dict[str, Any]]) -> Iterator[dict[str, Any]]:
     for body in bodies:
         if "silent" not in body:
             yield body
@@ -103,7 +103,7 @@
             ready=None if silent else body["ready"],
             known_to=[],
         )
-    for body in _answering(bodies):
+    for body in _reachable(bodies):
         for entry in body["entries"]:
             row = found.get(entry["name"])
             if row is None:
@@ -146,7 +146,7 @@
 def _upstreams(
     bodies: list[dict[str, Any]],
 ) -> Iterator[tuple[dict[str, Any], dict[str, Any]]]:
-    for body in _answering(bodies):
+    for body in _reachable(bodies):
         for upstream in body["upstreams"]:
             yield body, upstream
 
@@ -154,13 +154,13 @@
 def evacuations(bodies: list[dict[str, Any]]) -> list[EvacuationRow]:
     """Returns the zones that some gateway knows to be evacuated."""
     zones = set()
-    for body in _answering(bodies):
+    for body in _reachable(bodies):
         zones.update(body["evacuated_for_s"])
     rows = []
     for zone in sorted(zones):
         known_for_s = {}
         not_known_to = []
-        for body in _answering(bodies):
+        for body in _reachable(bodies):
             for_s = body["evacuated_for_s"].get(zone)
             if for_s is None:
                 not_known_to.append(body["entry"])
--- a/almondstair/tools/losses.py
+++ b/almondstair/tools/losses.py
@@ -7,21 +7,21 @@
 from typing import Any, NamedTuple
 
 from almondstair.log import Event
-from almondstair.tools.stories import Line
+from almondstair.tools.request_explanations import LogLine
 
 # Use of a service up to which a refusal for lack of room counts as one beside
 # free slots; above, a request may have found every slot taken at its moment.
-ROOM_USE = 0.8
+MAX_USE_WITH_FREE_SLOTS = 0.8
 # Length of the windows in seconds.
 WINDOW_S = 2.0
 # Part of the aim that a queue has to take for it to count as the cause.
-QUEUE_SHARE = 0.2
+MIN_QUEUE_FRACTION = 0.2
 # An answer that took this many times what was expected ran otherwise than it
 # was expected to.
-SLOWER_THAN_EXPECTED = 1.5
+SLOW_RUN_RATIO = 1.5
 _SUCCESS = range(200, 300)
 _TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
-_ENDS = frozenset(
+_END_EVENTS = frozenset(
     (
         Event.REQUEST_ANSWERED.value.number,
         Event.GATEWAY_REFUSED.value.number,
@@ -51,23 +51,23 @@
       SLOW: late for none of these.
     """
 
-    NONE = "in its aim"
-    ROOM = "refused with slots free"
-    FULL = "refused, service full"
+    IN_TIME = "in its aim"
+    REFUSED_WITH_FREE_SLOTS = "refused with slots free"
+    SERVICE_FULL = "refused, service full"
     NOT_READY = "refused, entry starting or leaving"
     OTHER_REFUSAL = "refused for another reason"
-    LOST = "answer lost"
-    LEFT = "caller left"
-    FAILED = "failed by its upstream"
-    TRIES = "late after failed tries"
+    RESPONSE_LOST = "answer lost"
+    CALLER_DISCONNECTED = "caller left"
+    UPSTREAM_FAILED = "failed by its upstream"
+    FAILED_ATTEMPTS = "late after failed tries"
     QUEUED = "late after a queue"
-    NEW = "late, ran as new"
-    FORGOTTEN = "late, slower than where known"
-    FAR = "late by the way"
-    SLOW = "late otherwise"
+    NOT_CACHED = "late, ran as new"
+    SLOWER_THAN_CACHED = "late, slower than where known"
+    ROUND_TRIP = "late by the way"
+    OTHER_LATENESS = "late otherwise"
 
 
-class End(NamedTuple):
+class RequestEnd(NamedTuple):
     """How one request ended.
 
     Attributes:
@@ -106,10 +106,10 @@
     windows: list[Row]
 
 
-def tell(lines: Iterable[Line]) -> Losses:
+def summarize(lines: Iterable[LogLine]) -> Losses:
     """Returns what the lines of several logs say of lost requests."""
-    ends = _ends(lines)
-    windows: dict[str, list[End]] = {}
+    ends = _find_ends(lines)
+    windows: dict[str, list[RequestEnd]] = {}
     for end in ends:
         began_s = int(end.at_s / WINDOW_S) * WINDOW_S
         windows.setdefault(f"{began_s:6.0f} s", []).append(end)
@@ -121,11 +121,11 @@
     )
 
 
-def _ends(lines: Iterable[Line]) -> list[End]:
+def _find_ends(lines: Iterable[LogLine]) -> list[RequestEnd]:
     found = []
     first_s: float | None = None
     for line in sorted(lines, key=lambda line: line.time):
-        if line.event not in _ENDS:
+        if line.event not in _END_EVENTS:
             continue
         at_s = _seconds(line.time)
         if at_s is None:
@@ -133,7 +133,7 @@
         if first_s is None:
             first_s = at_s
         found.append(
-            End(
+            RequestEnd(
                 at_s=at_s - first_s,
                 route=str(line.fields.get("route", "")),
                 source=line.source,
@@ -150,70 +150,70 @@
         return None
 
 
-def _cause(line: Line) -> Cause:
+def _cause(line: LogLine) -> Cause:
     fields = line.fields
     if line.event == Event.GATEWAY_REFUSED.value.number:
-        return _refusal(fields)
+        return _refusal_cause(fields)
     if line.event == Event.REQUEST_FAILED.value.number:
-        return Cause.LOST
+        return Cause.RESPONSE_LOST
     if line.event == Event.REQUEST_ABANDONED.value.number:
-        return Cause.LEFT
+        return Cause.CALLER_DISCONNECTED
     if fields.get("status") not in _SUCCESS:
-        return Cause.FAILED
+        return Cause.UPSTREAM_FAILED
     if fields.get("took_ms", 0) <= fields.get("aim_ms", 0):
-        return Cause.NONE
-    return _lateness(fields)
+        return Cause.IN_TIME
+    return _lateness_cause(fields)
 
 
-def _refusal(fields: dict[str, Any]) -> Cause:
+def _refusal_cause(fields: dict[str, Any]) -> Cause:
     kind = fields.get("kind")
     if kind in ("entry_not_ready", "entry_leaving"):
         return Cause.NOT_READY
     if kind != "no_slot":
         return Cause.OTHER_REFUSAL
-    if fields.get("use", 1.0) < ROOM_USE:
-        return Cause.ROOM
-    return Cause.FULL
+    if fields.get("use", 1.0) < MAX_USE_WITH_FREE_SLOTS:
+        return Cause.REFUSED_WITH_FREE_SLOTS
+    return Cause.SERVICE_FULL
 
 
-def _lateness(fields: dict[str, Any]) -> Cause:
+def _lateness_cause(fields: dict[str, Any]) -> Cause:
     took_ms = fields.get("took_ms", 0)
     aim_ms = fields.get("aim_ms", 0)
     if fields.get("tries", 1) > 1:
-        return Cause.TRIES
-    if fields.get("queue_ms", 0) > QUEUE_SHARE * aim_ms:
+        return Cause.FAILED_ATTEMPTS
+    if fields.get("queue_ms", 0) > MIN_QUEUE_FRACTION * aim_ms:
         return Cause.QUEUED
     if fields.get("warm") is False:
-        return Cause.NEW
-    if took_ms > SLOWER_THAN_EXPECTED * fields.get("expected_ms", 0):
-        return Cause.FORGOTTEN
+        return Cause.NOT_CACHED
+    if took_ms > SLOW_RUN_RATIO * fields.get("expected_ms", 0):
+        return Cause.SLOWER_THAN_CACHED
     if took_ms - fields.get("way_ms", 0) <= aim_ms:
-        return Cause.FAR
-    return Cause.SLOW
+        return Cause.ROUND_TRIP
+    return Cause.OTHER_LATENESS
 
 
-def _rows(ends: list[End], name: str) -> list[Row]:
-    parts: dict[str, list[End]] = {}
+def _rows(ends: list[RequestEnd], name: str) -> list[Row]:
+    parts: dict[str, list[RequestEnd]] = {}
     for end in ends:
         parts.setdefault(getattr(end, name), []).append(end)
     rows = [_row(part, parts[part]) for part in parts]
-    return sorted(rows, key=lambda row: -(row.asked - _in_aim(row)))
+    return sorted(rows, key=lambda row: -(row.asked - _in_time(row)))
 
 
-def _row(part: str, ends: list[End]) -> Row:
+def _row(part: str, ends: list[RequestEnd]) -> Row:
     counts = Counter(str(end.cause) for end in ends)
     return Row(part=part, asked=len(ends), causes=dict(counts))
 
 
-def _in_aim(row: Row) -> int:
-    return row.causes.get(str(Cause.NONE), 0)
+def _in_time(row: Row) -> int:
+    return row.causes.get(str(Cause.IN_TIME), 0)
 
 
-def lost(row: Row) -> list[tuple[str, int]]:
+def loss_counts(row: Row) -> list[tuple[str, int]]:
     """Returns the causes of a part with their counts, the greatest first."""
     found = []
     for cause, count in row.causes.items():
-        if cause != str(Cause.NONE):
+        if cause != str(Cause.IN_TIME):
             found.append((cause, count))
     return sorted(found, key=lambda pair: -pair[1])
 
--- a/almondstair/tools/operator_client.py
+++ b/almondstair/tools/operator_client.py
@@ -14,10 +14,10 @@
 _CONNECT_TIMEOUT_S = 2.0
 _REQUEST_TIMEOUT_S = 10.0
 # For one of many entries, so that a frozen one does not hold up the rest.
-_ONE_OF_MANY_TIMEOUT_S = 2.0
+_SINGLE_ENTRY_TIMEOUT_S = 2.0
 
 
-class Silence(NamedTuple):
+class UnreachableEntry(NamedTuple):
     """An entry that gave no answer.
 
     Attributes:
@@ -58,7 +58,7 @@
         Raises:
           AlmondstairError: USAGE if there is none or one is malformed.
         """
-        self.silences: list[Silence] = []
+        self.unreachable_entries: list[UnreachableEntry] = []
         self._addresses = _parse_addresses(addresses_text)
         self._http = httpclient.HTTPClient()
 
@@ -73,7 +73,7 @@
     def check(self, *, text: str) -> None:
         """Has an entry check a configuration; raises if it is not valid."""
         body = operator_api.CheckBody(text=text)
-        self._ask("POST", "/v1/configuration/check", body=body)
+        self._request("POST", "/v1/configuration/check", body=body)
 
     def edit(self, edit: operator_api.EditBody) -> operator_api.EditState:
         """Sends an edit and returns its state, pending or accepted."""
@@ -97,7 +97,7 @@
         drain: operator_api.DrainBody = self._get(path)
         if drain["in_flight"] is not None or not drain["home_address"]:
             return drain
-        return self._ask_one(drain["home_address"], path) or drain
+        return self._request_from(drain["home_address"], path) or drain
 
     def status(self) -> operator_api.StatusBody:
         """Returns what one entry knows."""
@@ -105,35 +105,35 @@
 
     def status_of(self, *, address: str) -> operator_api.StatusBody | None:
         """Returns what a certain entry knows, None if it does not answer."""
-        return self._ask_one(address, "/v1/status")
+        return self._request_from(address, "/v1/status")
 
-    def _ask_one(self, address: str, path: str) -> Any:
+    def _request_from(self, address: str, path: str) -> Any:
         """Asks a certain entry; None if it does not answer."""
         try:
-            return self._exchange(
+            return self._send(
                 address,
                 "GET",
                 path,
                 body=None,
-                timeout_s=_ONE_OF_MANY_TIMEOUT_S,
+                timeout_s=_SINGLE_ENTRY_TIMEOUT_S,
             )
         except OSError as error:
-            self._note_silence(address, error=error)
+            self._record_unreachable(address, error=error)
         except errors.AlmondstairError as error:
-            self._note_silence(address, error=OSError(error.detail))
+            self._record_unreachable(address, error=OSError(error.detail))
         return None
 
     def _get(self, path: str) -> Any:
-        return self._ask("GET", path, body=None)
+        return self._request("GET", path, body=None)
 
-    def _ask(self, method: str, path: str, *, body: Any) -> Any:
+    def _request(self, method: str, path: str, *, body: Any) -> Any:
         """Asks each entry in turn; only for requests that change nothing."""
         for address in tuple(self._addresses):
             try:
-                return self._exchange(address, method, path, body=body)
+                return self._send(address, method, path, body=body)
             except OSError as error:
-                self._note_silence(address, error=error)
-        raise self._unreachable()
+                self._record_unreachable(address, error=error)
+        raise self._unreachable_error()
 
     def _write(
         self,
@@ -150,18 +150,20 @@
         edit_id = body["edit_id"]
         for address in tuple(self._addresses):
             try:
-                answer = self._exchange(address, "POST", path, body=body)
+                answer = self._send(address, "POST", path, body=body)
                 return _edit_state(answer, edit_id=edit_id)
             except RemoteError as error:
                 return _pending_state(error, edit_id=edit_id)
             except ConnectionRefusedError as error:
-                self._note_silence(address, error=error)
+                self._record_unreachable(address, error=error)
             except OSError as error:
-                self._note_silence(address, error=error)
-                return self._state_after_loss(edit_id=edit_id)
-        raise self._unreachable()
+                self._record_unreachable(address, error=error)
+                return self._state_after_lost_response(edit_id=edit_id)
+        raise self._unreachable_error()
 
-    def _state_after_loss(self, *, edit_id: str) -> operator_api.EditState:
+    def _state_after_lost_response(
+        self, *, edit_id: str
+    ) -> operator_api.EditState:
         try:
             return self.edit_state(edit_id=edit_id)
         except errors.AlmondstairError as error:
@@ -172,7 +174,7 @@
                 f"almondstairctl edit status {edit_id}",
             ) from error
 
-    def _exchange(
+    def _send(
         self,
         address: str,
         method: str,
@@ -196,20 +198,22 @@
             raise OSError(str(error)) from error
         return _decode(response, address=address)
 
-    def _note_silence(self, address: str, *, error: OSError) -> None:
+    def _record_unreachable(self, address: str, *, error: OSError) -> None:
         """Notes a silent entry once and asks it last from now on."""
         if address in self._addresses:
             self._addresses.remove(address)
             self._addresses.append(address)
-        for silence in self.silences:
+        for silence in self.unreachable_entries:
             if silence.address == address:
                 return
         reason = error.strerror or str(error) or type(error).__name__
-        self.silences.append(Silence(address=address, reason=reason))
+        self.unreachable_entries.append(
+            UnreachableEntry(address=address, reason=reason)
+        )
 
-    def _unreachable(self) -> errors.AlmondstairError:
+    def _unreachable_error(self) -> errors.AlmondstairError:
         lines: list[str] = []
-        for silence in self.silences:
+        for silence in self.unreachable_entries:
             lines.append(f"{silence.address} does not answer: {silence.reason}")
         return errors.AlmondstairError(
             kind=errors.ErrorKind.ENTRY_UNREACHABLE, detail="\n".join(lines)
@@ -245,17 +249,17 @@
     except ValueError:
         body = None
     if not isinstance(body, dict):
-        raise _not_operators(address)
+        raise _wrong_listener(address)
     if "kind" not in body and response.code == http.HTTPStatus.OK:
         return body
     try:
         kind = errors.ErrorKind(str(body.get("kind")))
     except ValueError as error:
-        raise _not_operators(address) from error
+        raise _wrong_listener(address) from error
     raise RemoteError(kind=kind, body=body)
 
 
-def _not_operators(address: str) -> errors.AlmondstairError:
+def _wrong_listener(address: str) -> errors.AlmondstairError:
     return errors.AlmondstairError(
         kind=errors.ErrorKind.ENTRY_UNREACHABLE,
         detail=f"{address} answers, but not as an operators' listener; "
--- a/almondstair/tools/stories.py
+++ b/almondstair/tools/request_explanations.py
@@ -7,12 +7,12 @@
 from almondstair.log import Event
 
 _ANSWERED = Event.REQUEST_ANSWERED.value.number
-_TRY_FAILED = Event.TRY_FAILED.value.number
+_ATTEMPT_FAILED = Event.TRY_FAILED.value.number
 _REFUSED = Event.GATEWAY_REFUSED.value.number
 _FAILED = Event.REQUEST_FAILED.value.number
 _ABANDONED = Event.REQUEST_ABANDONED.value.number
 _WAITED = Event.ANSWER_WAITED.value.number
-_LEFT_OUT = Event.LINES_LEFT_OUT.value.number
+_LINES_DROPPED = Event.LINES_LEFT_OUT.value.number
 _STORE_LOST = Event.STORE_LOST.value.number
 _STORE_BACK = Event.STORE_BACK.value.number
 _IN_FORCE = Event.CONFIGURATION_IN_FORCE.value.number
@@ -24,13 +24,13 @@
     )
 )
 # Fields that say nothing about why.
-_COMMON = frozenset(("time", "level", "message", "event", "event_name"))
+_COMMON_FIELDS = frozenset(("time", "level", "message", "event", "event_name"))
 # An answer that took this much longer than was expected was slow at the
 # upstream; else the expectation itself was long.
-_SLOWER_THAN_EXPECTED = 1.5
+_SLOW_RUN_RATIO = 1.5
 
 
-class Line(NamedTuple):
+class LogLine(NamedTuple):
     """One line of a log.
 
     Attributes:
@@ -46,7 +46,7 @@
     fields: dict[str, Any]
 
 
-class Story(NamedTuple):
+class RequestExplanation(NamedTuple):
     """What became of a request and why.
 
     Attributes:
@@ -58,11 +58,11 @@
 
     request: str
     cause: str
-    lines: list[Line]
-    around: list[Line]
+    lines: list[LogLine]
+    around: list[LogLine]
 
 
-def read_lines(source: str, text: Iterable[str]) -> list[Line]:
+def read_lines(source: str, text: Iterable[str]) -> list[LogLine]:
     """Reads JSON lines; what is none, such as a traceback, is passed over."""
     lines = []
     for row in text:
@@ -76,7 +76,7 @@
         if not isinstance(fields, dict) or "event" not in fields:
             continue
         lines.append(
-            Line(
+            LogLine(
                 time=str(fields.get("time", "")),
                 source=source,
                 event=int(fields["event"]),
@@ -86,21 +86,24 @@
     return lines
 
 
-def tell(request: str, lines: list[Line]) -> Story:
+def explain(request: str, lines: list[LogLine]) -> RequestExplanation:
     """Finds what the lines say of a request."""
     ordered = sorted(lines, key=lambda line: line.time)
     own = [line for line in ordered if line.fields.get("request") == request]
-    upstreams = _upstreams(own)
+    upstreams = _upstreams_tried(own)
     around = []
     for line in ordered:
-        if _is_around(line, own, upstreams):
+        if _is_context(line, own, upstreams):
             around.append(line)
-    return Story(
-        request=request, cause=_cause(own, ordered), lines=own, around=around
+    return RequestExplanation(
+        request=request,
+        cause=_describe_cause(own, ordered),
+        lines=own,
+        around=around,
     )
 
 
-def _upstreams(own: list[Line]) -> set[str]:
+def _upstreams_tried(own: list[LogLine]) -> set[str]:
     found = set()
     for line in own:
         if "upstream" in line.fields:
@@ -109,7 +112,7 @@
     return found
 
 
-def _is_around(line: Line, own: list[Line], upstreams: set[str]) -> bool:
+def _is_context(line: LogLine, own: list[LogLine], upstreams: set[str]) -> bool:
     if not own:
         return False
     if line.event in (_STORE_LOST, _STORE_BACK, _IN_FORCE):
@@ -119,31 +122,31 @@
     return line.fields.get("upstream") in upstreams
 
 
-def _cause(own: list[Line], ordered: list[Line]) -> str:
+def _describe_cause(own: list[LogLine], ordered: list[LogLine]) -> str:
     if not own:
-        return _absence(ordered)
+        return _describe_absence(ordered)
     last = own[-1].fields
     event = own[-1].event
     if event == _ANSWERED:
-        return _answered(own, last)
+        return _describe_answered(own, last)
     if event == _FAILED:
-        return _failed(own, last)
+        return _describe_failure(own, last)
     if event == _WAITED:
-        return f"{_cause(own[:-1], ordered)}; {_waited(last)}"
+        return f"{_describe_cause(own[:-1], ordered)}; {_describe_wait(last)}"
     if event == _REFUSED:
-        return _refused(last)
-    return _unanswered(event, last)
+        return _describe_refusal(last)
+    return _describe_unanswered(event, last)
 
 
-def _unanswered(event: int, last: dict[str, Any]) -> str:
+def _describe_unanswered(event: int, last: dict[str, Any]) -> str:
     if event == _ABANDONED:
         return f"the caller left after {last.get('after_ms')} ms"
     return "no line tells how it ended; the process may have been killed"
 
 
-def _absence(ordered: list[Line]) -> str:
+def _describe_absence(ordered: list[LogLine]) -> str:
     for line in ordered:
-        if line.event == _LEFT_OUT:
+        if line.event == _LINES_DROPPED:
             return (
                 "no line names it, and lines were left out at "
                 f"{line.time}: {line.fields.get('lines')}"
@@ -151,13 +154,15 @@
     return "no line names it: it reached none of these VMs"
 
 
-def _answered(own: list[Line], last: dict[str, Any]) -> str:
+def _describe_answered(own: list[LogLine], last: dict[str, Any]) -> str:
     took_ms = last.get("took_ms", 0)
     expected_ms = last.get("expected_ms", 0)
     text = f"answered {last.get('status')} after {took_ms} ms"
     if len(own) > 1:
-        return f"{text}, after {len(own) - 1} failed try: {_tries(own)}"
-    if took_ms > _SLOWER_THAN_EXPECTED * max(1, expected_ms):
+        return (
+            f"{text}, after {len(own) - 1} failed try: {_failed_attempts(own)}"
+        )
+    if took_ms > _SLOW_RUN_RATIO * max(1, expected_ms):
         return (
             f"{text}, expected {expected_ms} ms: upstream "
             f"{last.get('upstream')} was slow"
@@ -167,7 +172,7 @@
     return f"{text}, as expected with {last.get('busy')} requests there"
 
 
-def _waited(last: dict[str, Any]) -> str:
+def _describe_wait(last: dict[str, Any]) -> str:
     text = (
         f"the answer waited {last.get('waited_ms')} ms on its connection "
         f"behind request {last.get('behind')}"
@@ -177,7 +182,7 @@
     return f"{text}, and the caller left before it was sent"
 
 
-def _refused(last: dict[str, Any]) -> str:
+def _describe_refusal(last: dict[str, Any]) -> str:
     kind = last.get("kind")
     if kind == "no_slot":
         text = (
@@ -194,29 +199,29 @@
     return f"refused, not run: {kind} {last.get('detail')}"
 
 
-def _failed(own: list[Line], last: dict[str, Any]) -> str:
+def _describe_failure(own: list[LogLine], last: dict[str, Any]) -> str:
     if last.get("kind") == "upstream_timeout":
         return (
             f"no answer after {last.get('after_ms')} ms from upstream "
             f"{', '.join(last.get('tried', []))}"
         )
-    return f"may have run, no whole answer: {_tries(own)}"
+    return f"may have run, no whole answer: {_failed_attempts(own)}"
 
 
-def _tries(own: list[Line]) -> str:
+def _failed_attempts(own: list[LogLine]) -> str:
     parts = []
     for line in own:
-        if line.event != _TRY_FAILED:
+        if line.event != _ATTEMPT_FAILED:
             continue
         fields = line.fields
         parts.append(f"{fields.get('upstream')}: {fields.get('cause')}")
     return "; ".join(parts) or "no try is on record"
 
 
-def details(line: Line) -> str:
+def details(line: LogLine) -> str:
     """Returns what a line says besides its time and event."""
     parts = []
     for name, value in line.fields.items():
-        if name not in _COMMON:
+        if name not in _COMMON_FIELDS:
             parts.append(f"{name}={value}")
     return " ".join(parts)
--- a/almondstair/tools/session.py
+++ b/almondstair/tools/session.py
@@ -52,10 +52,10 @@
         self.json = json
         self._entry = entry
         self._client: operator_client.OperatorClient | None = None
-        self._output = rich.console.Console(highlight=False)
-        if not self._output.is_terminal:
-            self._output.width = _PIPE_WIDTH_COLUMNS
-        self._notes = rich.console.Console(stderr=True, highlight=False)
+        self._output_console = rich.console.Console(highlight=False)
+        if not self._output_console.is_terminal:
+            self._output_console.width = _PIPE_WIDTH_COLUMNS
+        self._error_console = rich.console.Console(stderr=True, highlight=False)
 
     @property
     def client(self) -> operator_client.OperatorClient:
@@ -72,38 +72,40 @@
             print(json_module.dumps(body, indent=2))
             return
         for part in parts:
-            self._output.print(part)
+            self._output_console.print(part)
 
-    def note(self, text: str) -> None:
+    def print_note(self, text: str) -> None:
         """Prints a line about progress on the standard error stream."""
-        self._notes.print(text, markup=False, soft_wrap=True)
+        self._error_console.print(text, markup=False, soft_wrap=True)
 
     def show_error(self, error: errors.AlmondstairError) -> None:
         """Prints an error; with JSON, its problem object."""
         if self.json:
             print(json_module.dumps(_problem(error), indent=2))
             return
-        self.note(f"{error.kind}: {error.rule.title}")
+        self.print_note(f"{error.kind}: {error.rule.title}")
         if error.detail != error.rule.title:
-            self.note(error.detail)
+            self.print_note(error.detail)
         if error.kind is not errors.ErrorKind.ENTRY_UNREACHABLE:
-            self.note_silences()
+            self.print_unreachable()
         hint = _HINTS.get(error.kind)
         if hint is not None:
-            self.note(hint)
+            self.print_note(hint)
 
-    def note_silences(self) -> None:
+    def print_unreachable(self) -> None:
         """Says which entries were asked and gave no answer."""
         if self._client is None:
             return
-        for silence in self._client.silences:
-            self.note(f"{silence.address} does not answer: {silence.reason}")
+        for silence in self._client.unreachable_entries:
+            self.print_note(
+                f"{silence.address} does not answer: {silence.reason}"
+            )
 
     def edit(self, *, base_version: int, text: str, wait_s: float) -> None:
         """Sends an edit and waits until it is in force everywhere."""
         settings_module.read_configuration(text, "the edited configuration")
         edit_id = new_edit_id()
-        self.note(f"edit {edit_id}")
+        self.print_note(f"edit {edit_id}")
         state = self.client.edit(
             operator_api.EditBody(
                 base_version=base_version,
@@ -123,7 +125,9 @@
         while state["state"] == operator_api.PENDING:
             if state["lacking"] != lacking:
                 lacking = state["lacking"]
-                self.note(f"not yet known in force on: {', '.join(lacking)}")
+                self.print_note(
+                    f"not yet known in force on: {', '.join(lacking)}"
+                )
             if time.monotonic() >= until_s:
                 break
             time.sleep(POLL_INTERVAL_S)
--- a/almondstair/tools/whole_status.py
+++ b/almondstair/tools/system_status.py
@@ -8,10 +8,10 @@
 from almondstair import operator_api
 from almondstair.tools import operator_client
 
-Answers = dict[str, operator_api.StatusBody | None]
+StatusByEntry = dict[str, operator_api.StatusBody | None]
 
 
-def gather(
+def collect(
     client: operator_client.OperatorClient,
 ) -> operator_api.StatusBody:
     """Asks one entry for the others, and then each of them.
@@ -26,9 +26,9 @@
       AlmondstairError: ENTRY_UNREACHABLE if no entry of the client answers.
     """
     first = client.status()
-    answers: Answers = {}
+    answers: StatusByEntry = {}
     for entry in first["entries"]:
-        answers[entry["name"]] = _ask(client, entry, first=first)
+        answers[entry["name"]] = _status_of(client, entry, first=first)
     return operator_api.StatusBody(
         entry=first["entry"],
         epoch=first["epoch"],
@@ -39,7 +39,7 @@
     )
 
 
-def _ask(
+def _status_of(
     client: operator_client.OperatorClient,
     entry: operator_api.EntryStatus,
     *,
@@ -53,7 +53,7 @@
 def _entries(
     first: operator_api.StatusBody,
     *,
-    answers: Answers,
+    answers: StatusByEntry,
 ) -> list[operator_api.EntryStatus]:
     rows: list[operator_api.EntryStatus] = []
     for entry in first["entries"]:
@@ -66,16 +66,16 @@
 def _upstreams(
     first: operator_api.StatusBody,
     *,
-    answers: Answers,
+    answers: StatusByEntry,
 ) -> list[operator_api.UpstreamStatus]:
     rows: list[operator_api.UpstreamStatus] = []
     for row in first["upstreams"]:
         home = answers.get(row["home"] or "")
-        rows.append(_row_of_home(row, home=home))
+        rows.append(_home_row(row, home=home))
     return rows
 
 
-def _row_of_home(
+def _home_row(
     row: operator_api.UpstreamStatus,
     *,
     home: operator_api.StatusBody | None,
@@ -95,7 +95,7 @@
 def _links(
     first: operator_api.StatusBody,
     *,
-    answers: Answers,
+    answers: StatusByEntry,
 ) -> list[operator_api.LinkStatus]:
     rows: dict[tuple[str, str], operator_api.LinkStatus] = {}
     for status in answers.values():
--- a/almondstair/tools/tables.py
+++ b/almondstair/tools/tables.py
@@ -6,7 +6,7 @@
 from almondstair import settings
 
 UNKNOWN = "[yellow]unknown[/yellow]"
-_SILENT = "[red]no word[/red]"
+_NO_HEARTBEAT = "[red]no word[/red]"
 # States that an entry knows of itself, without a report of the upstream.
 _STATES_WITHOUT_REPORT = ("leaving", "without home", "being taken over")
 _BYTES_PER_MB = 1_000_000
@@ -27,8 +27,8 @@
             row["region"],
             row["availability_zone"],
             answers,
-            _heard(row["heard_age_s"]),
-            _yes(row["leaving"]),
+            _heartbeat_age(row["heard_age_s"]),
+            _yes_or_blank(row["leaving"]),
             number(row["config_version"]),
         )
     return table
@@ -148,9 +148,9 @@
     return age_s is None or age_s > _REPORT_LIMIT_S
 
 
-def _heard(age_s: float | None) -> str:
+def _heartbeat_age(age_s: float | None) -> str:
     if age_s is None:
-        return _SILENT
+        return _NO_HEARTBEAT
     if age_s > _SILENCE_LIMIT_S:
         return f"[red]silent for {age_s:.1f} s[/red]"
     return f"{age_s:.1f} s ago"
@@ -164,7 +164,7 @@
     return table
 
 
-def _yes(value: bool) -> str:
+def _yes_or_blank(value: bool) -> str:
     return "yes" if value else ""
 
 
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -15,8 +15,8 @@
 from features.support.gateway_world import GatewayWorld
 from features.support.harness import Answer
 from features.support.harness import Processes
-from scripts.demonstration import say
-from scripts.demonstration import show
+from scripts.demonstration import print_now
+from scripts.demonstration import run_demonstration
 
 # Names and availability zones; see `gateway_world` for the zones' regions.
 UPSTREAMS = {"u1": "a1", "u2": "a2", "u3": "a1", "u4": "b1"}
@@ -40,16 +40,18 @@
     def run(self) -> None:
         """Starts everything, shows it at work, and stops it."""
         self._start()
-        self._show_look_up()
+        self._show_lookup()
         request = self._show_requests()
         self._show_leaving()
-        self._show_end()
-        self._show_story(request)
+        self._show_crash()
+        self._show_request_history(request)
         self._show_status()
         self._stop()
 
     def _start(self) -> None:
-        say(f"starting the store, {len(UPSTREAMS)} upstreams, 3 gateways ...")
+        print_now(
+            f"starting the store, {len(UPSTREAMS)} upstreams, 3 gateways ..."
+        )
         began_s = time.monotonic()
         for name, zone in UPSTREAMS.items():
             self._world.start_upstream(name, zone=zone, work_s=WORK_S)
@@ -64,17 +66,19 @@
             self._world.start_gateway(name, zone)
         for name in GATEWAYS:
             self._world.until_served(gateway=name)
-        say(f"ready after {time.monotonic() - began_s:.1f} s")
+        print_now(f"ready after {time.monotonic() - began_s:.1f} s")
 
-    def _show_look_up(self) -> None:
-        say("\na caller of region east asks which gateways to use:")
+    def _show_lookup(self) -> None:
+        print_now("\na caller of region east asks which gateways to use:")
         address = self._world.gateways["g1"]["lookups"]
         path = "/resolve?name=service.example&region=east&zone=a1"
-        say(f"  {harness.get(address, path).json()}")
+        print_now(f"  {harness.get(address, path).json()}")
 
     def _show_requests(self) -> str:
         """Sends requests of each kind; returns the id of the first."""
-        say("\nrequests of each kind; an object's later ones run quicker:")
+        print_now(
+            "\nrequests of each kind; an object's later ones run quicker:"
+        )
         first = self._request("GET", "/safe/parcel-7", key="parcel-7")
         self._request("GET", "/safe/parcel-7", key="parcel-7", gateway="g2")
         self._request("POST", "/unsafe/order", body=b"return it")
@@ -98,50 +102,52 @@
         address = self._world.gateways[gateway]["callers"]
         answer = harness.send(method, address, path, body=body, headers=headers)
         took_ms = (time.monotonic() - began_s) * 1000
-        say(
+        print_now(
             f"  {method:4} {path:18} through {gateway}  {answer.status} "
             f"{len(answer.body):7} bytes {took_ms:6.1f} ms  {_cause(answer)}"
         )
         return headers["X-Almondstair-Request-Id"]
 
     def _show_leaving(self) -> None:
-        say("\nupstream u1 is stopped; it says that it leaves, and drains:")
+        print_now(
+            "\nupstream u1 is stopped; it says that it leaves, and drains:"
+        )
         self._processes.children["u1"].process.send_signal(signal.SIGTERM)
         time.sleep(LEAVING_LIMIT_S / 2)
-        self._tool("gateway", "drain", self._world.operator_address("g1"))
-        self._send_some("while it leaves")
+        self._run_tool("gateway", "drain", self._world.operator_address("g1"))
+        self._send_requests("while it leaves")
 
-    def _show_end(self) -> None:
-        say("\nupstream u2 ends without a word:")
+    def _show_crash(self) -> None:
+        print_now("\nupstream u2 ends without a word:")
         self._processes.children["u2"].kill()
-        self._send_some("after that")
+        self._send_requests("after that")
 
-    def _send_some(self, when: str, count: int = 12) -> None:
+    def _send_requests(self, when: str, count: int = 12) -> None:
         statuses = []
         for number in range(count):
             answer = self._world.send("GET", f"/safe/parcel-{number}")
             statuses.append(answer.status)
-        say(f"  {count} requests {when}: {sorted(set(statuses))}")
+        print_now(f"  {count} requests {when}: {sorted(set(statuses))}")
 
-    def _show_story(self, request: str) -> None:
-        say(f"\nwhat became of request {request}, from the logs:")
+    def _show_request_history(self, request: str) -> None:
+        print_now(f"\nwhat became of request {request}, from the logs:")
         logs = []
         for name in GATEWAYS:
             logs.append(str(self._processes.children[name].log))
-        self._tool("gateway", "why", request, *logs)
+        self._run_tool("gateway", "why", request, *logs)
 
     def _show_status(self) -> None:
-        say("\nwhat the gateways believe:")
+        print_now("\nwhat the gateways believe:")
         addresses = []
         for name in GATEWAYS:
             addresses.append(self._world.operator_address(name))
-        self._tool("gateway", "status", *addresses)
+        self._run_tool("gateway", "status", *addresses)
 
-    def _tool(self, *arguments: str) -> None:
-        say(operator_tool.run(*arguments).rstrip())
+    def _run_tool(self, *arguments: str) -> None:
+        print_now(operator_tool.run(*arguments).rstrip())
 
     def _stop(self) -> None:
-        say("\nstopping the gateways gracefully ...")
+        print_now("\nstopping the gateways gracefully ...")
         began_s = time.monotonic()
         for name in GATEWAYS:
             self._processes.children[name].process.terminate()
@@ -150,7 +156,9 @@
             codes.append(
                 self._processes.children[name].wait(limit_s=STOP_LIMIT_S)
             )
-        say(f"exit codes {codes} after {time.monotonic() - began_s:.1f} s")
+        print_now(
+            f"exit codes {codes} after {time.monotonic() - began_s:.1f} s"
+        )
         if any(codes):
             sys.exit(1)
 
@@ -163,7 +171,7 @@
 
 def main() -> None:
     """Runs the demonstration."""
-    show(lambda processes: Demo(processes=processes).run())
+    run_demonstration(lambda processes: Demo(processes=processes).run())
 
 
 if __name__ == "__main__":
--- a/scripts/demo_daemon.py
+++ b/scripts/demo_daemon.py
@@ -19,14 +19,14 @@
 from features.support.harness import get
 from features.support.harness import send
 from features.support.harness import wait_until
-from scripts.demonstration import say
-from scripts.demonstration import show
+from scripts.demonstration import print_now
+from scripts.demonstration import run_demonstration
 
 EXAMPLE = ROOT / "examples" / "tallow-brae"
 READY_LIMIT_S = 60.0
 SMALL_UPLOAD_BYTES = 200_000
 STATEMENT_BYTES = 300_000
-RECORDED_S = 0.5
+RECORDING_WAIT_S = 0.5
 LEAVING_UPSTREAM = "matching-se1-1"
 
 
@@ -52,7 +52,7 @@
 
     def start(self) -> None:
         """Starts the platform, the upstreams and the entries."""
-        say("starting the platform, 28 upstreams and 8 entries ...")
+        print_now("starting the platform, 28 upstreams and 8 entries ...")
         began_s = time.monotonic()
         text = (EXAMPLE / "deployment.toml").read_text(encoding="utf-8")
         self.deployment = tomllib.loads(text)
@@ -67,7 +67,7 @@
                 name, "-m", "almondstair.daemon", "--settings", settings
             )
         wait_until(self._is_ready, limit_s=READY_LIMIT_S, what="the entries")
-        say(f"ready after {time.monotonic() - began_s:.1f} s")
+        print_now(f"ready after {time.monotonic() - began_s:.1f} s")
 
     def _prepare_entry(self, path: Path) -> None:
         text = path.read_text(encoding="utf-8")
@@ -129,25 +129,25 @@
 
     def show_lookup(self) -> None:
         """Asks any entry which entries to use."""
-        say("\na caller asks which entries to use:")
+        print_now("\na caller asks which entries to use:")
         answer = get(self._any_caller_address(), "/v1/entries?service=matching")
-        say(json.dumps(answer.json(), indent=2))
+        print_now(json.dumps(answer.json(), indent=2))
 
     def _any_caller_address(self) -> str:
         return self.entries["scot-east-1a"]["caller_address"]
 
     def show_requests(self) -> None:
         """Sends a few requests of each class."""
-        say("\na few requests of each class:")
+        print_now("\na few requests of each class:")
         address = self._any_caller_address()
         for number in range(3):
             self._request("GET", address, f"/matching/orders/{number}")
         key = {"Idempotency-Key": "payment-4711"}
         self._request("POST", address, "/matching/approvals", b"pay", key)
-        say("  the same approval again, through another entry:")
+        print_now("  the same approval again, through another entry:")
         # The outcome is recorded behind the answer, within a fraction of a
         # second; before that a repeat is told that the first one is running.
-        time.sleep(RECORDED_S)
+        time.sleep(RECORDING_WAIT_S)
         other = self.entries["eng-north-1a"]["caller_address"]
         self._request("POST", other, "/matching/approvals", b"pay", key)
         batch = bytes(SMALL_UPLOAD_BYTES)
@@ -168,33 +168,33 @@
         answer = send(method, address, path, body=body, headers=headers)
         took_ms = (time.monotonic() - began_s) * 1000
         ran_at = _upstream_of(answer.body)
-        say(
+        print_now(
             f"  {method:4} {path:45} {answer.status} "
             f"{len(answer.body):7} bytes {took_ms:6.1f} ms  {ran_at}"
         )
 
     def show_leaving(self) -> None:
         """Marks an upstream as leaving, with the operators' tool."""
-        say(f"\nan operator marks {LEAVING_UPSTREAM} as leaving:")
-        self._ctl("vm", "leave", LEAVING_UPSTREAM)
+        print_now(f"\nan operator marks {LEAVING_UPSTREAM} as leaving:")
+        self._run_almondstairctl("vm", "leave", LEAVING_UPSTREAM)
 
     def show_trace(self) -> None:
         """Prints the spans of the trace with the most hops."""
-        say("\na trace with a span for each hop:")
+        print_now("\na trace with a span for each hop:")
         traces: dict[str, list[dict[str, Any]]] = {}
         for path in self.directory.glob("*.spans"):
             for line in path.read_text(encoding="utf-8").splitlines():
                 span = json.loads(line)
                 traces.setdefault(span["trace"], []).append(span)
         spans = max(traces.values(), key=len)
-        _print_spans(spans, parent_of=_roots(spans), depth=1)
+        _print_spans(spans, parent_of=_root_parent(spans), depth=1)
 
     def show_status(self) -> None:
         """Prints the status table of the operators' tool."""
-        say("\nthe status as one entry knows it:")
-        self._ctl("status")
+        print_now("\nthe status as one entry knows it:")
+        self._run_almondstairctl("status")
 
-    def _ctl(self, *arguments: str) -> None:
+    def _run_almondstairctl(self, *arguments: str) -> None:
         address = self.entries["scot-east-1a"]["operator_address"]
         child = self.processes.start(
             "ctl",
@@ -204,21 +204,25 @@
             f"--entry={address}",
         )
         code = child.wait(limit_s=60)
-        say(child.log_text())
+        print_now(child.log_text())
         child.log.unlink()
         if code != 0:
-            say(f"almondstairctl ended with exit code {code}")
+            print_now(f"almondstairctl ended with exit code {code}")
 
     def stop(self) -> None:
         """Stops every entry gracefully."""
-        say("\nstopping the entries, each after its callers have moved on ...")
+        print_now(
+            "\nstopping the entries, each after its callers have moved on ..."
+        )
         began_s = time.monotonic()
         for name in self.entries:
             self.processes.children[name].process.terminate()
         codes = []
         for name in self.entries:
             codes.append(self.processes.children[name].wait(limit_s=90))
-        say(f"exit codes {codes} after {time.monotonic() - began_s:.1f} s")
+        print_now(
+            f"exit codes {codes} after {time.monotonic() - began_s:.1f} s"
+        )
         if any(codes):
             sys.exit(1)
 
@@ -242,7 +246,7 @@
     return f"ran at {fields.get('upstream', '')}"
 
 
-def _roots(spans: list[dict[str, Any]]) -> str:
+def _root_parent(spans: list[dict[str, Any]]) -> str:
     known = {span["span"] for span in spans}
     for span in spans:
         if span["parent"] not in known:
@@ -259,7 +263,7 @@
         took_ms = (span["end_ns"] - span["start_ns"]) / 1e6
         indent = "  " * depth
         attributes = json.dumps(span["attributes"])
-        say(
+        print_now(
             f"{indent}{span['name']} on {span['entry']}: "
             f"{took_ms:.1f} ms {attributes}"
         )
@@ -268,7 +272,7 @@
 
 def main() -> None:
     """Runs the demonstration."""
-    show(lambda processes: Demo(processes=processes).run())
+    run_demonstration(lambda processes: Demo(processes=processes).run())
 
 
 if __name__ == "__main__":
--- a/scripts/plays.py
+++ b/scripts/plays.py
@@ -29,13 +29,13 @@
 CAUSE_MARK = "ASSERT FAILED"
 
 
-class Play(NamedTuple):
+class ScenarioRun(NamedTuple):
     """One play of a scenario."""
 
     number: int
     passed: bool
-    took_s: float
-    load: float
+    duration_s: float
+    load_average: float
     cause: str
 
 
@@ -53,7 +53,9 @@
             process.wait()
 
 
-def play(location: str, number: int, folder: Path, ports: str) -> Play:
+def run_scenario(
+    location: str, number: int, folder: Path, ports: str
+) -> ScenarioRun:
     """Plays a scenario once; keeps the output if it fails."""
     started_s = time.monotonic()
     done = subprocess.run(
@@ -72,7 +74,9 @@
         path = folder / f"{name}-{number}.txt"
         path.write_text(done.stdout + done.stderr, encoding="utf-8")
         cause = _cause(done.stdout)
-    return Play(number, not done.returncode, took_s, os.getloadavg()[0], cause)
+    return ScenarioRun(
+        number, not done.returncode, took_s, os.getloadavg()[0], cause
+    )
 
 
 def _cause(output: str) -> str:
@@ -106,12 +110,12 @@
         for location in locations:
             passed = 0
             for number in range(1, count + 1):
-                each = play(location, number, folder, ports)
+                each = run_scenario(location, number, folder, ports)
                 passed += each.passed
                 word = "passed" if each.passed else "FAILED"
                 print(
-                    f"{location} {number}: {word} in {each.took_s:.1f} s, "
-                    f"load {each.load:.1f} {each.cause}",
+                    f"{location} {number}: {word} in {each.duration_s:.1f} s, "
+                    f"load {each.load_average:.1f} {each.cause}",
                     flush=True,
                 )
             table.append((location, passed))
--- a/scripts/run_features.py
+++ b/scripts/run_features.py
@@ -56,7 +56,7 @@
     scenarios: list[dict[str, Any]]
 
 
-def _selected(result: FileResult) -> FileResult:
+def _without_skipped(result: FileResult) -> FileResult:
     """Leaves out what the arguments did not select; behave calls it skipped.
 
     In a run of everything a skipped scenario counts as failed.
@@ -95,7 +95,7 @@
     sys.stdout.flush()
     if not report.exists():
         return FileResult(done.returncode or 1, [])
-    return FileResult(done.returncode, scenarios(report))
+    return FileResult(done.returncode, read_scenarios(report))
 
 
 def worker_ports(worker: int) -> str:
@@ -125,7 +125,7 @@
         return [future.result() for future in waiting]
 
 
-def scenarios(report: Path) -> list[dict[str, Any]]:
+def read_scenarios(report: Path) -> list[dict[str, Any]]:
     """Returns the scenarios of a report, outlines as single ones."""
     found = []
     for feature in json.loads(report.read_text(encoding="utf-8")):
@@ -135,7 +135,7 @@
     return found
 
 
-def count(results: list[FileResult], known_red: set[str]) -> Totals:
+def count_totals(results: list[FileResult], known_red: set[str]) -> Totals:
     """Counts the scenarios of all runs."""
     passed = 0
     failed = []
@@ -191,10 +191,12 @@
             last = FIRST_PORT + WORKERS * PORTS_PER_WORKER - 1
             report = Path(directory) / "report.json"
             ports = f"{FIRST_PORT}-{last}"
-            results = [_selected(run_behave(sys.argv[1:], report, ports))]
+            results = [
+                _without_skipped(run_behave(sys.argv[1:], report, ports))
+            ]
         else:
             results = run_all(Path(directory))
-    totals = count(results, known_red)
+    totals = count_totals(results, known_red)
     for name in totals.failed:
         print(f"failed: {name}")
     print_causes(results)
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -19,10 +19,10 @@
 # How much of each process's log is shown after a broken promise.
 LOG_LINES = 12
 LOG_LINE_CHARACTERS = 300
-KEPT = Path(__file__).with_name("seeds.toml")
+SEEDS_FILE = Path(__file__).with_name("seeds.toml")
 
 
-def play(
+def run_seed(
     seed: int,
     seconds: float,
     size: Size,
@@ -41,12 +41,12 @@
             kinds=kinds,
         )
         report = asyncio.run(soak.run())
-        if report.faults:
-            show_logs(directory)
+        if report.violations:
+            print_logs(directory)
         return report
 
 
-def show_logs(directory: Path) -> None:
+def print_logs(directory: Path) -> None:
     """Prints what gateways warned of last, and how upstreams ended."""
     for path in sorted(directory.glob("[gu]*.log")):
         lines = []
@@ -57,29 +57,31 @@
             print(f"  {path.stem}: {line}")
 
 
-def show(report: Report) -> None:
+def print_report(report: Report) -> None:
     """Prints what a run showed."""
     print(
         f"seed {report.seed}: {report.sent} sent, {report.served} answered, "
-        f"{len(report.faults)} broken promises",
+        f"{len(report.violations)} broken promises",
         flush=True,
     )
-    for pause in report.pauses:
+    for pause in report.stalls:
         print(
             f"  own loop stood still for {pause.length_s:.2f} s until "
             f"{pause.at_s:.2f} s"
         )
-    if not report.faults:
+    if not report.violations:
         return
     for step in report.steps:
-        print(f"  {step.at_s:6.2f} s {step.kind} {step.how} {step.for_s:.1f} s")
+        print(
+            f"  {step.at_s:6.2f} s {step.kind} {step.variant} {step.duration_s:.1f} s"
+        )
     for outcome, count in sorted(report.outcomes.items()):
         print(
             f"  at the end caller {outcome.caller} had {count} times "
             f"{outcome.status or 'no answer'} of {outcome.gateway}"
         )
-    for fault in report.faults[:5]:
-        print(f"  BROKEN {fault.promise}: {fault.detail}", flush=True)
+    for fault in report.violations[:5]:
+        print(f"  BROKEN {fault.guarantee}: {fault.detail}", flush=True)
 
 
 class Commands:
@@ -104,9 +106,9 @@
             seeds were found with; with all kinds a seed plays another plan.
         """
         kinds = FIRST_KINDS if first_kinds else tuple(Kind)
-        report = play(seed, seconds, Size(*size), logs, kinds)
-        show(report)
-        sys.exit(1 if report.faults else 0)
+        report = run_seed(seed, seconds, Size(*size), logs, kinds)
+        print_report(report)
+        sys.exit(1 if report.violations else 0)
 
     def many(
         self, first: int = 0, count: int = 10, seconds: float = 25
@@ -115,22 +117,22 @@
         first = first or random.randrange(1, 1_000_000)
         broken = []
         for seed in range(first, first + count):
-            report = play(seed, seconds, Size())
-            show(report)
-            if report.faults:
+            report = run_seed(seed, seconds, Size())
+            print_report(report)
+            if report.violations:
                 broken.append(seed)
         print(f"{count} seeds from {first}, broken: {broken or 'none'}")
         sys.exit(1 if broken else 0)
 
     def kept(self) -> None:
         """Plays the seeds that failed once; see seeds.toml."""
-        seeds = tomllib.loads(KEPT.read_text(encoding="utf-8"))["seeds"]
+        seeds = tomllib.loads(SEEDS_FILE.read_text(encoding="utf-8"))["seeds"]
         broken = []
         for row in seeds:
             kinds = tuple(Kind) if row.get("all_kinds") else FIRST_KINDS
-            report = play(row["seed"], row["seconds"], Size(), kinds=kinds)
-            show(report)
-            if report.faults:
+            report = run_seed(row["seed"], row["seconds"], Size(), kinds=kinds)
+            print_report(report)
+            if report.violations:
                 broken.append(row["seed"])
         print(f"{len(seeds)} kept seeds, broken: {broken or 'none'}")
         sys.exit(1 if broken else 0)
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -10,10 +10,10 @@
 from emulator.caller_wire import write_ask
 from soak.checks import Sent
 
-ANSWER_TIMEOUT_S = 4.0
+RESPONSE_TIMEOUT_S = 4.0
 DEADLINE_MS = 3000
-PAUSE_S = 0.03
-KEYS = 30
+MEAN_INTERVAL_S = 0.03
+KEY_COUNT = 30
 
 
 class Caller:
@@ -23,15 +23,15 @@
       sent: everything that was sent.
     """
 
-    def __init__(self, *, chance: random.Random) -> None:
+    def __init__(self, *, rng: random.Random) -> None:
         """Makes a caller.
 
         Args:
           chance: its own dice.
         """
-        self._chance = chance
+        self._rng = rng
         self.sent: list[Sent] = []
-        self.gateway_of: dict[str, str] = {}
+        self.gateway_by_request: dict[str, str] = {}
 
     async def run(
         self, addresses: dict[str, str], prefixes: list[str], until_s: float
@@ -44,19 +44,21 @@
           until_s: when to end, monotonic seconds.
         """
         while time.monotonic() < until_s:
-            name = self._chance.choice(sorted(addresses))
+            name = self._rng.choice(sorted(addresses))
             ip, _, port = addresses[name].rpartition(":")
             try:
                 reader, writer = await asyncio.wait_for(
                     asyncio.open_connection(ip, int(port)), 1.0
                 )
             except (OSError, TimeoutError):
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(MEAN_INTERVAL_S)
                 continue
-            await self._use(name, reader, writer, prefixes, until_s)
+            await self._send_on_connection(
+                name, reader, writer, prefixes, until_s
+            )
             writer.close()
 
-    async def _use(
+    async def _send_on_connection(
         self,
         name: str,
         reader: asyncio.StreamReader,
@@ -64,12 +66,12 @@
         prefixes: list[str],
         until_s: float,
     ) -> None:
-        for _ in range(self._chance.randrange(1, 60)):
+        for _ in range(self._rng.randrange(1, 60)):
             if time.monotonic() >= until_s:
                 return
             if not await self._exchange(name, reader, writer, prefixes):
                 return
-            await asyncio.sleep(self._chance.uniform(0, 2 * PAUSE_S))
+            await asyncio.sleep(self._rng.uniform(0, 2 * MEAN_INTERVAL_S))
 
     async def _exchange(
         self,
@@ -79,25 +81,25 @@
         prefixes: list[str],
     ) -> bool:
         """Sends one request; returns whether the connection goes on."""
-        prefix = self._chance.choice(prefixes)
-        key = str(self._chance.randrange(KEYS))
+        prefix = self._rng.choice(prefixes)
+        key = str(self._rng.randrange(KEY_COUNT))
         repeatable = not prefix.startswith("/unsafe")
         ask = Ask(
             request=uuid.uuid4().hex[:16],
             path=f"{prefix}{key}",
             key=key,
             deadline_ms=DEADLINE_MS,
-            body=b"" if repeatable else b"x" * self._chance.randrange(1, 3000),
+            body=b"" if repeatable else b"x" * self._rng.randrange(1, 3000),
         )
         sent_s = time.monotonic()
         reply = None
         try:
             writer.write(write_ask(ask))
-            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 reply = await read_reply(reader)
         except (OSError, EOFError, ValueError, TimeoutError):
             reply = None
-        self.gateway_of[ask.request] = name
+        self.gateway_by_request[ask.request] = name
         self.sent.append(
             Sent(
                 request=ask.request,
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -44,25 +44,25 @@
     to_s: float
 
 
-class Fault(NamedTuple):
+class Violation(NamedTuple):
     """A broken promise."""
 
-    promise: str
+    guarantee: str
     detail: str
 
 
-def check_answers(sent: Iterable[Sent]) -> list[Fault]:
+def check_answers(sent: Iterable[Sent]) -> list[Violation]:
     """Each success is the whole answer to its own request."""
     faults = []
     for request in sent:
         if request.status != 200:
             continue
         if request.seal != f"seal-{request.request}" or not request.whole:
-            faults.append(Fault("own and whole answers", str(request)))
+            faults.append(Violation("own and whole answers", str(request)))
     return faults
 
 
-def check_once(sent: Iterable[Sent], ran: Iterable[Ran]) -> list[Fault]:
+def check_once(sent: Iterable[Sent], ran: Iterable[Ran]) -> list[Violation]:
     """What must not repeat ran once; nothing ran that nobody sent."""
     counts: dict[str, int] = {}
     for run in ran:
@@ -72,13 +72,13 @@
     for request in sent:
         known.add(request.request)
         if not request.repeatable and counts.get(request.request, 0) > 1:
-            faults.append(Fault("runs once", str(request)))
+            faults.append(Violation("runs once", str(request)))
     for request_id in counts.keys() - known:
-        faults.append(Fault("only what was sent runs", request_id))
+        faults.append(Violation("only what was sent runs", request_id))
     return faults
 
 
-def check_refusals(sent: Iterable[Sent], ran: Iterable[Ran]) -> list[Fault]:
+def check_refusals(sent: Iterable[Sent], ran: Iterable[Ran]) -> list[Violation]:
     """A 429 or 503 is true: the request did not run."""
     ran_ids = {run.request for run in ran}
     faults = []
@@ -86,11 +86,11 @@
         if request.status not in (408, 421, 429, 503):
             continue
         if not request.repeatable and request.request in ran_ids:
-            faults.append(Fault("a refusal is true", str(request)))
+            faults.append(Violation("a refusal is true", str(request)))
     return faults
 
 
-def check_silent(ran: Iterable[Ran], spans: Iterable[Span]) -> list[Fault]:
+def check_silent(ran: Iterable[Ran], spans: Iterable[Span]) -> list[Violation]:
     """Upstreams that left or are evacuated get nothing in these spans."""
     closed: dict[str, list[Span]] = {}
     for span in spans:
@@ -99,11 +99,13 @@
     for run in ran:
         for span in closed.get(run.upstream, []):
             if span.from_s + SLACK_S < run.at_s < span.to_s:
-                faults.append(Fault("leaving upstreams rest", f"{run} {span}"))
+                faults.append(
+                    Violation("leaving upstreams rest", f"{run} {span}")
+                )
     return faults
 
 
-def check_cold(ran: Iterable[Ran], cold: Iterable[Span]) -> list[Fault]:
+def check_cold(ran: Iterable[Ran], cold: Iterable[Span]) -> list[Violation]:
     """A cold upstream gets no more than its bound in any second."""
     faults = []
     runs = sorted(ran, key=lambda run: run.at_s)
@@ -117,12 +119,12 @@
         for index, at_s in enumerate(times):
             within = sum(1 for each in times[index:] if each < at_s + 1)
             if within > COLD_BOUND_PER_S:
-                faults.append(Fault("cold upstreams", f"{span} {within}/s"))
+                faults.append(Violation("cold upstreams", f"{span} {within}/s"))
                 break
     return faults
 
 
-def check_stops(sent: Iterable[Sent], stops: Iterable[Span]) -> list[Fault]:
+def check_stops(sent: Iterable[Sent], stops: Iterable[Span]) -> list[Violation]:
     """No request that was read is cut by a planned stop alone.
 
     Args:
@@ -136,13 +138,15 @@
             continue
         for span in stops:
             if span.from_s <= request.sent_s <= span.to_s:
-                faults.append(Fault("stops cut nobody", f"{request} {span}"))
+                faults.append(
+                    Violation("stops cut nobody", f"{request} {span}")
+                )
     return faults
 
 
 def check_configuration(
     sent: Iterable[Sent], routes: Iterable[Span]
-) -> list[Fault]:
+) -> list[Violation]:
     """A route is known from some seconds after it was written, for good.
 
     Args:
@@ -158,13 +162,13 @@
             if not request.path.startswith(span.name):
                 continue
             if span.from_s < request.sent_s < span.to_s:
-                faults.append(Fault("configuration in force", str(request)))
+                faults.append(Violation("configuration in force", str(request)))
     return faults
 
 
 def check_recovery(
     sent: Iterable[Sent], spans: Iterable[Span], *, least_share: float
-) -> list[Fault]:
+) -> list[Violation]:
     """In spans without fault most requests are served."""
     faults = []
     requests = list(sent)
@@ -177,5 +181,5 @@
         served = sum(1 for request in within if request.status == 200)
         if within and served < least_share * len(within):
             detail = f"{span} served {served} of {len(within)}"
-            faults.append(Fault("service recovers", detail))
+            faults.append(Violation("service recovers", detail))
     return faults
--- a/soak/loop_watch.py
+++ b/soak/loop_watch.py
@@ -12,10 +12,10 @@
 TURN_S = 0.02
 # A call of a gateway through a proxy takes about five turns of the loop, and
 # times out after one second.
-PAUSE_S = 0.2
+MIN_STALL_S = 0.2
 
 
-class Pause(NamedTuple):
+class Stall(NamedTuple):
     """A span in which the loop did not turn.
 
     Attributes:
@@ -36,7 +36,7 @@
 
     def __init__(self) -> None:
         """Makes a watch that has seen nothing."""
-        self.pauses: list[Pause] = []
+        self.pauses: list[Stall] = []
 
     async def run(self) -> None:
         """Watches until it is cancelled."""
@@ -46,5 +46,5 @@
             await asyncio.sleep(TURN_S)
             now_s = time.monotonic()
             length_s = now_s - before_s - TURN_S
-            if length_s >= PAUSE_S:
-                self.pauses.append(Pause(now_s - began_s, length_s))
+            if length_s >= MIN_STALL_S:
+                self.pauses.append(Stall(now_s - began_s, length_s))
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 # Faults begin after the start has settled and end before the last calm span.
-FIRST_S = 3.0
-CALM_S = 8.0
+START_SETTLE_S = 3.0
+FINAL_CALM_S = 8.0
 
 
 class Kind(enum.StrEnum):
@@ -51,8 +51,8 @@
     at_s: float
     kind: Kind
     target: int
-    for_s: float
-    how: str
+    duration_s: float
+    variant: str
 
 
 STORE_MODES = ("busy", "limited", "reset", "silent", "slow", "lost", "late")
@@ -70,13 +70,13 @@
 )
 # What another writer leaves among the registrations: under an upstream's own
 # key, or under one of its own.
-FOREIGN_WORDS = ("own_key", "no_text", "no_slots", "no_address", "no_state")
+FOREIGN_RECORDS = ("own_key", "no_text", "no_slots", "no_address", "no_state")
 _VARIANTS = {
     Kind.STORE: STORE_MODES,
     Kind.STORE_PROXY: HARMS,
     Kind.UPSTREAM_PROXY: HARMS,
     Kind.UPSTREAM_FAULT: UPSTREAM_FAULTS,
-    Kind.FOREIGN_WRITER: FOREIGN_WORDS,
+    Kind.FOREIGN_WRITER: FOREIGN_RECORDS,
 }
 
 
@@ -96,17 +96,17 @@
       kinds: the kinds to draw from.
     """
     chance = random.Random(seed)
-    span_s = max(1.0, seconds - FIRST_S - CALM_S)
+    span_s = max(1.0, seconds - START_SETTLE_S - FINAL_CALM_S)
     steps = []
     for _ in range(count or max(2, int(span_s / 1.5))):
         kind = chance.choice(kinds)
         steps.append(
             Step(
-                at_s=FIRST_S + chance.random() * span_s,
+                at_s=START_SETTLE_S + chance.random() * span_s,
                 kind=kind,
                 target=chance.randrange(1000),
-                for_s=chance.uniform(0.3, 4.0),
-                how=chance.choice(_VARIANTS.get(kind, ("",))),
+                duration_s=chance.uniform(0.3, 4.0),
+                variant=chance.choice(_VARIANTS.get(kind, ("",))),
             )
         )
     return sorted(steps, key=lambda step: step.at_s)
--- a/soak/run.py
+++ b/soak/run.py
@@ -18,10 +18,10 @@
 from soak import checks
 from soak import plan
 from soak.callers import Caller
-from soak.checks import Fault
 from soak.checks import Span
+from soak.checks import Violation
 from soak.loop_watch import LoopWatch
-from soak.loop_watch import Pause
+from soak.loop_watch import Stall
 from soak.plan import Kind
 from soak.plan import Step
 
@@ -31,16 +31,16 @@
 CONFIGURE_S = 2.0
 EVACUATE_S = 5.0
 # A disturbance and this long after it excuse bounds in time.
-TOUCH_S = 4.0
+DISTURBANCE_MARGIN_S = 4.0
 # How long a killed process stays away.
-BACK_S = 0.5
+RESTART_DELAY_S = 0.5
 STOP_LIMIT_S = 4.0
 # The calm time at the end in which most requests must be served, and what of
 # it is left out, because the last answers may not have come.
-LAST_SPAN_S = 3.0
-LAST_MARGIN_S = 0.5
-DRAINED_S = 3.5
-LEAST_SERVED = 0.9
+FINAL_SPAN_S = 3.0
+FINAL_MARGIN_S = 0.5
+DRAIN_EXIT_S = 3.5
+MIN_SERVED_SHARE = 0.9
 # How long upstreams are cold after a start.
 COLD_S = 1.0
 ZONES = {"a1": "east", "a2": "east", "b1": "west"}
@@ -71,7 +71,7 @@
         )
 
 
-def foreign_text(how: str) -> str:
+def foreign_registration(variant: str) -> str:
     """Returns what another writer leaves in place of a registration."""
     record: dict[str, object] = {
         "service": "service",
@@ -83,13 +83,13 @@
         "coldLeftS": 0,
         "seq": 1,
     }
-    if how == "no_text":
+    if variant == "no_text":
         return "\x00{"
-    if how == "no_slots":
+    if variant == "no_slots":
         record["slots"] = 0
-    if how == "no_address":
+    if variant == "no_address":
         record["address"] = "nowhere"
-    if how in ("no_state", "own_key"):
+    if variant in ("no_state", "own_key"):
         record["state"] = "lost"
     return json.dumps(record)
 
@@ -132,9 +132,9 @@
     sent: int
     served: int
     steps: list[Step]
-    faults: list[Fault]
+    violations: list[Violation]
     outcomes: dict[Outcome, int]
-    pauses: list[Pause]
+    stalls: list[Stall]
 
 
 class Soak:
@@ -155,36 +155,36 @@
         self._steps = plan.make(seed, seconds=seconds, kinds=kinds)
         self._world = World(deployment=size.deployment(), directory=directory)
         self._callers = [
-            Caller(chance=random.Random(seed * 1000 + number))
+            Caller(rng=random.Random(seed * 1000 + number))
             for number in range(size.callers)
         ]
         self._prefixes = ["/safe/", "/unsafe/"]
-        self._rest: list[Span] = []
-        self._cold: list[Span] = []
-        self._routes: list[Span] = []
-        self._stops: list[Span] = []
-        self._disturbed: list[Span] = []
-        self._faults: list[Fault] = []
+        self._no_traffic_spans: list[Span] = []
+        self._cold_spans: list[Span] = []
+        self._route_spans: list[Span] = []
+        self._stop_spans: list[Span] = []
+        self._disturbance_spans: list[Span] = []
+        self._violations: list[Violation] = []
         self._end_s = 0.0
-        self._watch = LoopWatch()
-        self._held: set[str] = set()
-        self._ended: set[str] = set()
+        self._loop_watch = LoopWatch()
+        self._claimed: set[str] = set()
+        self._exited: set[str] = set()
 
     async def run(self) -> Report:
         """Starts, plays, ends, checks."""
-        watching = asyncio.ensure_future(self._watch.run())
+        watching = asyncio.ensure_future(self._loop_watch.run())
         try:
             await self._world.start()
             await self._world.configure(self._prefixes)
-            await self._settle()
+            await self._wait_until_steady()
             began_s = time.monotonic()
             self._end_s = began_s + self._seconds
-            work: list[Awaitable[None]] = [self._watch_load()]
+            work: list[Awaitable[None]] = [self._collect_runs()]
             for caller in self._callers:
                 work.append(
                     caller.run(self._world.callers, self._prefixes, self._end_s)
                 )
-            work.append(self._play(began_s))
+            work.append(self._run_steps(began_s))
             await asyncio.gather(*work)
             for name in self._world.upstreams:
                 await self._world.collect(name)
@@ -194,15 +194,15 @@
         self._check()
         return self._report()
 
-    async def _settle(self) -> None:
+    async def _wait_until_steady(self) -> None:
         await asyncio.sleep(3.0)
 
-    async def _watch_load(self) -> None:
+    async def _collect_runs(self) -> None:
         """Collects runs now and then, since a killed upstream tells none."""
         while time.monotonic() < self._end_s:
             await asyncio.sleep(0.5)
             for name in list(self._world.upstreams):
-                if name not in self._held:
+                if name not in self._claimed:
                     await self._world.collect(name)
             self._check_alive()
 
@@ -210,19 +210,21 @@
         """Notes gateways that ended although nothing struck them."""
         for name in self._world.gateways:
             code = self._world.procs[name].exit_code
-            if code is None or name in self._held or name in self._ended:
+            if code is None or name in self._claimed or name in self._exited:
                 continue
-            self._ended.add(name)
-            self._faults.append(Fault("gateways go on", f"{name} code {code}"))
+            self._exited.add(name)
+            self._violations.append(
+                Violation("gateways go on", f"{name} code {code}")
+            )
 
-    async def _play(self, began_s: float) -> None:
+    async def _run_steps(self, began_s: float) -> None:
         tasks = []
         for step in self._steps:
             await asyncio.sleep(max(0, began_s + step.at_s - time.monotonic()))
-            tasks.append(asyncio.ensure_future(self._strike(step)))
+            tasks.append(asyncio.ensure_future(self._apply_step(step)))
         await asyncio.gather(*tasks)
 
-    async def _strike(self, step: Step) -> None:
+    async def _apply_step(self, step: Step) -> None:
         actions: dict[Kind, Callable[[Step], Awaitable[None]]] = {
             Kind.STORE: self._store,
             Kind.STORE_PROXY: self._store_proxy,
@@ -246,7 +248,7 @@
         await actions[step.kind](step)
         planned = (Kind.GATEWAY_STOP, Kind.CONFIGURE, Kind.GATEWAY_HANGUP)
         if step.kind not in planned:
-            self._disturbed.append(
+            self._disturbance_spans.append(
                 Span(str(step.kind), began_s, time.monotonic())
             )
 
@@ -260,47 +262,47 @@
 
     async def _store(self, step: Step) -> None:
         faults: dict[str, object] = {"leases_pause": step.target % 2 == 0}
-        if step.how == "slow":
+        if step.variant == "slow":
             faults["delay_s"] = 0.3
-        elif step.how == "lost":
+        elif step.variant == "lost":
             faults["lose_writes"] = 2
-        elif step.how == "late":
+        elif step.variant == "late":
             faults.update(lose_writes=2, late_s=0.8)
         else:
-            faults["mode"] = step.how
+            faults["mode"] = step.variant
         await self._world.faults(self._world.store, "/faults", **faults)
-        await asyncio.sleep(step.for_s)
+        await asyncio.sleep(step.duration_s)
         await self._world.faults(self._world.store, "/faults")
 
     async def _store_proxy(self, step: Step) -> None:
         proxy = self._world.store_proxies[self._gateway(step)]
-        await self._harm(proxy, step)
+        await self._apply_harm(proxy, step)
 
     async def _upstream_proxy(self, step: Step) -> None:
-        await self._harm(self._world.proxies[self._upstream(step)], step)
+        await self._apply_harm(self._world.proxies[self._upstream(step)], step)
 
-    async def _harm(self, proxy: HarmfulProxy, step: Step) -> None:
-        proxy.set_harm(Harm(step.how), delay_s=0.2)
-        await asyncio.sleep(step.for_s)
+    async def _apply_harm(self, proxy: HarmfulProxy, step: Step) -> None:
+        proxy.set_harm(Harm(step.variant), delay_s=0.2)
+        await asyncio.sleep(step.duration_s)
         proxy.set_harm(Harm.NONE)
-        if step.how in ("silence", "one_way"):
+        if step.variant in ("silence", "one_way"):
             # Bytes were swallowed: the connections cannot go on.
             proxy.reset_all()
 
     async def _upstream_fault(self, step: Step) -> None:
         address = self._world.upstreams[self._upstream(step)]
-        faults: dict[str, object] = {"every": 4, "how": step.how}
-        if step.how == "slow":
+        faults: dict[str, object] = {"every": 4, "how": step.variant}
+        if step.variant == "slow":
             faults = {"slower": 8.0}
         await self._world.faults(address, "/emulator/faults", **faults)
-        await asyncio.sleep(step.for_s)
+        await asyncio.sleep(step.duration_s)
         await self._world.faults(address, "/emulator/faults")
 
-    async def _hold(self, name: str) -> bool:
+    async def _claim(self, name: str) -> bool:
         """Claims a process, so that two faults do not start it twice."""
-        if name in self._held:
+        if name in self._claimed:
             return False
-        self._held.add(name)
+        self._claimed.add(name)
         return True
 
     async def _upstream_restart(self, step: Step) -> None:
@@ -311,24 +313,26 @@
         """Leaves a word that names no upstream among the registrations."""
         name = self._upstream(step)
         key = f"servers/foreign-{step.target}"
-        if step.how == "own_key":
+        if step.variant == "own_key":
             key = f"servers/{self._world.upstream_ids[name]}"
-        await self._world.operate(puts={key: foreign_text(step.how)})
-        await asyncio.sleep(step.for_s)
-        if step.how != "own_key":
+        await self._world.operate(
+            puts={key: foreign_registration(step.variant)}
+        )
+        await asyncio.sleep(step.duration_s)
+        if step.variant != "own_key":
             await self._world.operate(remove=[key])
 
     async def _upstream_kill(
         self, step: Step, *, same_id: bool = False
     ) -> None:
         name = self._upstream(step)
-        if not await self._hold(name):
+        if not await self._claim(name):
             return
         await self._world.collect(name)
         proc = self._world.procs[name]
         proc.signal(signal.SIGKILL)
         await proc.wait()
-        await asyncio.sleep(step.for_s)
+        await asyncio.sleep(step.duration_s)
         await self._start_upstream(name, same_id=same_id)
 
     async def _start_upstream(
@@ -336,20 +340,22 @@
     ) -> None:
         await self._world.start_upstream(name, same_id=same_id)
         started_s = time.monotonic()
-        self._cold.append(Span(name, started_s, started_s + COLD_S))
-        self._held.discard(name)
+        self._cold_spans.append(Span(name, started_s, started_s + COLD_S))
+        self._claimed.discard(name)
 
     async def _upstream_drain(self, step: Step) -> None:
         name = self._upstream(step)
-        if not await self._hold(name):
+        if not await self._claim(name):
             return
         proc = self._world.procs[name]
         proc.signal(signal.SIGTERM)
         told_s = time.monotonic()
-        await asyncio.sleep(DRAINED_S - 1.0)
+        await asyncio.sleep(DRAIN_EXIT_S - 1.0)
         await self._world.collect(name)
         await proc.wait()
-        self._rest.append(Span(name, told_s + DRAIN_S, time.monotonic()))
+        self._no_traffic_spans.append(
+            Span(name, told_s + DRAIN_S, time.monotonic())
+        )
         await self._start_upstream(name)
 
     async def _upstream_freeze(self, step: Step) -> None:
@@ -359,30 +365,30 @@
         await self._freeze(self._gateway(step), step)
 
     async def _freeze(self, name: str, step: Step) -> None:
-        if not await self._hold(name):
+        if not await self._claim(name):
             return
         proc = self._world.procs[name]
         proc.signal(signal.SIGSTOP)
-        await asyncio.sleep(step.for_s)
+        await asyncio.sleep(step.duration_s)
         proc.signal(signal.SIGCONT)
-        self._held.discard(name)
+        self._claimed.discard(name)
 
     async def _gateway_kill(self, step: Step) -> None:
         await self._kill_gateway(self._gateway(step))
 
     async def _kill_gateway(self, name: str) -> None:
-        if not await self._hold(name):
+        if not await self._claim(name):
             return
         proc = self._world.procs[name]
         proc.signal(signal.SIGKILL)
         await proc.wait()
-        await asyncio.sleep(BACK_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         await self._world.start_gateway(name)
-        self._held.discard(name)
+        self._claimed.discard(name)
 
     async def _gateway_stop(self, step: Step) -> None:
         name = self._gateway(step)
-        if not await self._hold(name):
+        if not await self._claim(name):
             return
         proc = self._world.procs[name]
         was_ready = await self._world.is_ready(name)
@@ -394,18 +400,20 @@
             # it ends by the signal itself, before it could catch it.
             allowed = (0,) if was_ready else (0, -signal.SIGTERM)
             if code not in allowed:
-                self._faults.append(Fault("stops end with 0", f"{name} {code}"))
+                self._violations.append(
+                    Violation("stops end with 0", f"{name} {code}")
+                )
         except TimeoutError:
-            self._faults.append(Fault("stops end in time", name))
+            self._violations.append(Violation("stops end in time", name))
             proc.signal(signal.SIGKILL)
             await proc.wait()
-        self._stops.append(Span(name, told_s, time.monotonic()))
+        self._stop_spans.append(Span(name, told_s, time.monotonic()))
         await self._world.start_gateway(name)
-        self._held.discard(name)
+        self._claimed.discard(name)
 
     async def _gateway_hangup(self, step: Step) -> None:
         name = self._gateway(step)
-        if name not in self._held:
+        if name not in self._claimed:
             self._world.procs[name].signal(signal.SIGHUP)
 
     async def _kill_all(self, step: Step) -> None:
@@ -418,31 +426,35 @@
         wanted = list(self._prefixes)
         await self._world.configure(wanted)
         known_s = time.monotonic() + CONFIGURE_S
-        self._routes.append(Span(prefix, known_s, self._end_s))
+        self._route_spans.append(Span(prefix, known_s, self._end_s))
 
     async def _evacuate(self, step: Step) -> None:
         zone = self._world.zone_of(self._upstream(step))
-        if not await self._hold(zone):
+        if not await self._claim(zone):
             return
         await self._world.operate(puts={f"op/evacuate/{zone}": "{}"})
         told_s = time.monotonic()
-        await asyncio.sleep(EVACUATE_S + step.for_s)
+        await asyncio.sleep(EVACUATE_S + step.duration_s)
         for name in self._world.upstreams:
             if self._world.zone_of(name) == zone:
-                self._rest.append(
+                self._no_traffic_spans.append(
                     Span(name, told_s + EVACUATE_S, time.monotonic())
                 )
         await self._world.operate(remove=[f"op/evacuate/{zone}"])
-        self._held.discard(zone)
+        self._claimed.discard(zone)
 
     async def _history(self, step: Step) -> None:
         await self._world.forget_history()
 
     # Checks.
 
-    def _disturbed_at(self, at_s: float) -> bool:
-        for span in self._disturbed:
-            if span.from_s - TOUCH_S < at_s < span.to_s + TOUCH_S:
+    def _is_disturbed_at(self, at_s: float) -> bool:
+        for span in self._disturbance_spans:
+            if (
+                span.from_s - DISTURBANCE_MARGIN_S
+                < at_s
+                < span.to_s + DISTURBANCE_MARGIN_S
+            ):
                 return True
         return False
 
@@ -450,44 +462,51 @@
         sent = [sent for caller in self._callers for sent in caller.sent]
         gateway_of: dict[str, str] = {}
         for caller in self._callers:
-            gateway_of.update(caller.gateway_of)
+            gateway_of.update(caller.gateway_by_request)
         ran = list(self._world.ran.values())
-        self._faults += checks.check_answers(sent)
-        self._faults += checks.check_once(sent, ran)
-        self._faults += checks.check_refusals(sent, ran)
-        self._faults += checks.check_cold(ran, self._cold)
-        self._faults += checks.check_silent(
-            [run for run in ran if not self._excused(run)], self._rest
+        self._violations += checks.check_answers(sent)
+        self._violations += checks.check_once(sent, ran)
+        self._violations += checks.check_refusals(sent, ran)
+        self._violations += checks.check_cold(ran, self._cold_spans)
+        self._violations += checks.check_silent(
+            [run for run in ran if not self._is_excused(run)],
+            self._no_traffic_spans,
         )
-        for span in self._stops:
-            if self._disturbed_at(span.from_s) or self._disturbed_at(span.to_s):
+        for span in self._stop_spans:
+            if self._is_disturbed_at(span.from_s) or self._is_disturbed_at(
+                span.to_s
+            ):
                 continue
             own = [
                 each for each in sent if gateway_of[each.request] == span.name
             ]
-            self._faults += checks.check_stops(
-                self._certainly_read(own, ran), [span]
+            self._violations += checks.check_stops(
+                self._keep_executed(own, ran), [span]
             )
-        calm = [each for each in sent if not self._disturbed_at(each.sent_s)]
-        self._faults += checks.check_configuration(calm, self._routes)
+        calm = [each for each in sent if not self._is_disturbed_at(each.sent_s)]
+        self._violations += checks.check_configuration(calm, self._route_spans)
         last = Span(
-            "the end", self._end_s - LAST_SPAN_S, self._end_s - LAST_MARGIN_S
+            "the end", self._end_s - FINAL_SPAN_S, self._end_s - FINAL_MARGIN_S
         )
-        self._faults += checks.check_recovery(
-            sent, [last], least_share=LEAST_SERVED
+        self._violations += checks.check_recovery(
+            sent, [last], least_share=MIN_SERVED_SHARE
         )
 
-    def _excused(self, run: Ran) -> bool:
+    def _is_excused(self, run: Ran) -> bool:
         """Bounds in time hold only where nothing else disturbs."""
-        for span in self._disturbed:
+        for span in self._disturbance_spans:
             if span.name in (Kind.UPSTREAM_DRAIN, Kind.EVACUATE):
                 continue
-            if span.from_s - TOUCH_S < run.at_s < span.to_s + TOUCH_S:
+            if (
+                span.from_s - DISTURBANCE_MARGIN_S
+                < run.at_s
+                < span.to_s + DISTURBANCE_MARGIN_S
+            ):
                 return True
         return False
 
     @staticmethod
-    def _certainly_read(
+    def _keep_executed(
         sent: list[checks.Sent], ran: list[Ran]
     ) -> list[checks.Sent]:
         """Keeps requests that an upstream ran: those were read."""
@@ -502,9 +521,9 @@
             sent += len(caller.sent)
             served += sum(1 for each in caller.sent if each.status == 200)
             for each in caller.sent:
-                if each.sent_s < self._end_s - LAST_SPAN_S:
+                if each.sent_s < self._end_s - FINAL_SPAN_S:
                     continue
-                gateway = caller.gateway_of[each.request]
+                gateway = caller.gateway_by_request[each.request]
                 outcome = Outcome(number, gateway, each.status)
                 outcomes[outcome] = outcomes.get(outcome, 0) + 1
         return Report(
@@ -512,7 +531,7 @@
             sent=sent,
             served=served,
             steps=self._steps,
-            faults=self._faults,
+            violations=self._violations,
             outcomes=outcomes,
-            pauses=self._watch.pauses,
+            stalls=self._loop_watch.pauses,
         )
