--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,5 +1,5 @@
-"""A randomized soak: real processes, faults from outside, checks while it runs.
+"""A randomized soak test: real processes, injected faults, and checks.
 
-`python -m soak run --seed N --seconds S` plays one seed; the same seed plays
-the same plan. Processes are ended by the ids they were started with.
+`python -m soak run --seed N --seconds S` runs one seed; the same seed gives the
+same plan. Processes are ended by the ids they were started with.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The soak's command line: `python -m soak --help`."""
+"""Command line of the soak: `python -m soak --help`."""
 
 import asyncio
 from collections.abc import Sequence
@@ -16,7 +16,7 @@
 from soak.run import Size
 from soak.run import Soak
 
-# How much of each process's log is shown after a broken promise.
+# How much of each process's log is printed if a guarantee was violated.
 LOG_LINES = 12
 LOG_LINE_CHARACTERS = 300
 SEEDS_FILE = Path(__file__).with_name("seeds.toml")
@@ -29,7 +29,7 @@
     logs: str = "",
     kinds: Sequence[Kind] = tuple(Kind),
 ) -> Report:
-    """Plays one seed; logs are kept in a folder if it names one."""
+    """Runs one seed; keeps the processes' logs if `logs` names a folder."""
     with tempfile.TemporaryDirectory(prefix="almondstair-soak-") as folder:
         directory = Path(logs or folder)
         directory.mkdir(parents=True, exist_ok=True)
@@ -47,7 +47,7 @@
 
 
 def print_logs(directory: Path) -> None:
-    """Prints what gateways warned of last, and how upstreams ended."""
+    """Prints the last log lines above INFO of gateways and upstreams."""
     for path in sorted(directory.glob("[gu]*.log")):
         lines = []
         for line in path.read_text("utf-8", "replace").splitlines():
@@ -58,34 +58,37 @@
 
 
 def print_report(report: Report) -> None:
-    """Prints what a run showed."""
+    """Prints the results of a run."""
     print(
         f"seed {report.seed}: {report.sent} sent, {report.served} answered, "
-        f"{len(report.violations)} broken promises",
+        f"{len(report.violations)} violated guarantees",
         flush=True,
     )
-    for pause in report.stalls:
+    for stall in report.stalls:
         print(
-            f"  own loop stood still for {pause.length_s:.2f} s until "
-            f"{pause.at_s:.2f} s"
+            f"  own event loop stalled for {stall.length_s:.2f} s until "
+            f"{stall.at_s:.2f} s"
         )
     if not report.violations:
         return
     for step in report.steps:
         print(
-            f"  {step.at_s:6.2f} s {step.kind} {step.variant} {step.duration_s:.1f} s"
+            f"  {step.at_s:6.2f} s {step.kind} {step.variant} "
+            f"{step.duration_s:.1f} s"
         )
     for outcome, count in sorted(report.outcomes.items()):
         print(
-            f"  at the end caller {outcome.caller} had {count} times "
-            f"{outcome.status or 'no answer'} of {outcome.gateway}"
+            f"  at the end caller {outcome.caller} got {count} times "
+            f"{outcome.status or 'no response'} from {outcome.gateway}"
+        )
+    for violation in report.violations[:5]:
+        print(
+            f"  VIOLATED {violation.guarantee}: {violation.detail}", flush=True
         )
-    for fault in report.violations[:5]:
-        print(f"  BROKEN {fault.guarantee}: {fault.detail}", flush=True)
 
 
 class Commands:
-    """Plays seeds of faults on real processes and checks the promises."""
+    """Runs seeds of faults on real processes and checks the guarantees."""
 
     def run(
         self,
@@ -95,15 +98,15 @@
         logs: str = "",
         first_kinds: bool = False,
     ) -> None:
-        """Plays one seed.
+        """Runs one seed.
 
         Args:
-          seed: the seed; the same one plays the same plan.
+          seed: the seed; the same seed gives the same plan.
           seconds: length of the run.
-          size: how many upstreams, gateways and callers.
+          size: number of upstreams, gateways and callers.
           logs: folder for the processes' logs; by default they are dropped.
-          first_kinds: whether faults are drawn from the kinds that the kept
-            seeds were found with; with all kinds a seed plays another plan.
+          first_kinds: whether to draw faults only from the kinds that the kept
+            seeds were found with; with all kinds a seed gives another plan.
         """
         kinds = FIRST_KINDS if first_kinds else tuple(Kind)
         report = run_seed(seed, seconds, Size(*size), logs, kinds)
@@ -113,33 +116,33 @@
     def many(
         self, first: int = 0, count: int = 10, seconds: float = 25
     ) -> None:
-        """Plays seeds in a row; fresh ones if `first` is 0."""
+        """Runs consecutive seeds, from a random one if `first` is 0."""
         first = first or random.randrange(1, 1_000_000)
-        broken = []
+        failed = []
         for seed in range(first, first + count):
             report = run_seed(seed, seconds, Size())
             print_report(report)
             if report.violations:
-                broken.append(seed)
-        print(f"{count} seeds from {first}, broken: {broken or 'none'}")
-        sys.exit(1 if broken else 0)
+                failed.append(seed)
+        print(f"{count} seeds from {first}, failed: {failed or 'none'}")
+        sys.exit(1 if failed else 0)
 
     def kept(self) -> None:
-        """Plays the seeds that failed once; see seeds.toml."""
+        """Runs the seeds that failed before; see seeds.toml."""
         seeds = tomllib.loads(SEEDS_FILE.read_text(encoding="utf-8"))["seeds"]
-        broken = []
+        failed = []
         for row in seeds:
             kinds = tuple(Kind) if row.get("all_kinds") else FIRST_KINDS
             report = run_seed(row["seed"], row["seconds"], Size(), kinds=kinds)
             print_report(report)
             if report.violations:
-                broken.append(row["seed"])
-        print(f"{len(seeds)} kept seeds, broken: {broken or 'none'}")
-        sys.exit(1 if broken else 0)
+                failed.append(row["seed"])
+        print(f"{len(seeds)} kept seeds, failed: {failed or 'none'}")
+        sys.exit(1 if failed else 0)
 
 
 def main() -> None:
-    """Runs the command that is named."""
+    """Runs the command given on the command line."""
     fire.Fire(Commands, name="soak")
 
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections and record what they see."""
+"""Callers that reuse connections and record the result of each request."""
 
 import asyncio
 import random
@@ -17,17 +17,18 @@
 
 
 class Caller:
-    """Sends requests on kept connections to gateways in turn.
+    """Sends requests to randomly chosen gateways on reused connections.
 
     Attributes:
-      sent: everything that was sent.
+      sent: every request that was sent, with its result.
+      gateway_by_request: name of the gateway that got a request, by its id.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
         """Makes a caller.
 
         Args:
-          chance: its own dice.
+          rng: random numbers of this caller.
         """
         self._rng = rng
         self.sent: list[Sent] = []
@@ -36,12 +37,12 @@
     async def run(
         self, addresses: dict[str, str], prefixes: list[str], until_s: float
     ) -> None:
-        """Sends until a time.
+        """Sends requests until a given time.
 
         Args:
-          addresses: callers' address of each gateway; may change.
-          prefixes: paths that may be asked; may grow.
-          until_s: when to end, monotonic seconds.
+          addresses: address for callers of each gateway; may change meanwhile.
+          prefixes: path prefixes to request; may grow meanwhile.
+          until_s: when to end, in seconds of the monotonic clock.
         """
         while time.monotonic() < until_s:
             name = self._rng.choice(sorted(addresses))
@@ -80,11 +81,11 @@
         writer: asyncio.StreamWriter,
         prefixes: list[str],
     ) -> bool:
-        """Sends one request; returns whether the connection goes on."""
+        """Sends one outgoing; returns whether the connection stays usable."""
         prefix = self._rng.choice(prefixes)
         key = str(self._rng.randrange(KEY_COUNT))
         repeatable = not prefix.startswith("/unsafe")
-        ask = Ask(
+        outgoing = Ask(
             request=uuid.uuid4().hex[:16],
             path=f"{prefix}{key}",
             key=key,
@@ -92,24 +93,24 @@
             body=b"" if repeatable else b"x" * self._rng.randrange(1, 3000),
         )
         sent_s = time.monotonic()
-        reply = None
+        response = None
         try:
-            writer.write(write_ask(ask))
+            writer.write(write_ask(outgoing))
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                reply = await read_reply(reader)
+                response = await read_reply(reader)
         except (OSError, EOFError, ValueError, TimeoutError):
-            reply = None
-        self.gateway_by_request[ask.request] = name
+            response = None
+        self.gateway_by_request[outgoing.request] = name
         self.sent.append(
             Sent(
-                request=ask.request,
-                path=ask.path,
+                request=outgoing.request,
+                path=outgoing.path,
                 repeatable=repeatable,
                 sent_s=sent_s,
                 ended_s=time.monotonic(),
-                status=reply.status if reply else 0,
-                seal=reply.seal if reply else "",
-                whole=reply is not None and reply.whole(ask.request),
+                status=response.status if response else 0,
+                seal=response.seal if response else "",
+                whole=response is not None and response.whole(outgoing.request),
             )
         )
-        return reply is not None and reply.goes_on
+        return response is not None and response.goes_on
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,28 +1,28 @@
-"""The promises of the pages, checked from what callers and upstreams saw."""
+"""Checks of the documented guarantees on records of callers and upstreams."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 from emulator.world import Ran
 
-# A clock that is read by two processes, and a packet on its way.
+# Tolerance for clock reads in two processes and for packets in transit.
 SLACK_S = 0.5
 COLD_BOUND_PER_S = 5 * 1.5 + 5
 
 
 class Sent(NamedTuple):
-    """One request as its caller saw it.
+    """Describes one request and its result at the caller.
 
     Attributes:
-      request: its id.
-      path: its path.
+      request: id of the request.
+      path: path of the request.
       repeatable: whether it may run more than once.
-      sent_s: when it was sent, monotonic seconds of the machine.
-      ended_s: when its answer came or its connection ended.
-      status: status of the answer, 0 if there was none.
-      seal: signature of the answer.
-      whole: whether the body was the upstream's whole one.
-      read: whether the gateway surely read it.
+      sent_s: when it was sent, in seconds of the host's monotonic clock.
+      ended_s: when its response arrived or its connection ended.
+      status: status of the response, 0 if there was none.
+      seal: signature of the response.
+      whole: whether the upstream's complete body arrived.
+      read: whether the gateway is known to have read it.
     """
 
     request: str
@@ -37,7 +37,7 @@
 
 
 class Span(NamedTuple):
-    """A time in which something holds, monotonic seconds."""
+    """Names a time span, in seconds of the monotonic clock."""
 
     name: str
     from_s: float
@@ -45,69 +45,73 @@
 
 
 class Violation(NamedTuple):
-    """A broken promise."""
+    """Describes a violated guarantee."""
 
     guarantee: str
     detail: str
 
 
 def check_answers(sent: Iterable[Sent]) -> list[Violation]:
-    """Each success is the whole answer to its own request."""
-    faults = []
+    """Finds successes without the complete response to their own request."""
+    violations = []
     for request in sent:
         if request.status != 200:
             continue
         if request.seal != f"seal-{request.request}" or not request.whole:
-            faults.append(Violation("own and whole answers", str(request)))
-    return faults
+            violations.append(
+                Violation("complete responses to own request", str(request))
+            )
+    return violations
 
 
 def check_once(sent: Iterable[Sent], ran: Iterable[Ran]) -> list[Violation]:
-    """What must not repeat ran once; nothing ran that nobody sent."""
+    """Finds non-idempotent requests that ran twice, and runs nobody sent."""
     counts: dict[str, int] = {}
     for run in ran:
         counts[run.request] = counts.get(run.request, 0) + 1
-    faults = []
+    violations = []
     known = set()
     for request in sent:
         known.add(request.request)
         if not request.repeatable and counts.get(request.request, 0) > 1:
-            faults.append(Violation("runs once", str(request)))
+            violations.append(Violation("runs at most once", str(request)))
     for request_id in counts.keys() - known:
-        faults.append(Violation("only what was sent runs", request_id))
-    return faults
+        violations.append(Violation("only sent requests run", request_id))
+    return violations
 
 
 def check_refusals(sent: Iterable[Sent], ran: Iterable[Ran]) -> list[Violation]:
-    """A 429 or 503 is true: the request did not run."""
+    """Finds requests that ran although a 429, 503 or the like denies it."""
     ran_ids = {run.request for run in ran}
-    faults = []
+    violations = []
     for request in sent:
         if request.status not in (408, 421, 429, 503):
             continue
         if not request.repeatable and request.request in ran_ids:
-            faults.append(Violation("a refusal is true", str(request)))
-    return faults
+            violations.append(
+                Violation("refused requests do not run", str(request))
+            )
+    return violations
 
 
 def check_silent(ran: Iterable[Ran], spans: Iterable[Span]) -> list[Violation]:
-    """Upstreams that left or are evacuated get nothing in these spans."""
+    """Finds runs at upstreams that have left or are evacuated."""
     closed: dict[str, list[Span]] = {}
     for span in spans:
         closed.setdefault(span.name, []).append(span)
-    faults = []
+    violations = []
     for run in ran:
         for span in closed.get(run.upstream, []):
             if span.from_s + SLACK_S < run.at_s < span.to_s:
-                faults.append(
-                    Violation("leaving upstreams rest", f"{run} {span}")
+                violations.append(
+                    Violation("leaving upstreams get no work", f"{run} {span}")
                 )
-    return faults
+    return violations
 
 
 def check_cold(ran: Iterable[Ran], cold: Iterable[Span]) -> list[Violation]:
-    """A cold upstream gets no more than its bound in any second."""
-    faults = []
+    """Finds cold upstreams that got more than their bound in a second."""
+    violations = []
     runs = sorted(ran, key=lambda run: run.at_s)
     for span in cold:
         times = []
@@ -119,41 +123,47 @@
         for index, at_s in enumerate(times):
             within = sum(1 for each in times[index:] if each < at_s + 1)
             if within > COLD_BOUND_PER_S:
-                faults.append(Violation("cold upstreams", f"{span} {within}/s"))
+                violations.append(
+                    Violation(
+                        "cold upstreams within bound", f"{span} {within}/s"
+                    )
+                )
                 break
-    return faults
+    return violations
 
 
 def check_stops(sent: Iterable[Sent], stops: Iterable[Span]) -> list[Violation]:
-    """No request that was read is cut by a planned stop alone.
+    """Finds requests that were read and then cut by a planned stop alone.
 
     Args:
-      sent: requests that went to the stopping gateway.
-      stops: from SIGTERM to the process's end, by gateway, where no other
-        fault was near.
+      sent: requests sent to the stopping gateway.
+      stops: spans from SIGTERM to the process's exit, by gateway, without
+        another fault nearby.
     """
-    faults = []
+    violations = []
     for request in sent:
         if request.status or not request.read:
             continue
         for span in stops:
             if span.from_s <= request.sent_s <= span.to_s:
-                faults.append(
-                    Violation("stops cut nobody", f"{request} {span}")
+                violations.append(
+                    Violation("stops cut no request", f"{request} {span}")
                 )
-    return faults
+    return violations
 
 
 def check_configuration(
     sent: Iterable[Sent], routes: Iterable[Span]
 ) -> list[Violation]:
-    """A route is known from some seconds after it was written, for good.
+    """Finds requests answered 404 on a route that must be known.
+
+    A route must stay known from some seconds after it was written.
 
     Args:
       sent: all requests.
-      routes: spans in which a path must be known, by the path's start.
+      routes: spans in which a route must be known, by its path prefix.
     """
-    faults = []
+    violations = []
     spans = list(routes)
     for request in sent:
         if request.status != 404:
@@ -162,15 +172,17 @@
             if not request.path.startswith(span.name):
                 continue
             if span.from_s < request.sent_s < span.to_s:
-                faults.append(Violation("configuration in force", str(request)))
-    return faults
+                violations.append(
+                    Violation("configuration in force", str(request))
+                )
+    return violations
 
 
 def check_recovery(
     sent: Iterable[Sent], spans: Iterable[Span], *, least_share: float
 ) -> list[Violation]:
-    """In spans without fault most requests are served."""
-    faults = []
+    """Finds spans without faults in which too few requests succeed."""
+    violations = []
     requests = list(sent)
     for span in spans:
         within = [
@@ -181,5 +193,5 @@
         served = sum(1 for request in within if request.status == 200)
         if within and served < least_share * len(within):
             detail = f"{span} served {served} of {len(within)}"
-            faults.append(Violation("service recovers", detail))
-    return faults
+            violations.append(Violation("service recovers", detail))
+    return violations
--- a/soak/loop_watch.py
+++ b/soak/loop_watch.py
@@ -1,8 +1,8 @@
-"""Notes when the soak's own loop stood still.
+"""Detection of stalls of the soak's own event loop.
 
-The callers and every proxy run in it. What goes wrong unnoticed: on a busy
-machine the loop gets no processor for a second, calls through a proxy take
-several turns of it and time out, and the gateway behind looks broken.
+The callers and every proxy run in this loop. On a busy host it may get no
+processor time for a second. Calls through a proxy take several iterations of
+the loop and then time out, and the gateway behind the proxy looks broken.
 """
 
 import asyncio
@@ -10,17 +10,17 @@
 from typing import NamedTuple
 
 TURN_S = 0.02
-# A call of a gateway through a proxy takes about five turns of the loop, and
+# A gateway's call through a proxy takes about five iterations of the loop and
 # times out after one second.
 MIN_STALL_S = 0.2
 
 
 class Stall(NamedTuple):
-    """A span in which the loop did not turn.
+    """Describes a stall of the event loop.
 
     Attributes:
-      at_s: when it ended, since the watch began.
-      length_s: how long it lasted.
+      at_s: when it ended, in seconds since the watch started.
+      length_s: its duration in seconds.
     """
 
     at_s: float
@@ -28,18 +28,18 @@
 
 
 class LoopWatch:
-    """Watches the loop that it runs in.
+    """Records stalls of the event loop that it runs in.
 
     Attributes:
-      pauses: spans of `PAUSE_S` or more, in their order.
+      pauses: stalls of `MIN_STALL_S` or more, in order of time.
     """
 
     def __init__(self) -> None:
-        """Makes a watch that has seen nothing."""
+        """Starts without recorded stalls."""
         self.pauses: list[Stall] = []
 
     async def run(self) -> None:
-        """Watches until it is cancelled."""
+        """Records stalls until it is cancelled."""
         began_s = time.monotonic()
         while True:
             before_s = time.monotonic()
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,17 +1,17 @@
-"""What a seed does and when."""
+"""Plans of faults, made from a seed."""
 
 from collections.abc import Sequence
 import enum
 import random
 from typing import NamedTuple
 
-# Faults begin after the start has settled and end before the last calm span.
+# No fault begins while the processes start, or in the calm span at the end.
 START_SETTLE_S = 3.0
 FINAL_CALM_S = 8.0
 
 
 class Kind(enum.StrEnum):
-    """Kinds of faults."""
+    """Names the kinds of faults."""
 
     STORE = "store"
     STORE_PROXY = "store_proxy"
@@ -32,20 +32,20 @@
     FOREIGN_WRITER = "foreign_writer"
 
 
-# The kinds that the kept seeds were found with; with more of them a seed would
-# play another plan.
+# Kinds that the kept seeds were found with; drawing from more kinds would give
+# a seed another plan.
 FIRST_KINDS = tuple(Kind)[: tuple(Kind).index(Kind.UPSTREAM_RESTART)]
 
 
 class Step(NamedTuple):
-    """One fault.
+    """Describes one fault.
 
     Attributes:
-      at_s: when, in seconds from the start.
-      kind: what.
-      target: index of the process that it strikes.
-      for_s: how long it lasts, in seconds.
-      how: variant.
+      at_s: when it begins, in seconds from the start.
+      kind: its kind.
+      target: number that selects the process, modulo the number of them.
+      duration_s: how long it lasts, in seconds.
+      variant: variant of the kind, empty if it has none.
     """
 
     at_s: float
@@ -68,8 +68,8 @@
     "trailing",
     "slow",
 )
-# What another writer leaves among the registrations: under an upstream's own
-# key, or under one of its own.
+# Invalid registrations by another writer: under the key of an upstream for
+# `own_key`, else under a key of the writer's own.
 FOREIGN_RECORDS = ("own_key", "no_text", "no_slots", "no_address", "no_state")
 _VARIANTS = {
     Kind.STORE: STORE_MODES,
@@ -87,26 +87,26 @@
     count: int = 0,
     kinds: Sequence[Kind] = tuple(Kind),
 ) -> list[Step]:
-    """Returns the steps of a seed; they overlap and come in series.
+    """Returns the steps of a seed in order of time; they may overlap.
 
     Args:
       seed: the seed.
       seconds: length of the run.
-      count: how many steps; by default one for each 1.5 s.
+      count: number of steps; 0 for one per 1.5 s.
       kinds: the kinds to draw from.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     span_s = max(1.0, seconds - START_SETTLE_S - FINAL_CALM_S)
     steps = []
     for _ in range(count or max(2, int(span_s / 1.5))):
-        kind = chance.choice(kinds)
+        kind = rng.choice(kinds)
         steps.append(
             Step(
-                at_s=START_SETTLE_S + chance.random() * span_s,
+                at_s=START_SETTLE_S + rng.random() * span_s,
                 kind=kind,
-                target=chance.randrange(1000),
-                duration_s=chance.uniform(0.3, 4.0),
-                variant=chance.choice(_VARIANTS.get(kind, ("",))),
+                target=rng.randrange(1000),
+                duration_s=rng.uniform(0.3, 4.0),
+                variant=rng.choice(_VARIANTS.get(kind, ("",))),
             )
         )
     return sorted(steps, key=lambda step: step.at_s)
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays a plan on a world while callers send, then checks what was seen."""
+"""Runs a plan of faults on processes under load and checks the results."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -25,18 +25,19 @@
 from soak.plan import Kind
 from soak.plan import Step
 
-# From a change's acknowledgement until it must hold, and what a disturbance
-# adds: the bounds of the emulated platform.
+# Longest time from the acknowledgement of a change until it takes effect, with
+# the delay that a disturbance adds: the bounds of the emulated platform.
 DRAIN_S = 2.0
 CONFIGURE_S = 2.0
 EVACUATE_S = 5.0
-# A disturbance and this long after it excuse bounds in time.
+# Time bounds are not checked during a disturbance, nor this long before and
+# after it.
 DISTURBANCE_MARGIN_S = 4.0
-# How long a killed process stays away.
+# Delay before a killed gateway is started again.
 RESTART_DELAY_S = 0.5
 STOP_LIMIT_S = 4.0
-# The calm time at the end in which most requests must be served, and what of
-# it is left out, because the last answers may not have come.
+# Calm span at the end in which most requests must succeed. Its last part is not
+# counted, because those responses may still be outstanding.
 FINAL_SPAN_S = 3.0
 FINAL_MARGIN_S = 0.5
 DRAIN_EXIT_S = 3.5
@@ -47,7 +48,7 @@
 
 
 class Size(NamedTuple):
-    """How much is started."""
+    """Holds how many processes and callers are started."""
 
     upstreams: int = 6
     gateways: int = 3
@@ -72,7 +73,7 @@
 
 
 def foreign_registration(variant: str) -> str:
-    """Returns what another writer leaves in place of a registration."""
+    """Returns an invalid registration, as another writer may store it."""
     record: dict[str, object] = {
         "service": "service",
         "address": "127.0.0.1:9",
@@ -102,12 +103,12 @@
 
 
 class Outcome(NamedTuple):
-    """What a caller met.
+    """Names one kind of result that a caller got from a gateway.
 
     Attributes:
-      caller: its number.
-      gateway: the gateway that it asked.
-      status: status of the answer, 0 if there was none.
+      caller: index of the caller.
+      gateway: name of the gateway.
+      status: status of the response, 0 if there was none.
     """
 
     caller: int
@@ -116,16 +117,16 @@
 
 
 class Report(NamedTuple):
-    """What a run showed.
+    """Holds the results of a run.
 
     Attributes:
-      seed: its seed.
-      sent: requests sent.
-      served: requests answered with success.
-      steps: what was done.
-      faults: promises that were broken.
-      outcomes: requests of the last calm span by caller, gateway and status.
-      pauses: spans in which the soak's own loop stood still.
+      seed: seed of the plan.
+      sent: number of requests sent.
+      served: number of requests answered with status 200.
+      steps: the faults of the plan.
+      violations: guarantees that were violated.
+      outcomes: number of requests in the final calm span by outcome.
+      stalls: stalls of the soak's own event loop.
     """
 
     seed: int
@@ -138,7 +139,7 @@
 
 
 class Soak:
-    """One run of one seed."""
+    """Runs one seed."""
 
     def __init__(
         self,
@@ -149,7 +150,7 @@
         size: Size,
         kinds: Sequence[Kind] = tuple(Kind),
     ) -> None:
-        """Makes the plan; nothing is started yet."""
+        """Makes the plan and starts nothing."""
         self._seed = seed
         self._seconds = seconds
         self._steps = plan.make(seed, seconds=seconds, kinds=kinds)
@@ -171,7 +172,7 @@
         self._exited: set[str] = set()
 
     async def run(self) -> Report:
-        """Starts, plays, ends, checks."""
+        """Starts the processes, runs the plan, stops everything and checks."""
         watching = asyncio.ensure_future(self._loop_watch.run())
         try:
             await self._world.start()
@@ -198,7 +199,7 @@
         await asyncio.sleep(3.0)
 
     async def _collect_runs(self) -> None:
-        """Collects runs now and then, since a killed upstream tells none."""
+        """Collects runs at intervals, since a killed upstream reports none."""
         while time.monotonic() < self._end_s:
             await asyncio.sleep(0.5)
             for name in list(self._world.upstreams):
@@ -207,14 +208,14 @@
             self._check_alive()
 
     def _check_alive(self) -> None:
-        """Notes gateways that ended although nothing struck them."""
+        """Records gateways that exited without a fault applied to them."""
         for name in self._world.gateways:
             code = self._world.procs[name].exit_code
             if code is None or name in self._claimed or name in self._exited:
                 continue
             self._exited.add(name)
             self._violations.append(
-                Violation("gateways go on", f"{name} code {code}")
+                Violation("gateways keep running", f"{name} code {code}")
             )
 
     async def _run_steps(self, began_s: float) -> None:
@@ -286,7 +287,7 @@
         await asyncio.sleep(step.duration_s)
         proxy.set_harm(Harm.NONE)
         if step.variant in ("silence", "one_way"):
-            # Bytes were swallowed: the connections cannot go on.
+            # Bytes were dropped, so the connections are unusable.
             proxy.reset_all()
 
     async def _upstream_fault(self, step: Step) -> None:
@@ -299,18 +300,18 @@
         await self._world.faults(address, "/emulator/faults")
 
     async def _claim(self, name: str) -> bool:
-        """Claims a process, so that two faults do not start it twice."""
+        """Claims a process, so that two faults do not both restart it."""
         if name in self._claimed:
             return False
         self._claimed.add(name)
         return True
 
     async def _upstream_restart(self, step: Step) -> None:
-        """Ends an upstream and starts it again under its id."""
+        """Kills an upstream and starts it again under the same id."""
         await self._upstream_kill(step, same_id=True)
 
     async def _foreign_writer(self, step: Step) -> None:
-        """Leaves a word that names no upstream among the registrations."""
+        """Stores an invalid record among the registrations for a while."""
         name = self._upstream(step)
         key = f"servers/foreign-{step.target}"
         if step.variant == "own_key":
@@ -349,12 +350,12 @@
             return
         proc = self._world.procs[name]
         proc.signal(signal.SIGTERM)
-        told_s = time.monotonic()
+        signalled_s = time.monotonic()
         await asyncio.sleep(DRAIN_EXIT_S - 1.0)
         await self._world.collect(name)
         await proc.wait()
         self._no_traffic_spans.append(
-            Span(name, told_s + DRAIN_S, time.monotonic())
+            Span(name, signalled_s + DRAIN_S, time.monotonic())
         )
         await self._start_upstream(name)
 
@@ -392,22 +393,24 @@
             return
         proc = self._world.procs[name]
         was_ready = await self._world.is_ready(name)
-        told_s = time.monotonic()
+        signalled_s = time.monotonic()
         proc.signal(signal.SIGTERM)
         try:
             code = await asyncio.wait_for(proc.wait(), STOP_LIMIT_S)
-            # A process that has not begun to listen has nobody to finish for;
-            # it ends by the signal itself, before it could catch it.
+            # A process that does not listen yet has no requests to finish; the
+            # signal may end it before its handler is installed.
             allowed = (0,) if was_ready else (0, -signal.SIGTERM)
             if code not in allowed:
                 self._violations.append(
-                    Violation("stops end with 0", f"{name} {code}")
+                    Violation("graceful stops exit with 0", f"{name} {code}")
                 )
         except TimeoutError:
-            self._violations.append(Violation("stops end in time", name))
+            self._violations.append(
+                Violation("graceful stops finish in time", name)
+            )
             proc.signal(signal.SIGKILL)
             await proc.wait()
-        self._stop_spans.append(Span(name, told_s, time.monotonic()))
+        self._stop_spans.append(Span(name, signalled_s, time.monotonic()))
         await self._world.start_gateway(name)
         self._claimed.discard(name)
 
@@ -423,22 +426,22 @@
     async def _configure(self, step: Step) -> None:
         prefix = f"/added{len(self._prefixes)}/"
         self._prefixes.append(prefix)
-        wanted = list(self._prefixes)
-        await self._world.configure(wanted)
-        known_s = time.monotonic() + CONFIGURE_S
-        self._route_spans.append(Span(prefix, known_s, self._end_s))
+        prefixes = list(self._prefixes)
+        await self._world.configure(prefixes)
+        in_force_s = time.monotonic() + CONFIGURE_S
+        self._route_spans.append(Span(prefix, in_force_s, self._end_s))
 
     async def _evacuate(self, step: Step) -> None:
         zone = self._world.zone_of(self._upstream(step))
         if not await self._claim(zone):
             return
         await self._world.operate(puts={f"op/evacuate/{zone}": "{}"})
-        told_s = time.monotonic()
+        ordered_s = time.monotonic()
         await asyncio.sleep(EVACUATE_S + step.duration_s)
         for name in self._world.upstreams:
             if self._world.zone_of(name) == zone:
                 self._no_traffic_spans.append(
-                    Span(name, told_s + EVACUATE_S, time.monotonic())
+                    Span(name, ordered_s + EVACUATE_S, time.monotonic())
                 )
         await self._world.operate(remove=[f"op/evacuate/{zone}"])
         self._claimed.discard(zone)
@@ -477,23 +480,23 @@
                 span.to_s
             ):
                 continue
-            own = [
+            at_gateway = [
                 each for each in sent if gateway_of[each.request] == span.name
             ]
             self._violations += checks.check_stops(
-                self._keep_executed(own, ran), [span]
+                self._keep_executed(at_gateway, ran), [span]
             )
         calm = [each for each in sent if not self._is_disturbed_at(each.sent_s)]
         self._violations += checks.check_configuration(calm, self._route_spans)
-        last = Span(
+        final_span = Span(
             "the end", self._end_s - FINAL_SPAN_S, self._end_s - FINAL_MARGIN_S
         )
         self._violations += checks.check_recovery(
-            sent, [last], least_share=MIN_SERVED_SHARE
+            sent, [final_span], least_share=MIN_SERVED_SHARE
         )
 
     def _is_excused(self, run: Ran) -> bool:
-        """Bounds in time hold only where nothing else disturbs."""
+        """Returns whether a disturbance near a run suspends the time bounds."""
         for span in self._disturbance_spans:
             if span.name in (Kind.UPSTREAM_DRAIN, Kind.EVACUATE):
                 continue
@@ -509,7 +512,7 @@
     def _keep_executed(
         sent: list[checks.Sent], ran: list[Ran]
     ) -> list[checks.Sent]:
-        """Keeps requests that an upstream ran: those were read."""
+        """Keeps requests that an upstream ran, since those were surely read."""
         ran_ids = {run.request for run in ran}
         return [each for each in sent if each.request in ran_ids]
 
