--- a/scripts/__init__.py
+++ b/scripts/__init__.py
@@ -1,1 +1,1 @@
-"""Commands of the README."""
+"""Commands that the README describes."""
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# The main job on loopback: the Tallow Brae example with stand-ins.
+# Runs the demonstration: gateways, upstreams and the store on loopback.
 set -eu
 cd "$(dirname "$0")/.."
 . scripts/environment.sh
--- a/scripts/demo_daemon.py
+++ b/scripts/demo_daemon.py
@@ -1,4 +1,4 @@
-"""The older daemon on loopback: Tallow Brae's example with stand-ins.
+"""Demonstration of the older daemon on loopback, with the Tallow Brae example.
 
 Starts the platform and upstream stand-ins and the eight entries of
 examples/tallow-brae as separate processes, sends a few requests of each class,
@@ -31,10 +31,10 @@
 
 
 class Demo:
-    """The processes of the demonstration."""
+    """Runs the processes of the demonstration."""
 
     def __init__(self, *, processes: Processes) -> None:
-        """Prepares; `run` does the work."""
+        """Prepares the demonstration and starts nothing."""
         self.processes = processes
         self.directory = processes.directory
         self.entries: dict[str, dict[str, Any]] = {}
@@ -53,7 +53,7 @@
     def start(self) -> None:
         """Starts the platform, the upstreams and the entries."""
         print_now("starting the platform, 28 upstreams and 8 entries ...")
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         text = (EXAMPLE / "deployment.toml").read_text(encoding="utf-8")
         self.deployment = tomllib.loads(text)
         shutil.copy(EXAMPLE / "deployment.toml", self.directory)
@@ -67,7 +67,7 @@
                 name, "-m", "almondstair.daemon", "--settings", settings
             )
         wait_until(self._is_ready, limit_s=READY_LIMIT_S, what="the entries")
-        print_now(f"ready after {time.monotonic() - began_s:.1f} s")
+        print_now(f"ready after {time.monotonic() - started_s:.1f} s")
 
     def _prepare_entry(self, path: Path) -> None:
         text = path.read_text(encoding="utf-8")
@@ -104,34 +104,36 @@
             self.processes.start(name, script, *options)
 
     def _is_ready(self) -> bool:
-        held = 0
+        in_use = 0
         for name in self.entries:
             status = self._status(name)
             if status is None:
                 return False
             for row in status["upstreams"]:
-                held += row["state"] == "in use"
+                in_use += row["state"] == "in use"
             for row in status["entries"]:
                 if row["heard_age_s"] is None or row["leaving"]:
                     return False
             if len(status["entries"]) < len(self.entries):
                 return False
-        return held == len(self.deployment["upstreams"])
+        return in_use == len(self.deployment["upstreams"])
 
     def _status(self, name: str) -> dict[str, Any] | None:
         try:
-            answer = get(self.entries[name]["operator_address"], "/v1/status")
+            response = get(self.entries[name]["operator_address"], "/v1/status")
         except OSError:
             return None
-        if answer.status != 200:
+        if response.status != 200:
             return None
-        return answer.json()
+        return response.json()
 
     def show_lookup(self) -> None:
-        """Asks any entry which entries to use."""
-        print_now("\na caller asks which entries to use:")
-        answer = get(self._any_caller_address(), "/v1/entries?service=matching")
-        print_now(json.dumps(answer.json(), indent=2))
+        """Looks up at an entry which entries to use."""
+        print_now("\na caller looks up which entries to use:")
+        response = get(
+            self._any_caller_address(), "/v1/entries?service=matching"
+        )
+        print_now(json.dumps(response.json(), indent=2))
 
     def _any_caller_address(self) -> str:
         return self.entries["scot-east-1a"]["caller_address"]
@@ -145,8 +147,8 @@
         key = {"Idempotency-Key": "payment-4711"}
         self._request("POST", address, "/matching/approvals", b"pay", key)
         print_now("  the same approval again, through another entry:")
-        # The outcome is recorded behind the answer, within a fraction of a
-        # second; before that a repeat is told that the first one is running.
+        # The outcome is recorded after the response, within a fraction of a
+        # second; until then a repeated request is refused as still running.
         time.sleep(RECORDING_WAIT_S)
         other = self.entries["eng-north-1a"]["caller_address"]
         self._request("POST", other, "/matching/approvals", b"pay", key)
@@ -164,17 +166,17 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> None:
-        began_s = time.monotonic()
-        answer = send(method, address, path, body=body, headers=headers)
-        took_ms = (time.monotonic() - began_s) * 1000
-        ran_at = _upstream_of(answer.body)
+        started_s = time.monotonic()
+        response = send(method, address, path, body=body, headers=headers)
+        elapsed_ms = (time.monotonic() - started_s) * 1000
+        ran_at = _upstream_of(response.body)
         print_now(
-            f"  {method:4} {path:45} {answer.status} "
-            f"{len(answer.body):7} bytes {took_ms:6.1f} ms  {ran_at}"
+            f"  {method:4} {path:45} {response.status} "
+            f"{len(response.body):7} bytes {elapsed_ms:6.1f} ms  {ran_at}"
         )
 
     def show_leaving(self) -> None:
-        """Marks an upstream as leaving, with the operators' tool."""
+        """Marks an upstream as leaving with almondstairctl."""
         print_now(f"\nan operator marks {LEAVING_UPSTREAM} as leaving:")
         self._run_almondstairctl("vm", "leave", LEAVING_UPSTREAM)
 
@@ -190,8 +192,8 @@
         _print_spans(spans, parent_of=_root_parent(spans), depth=1)
 
     def show_status(self) -> None:
-        """Prints the status table of the operators' tool."""
-        print_now("\nthe status as one entry knows it:")
+        """Prints the status table of almondstairctl."""
+        print_now("\nthe status as one entry sees it:")
         self._run_almondstairctl("status")
 
     def _run_almondstairctl(self, *arguments: str) -> None:
@@ -212,16 +214,16 @@
     def stop(self) -> None:
         """Stops every entry gracefully."""
         print_now(
-            "\nstopping the entries, each after its callers have moved on ..."
+            "\nstopping the entries, each after its callers have left ..."
         )
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         for name in self.entries:
             self.processes.children[name].process.terminate()
         codes = []
         for name in self.entries:
             codes.append(self.processes.children[name].wait(limit_s=90))
         print_now(
-            f"exit codes {codes} after {time.monotonic() - began_s:.1f} s"
+            f"exit codes {codes} after {time.monotonic() - started_s:.1f} s"
         )
         if any(codes):
             sys.exit(1)
@@ -260,12 +262,12 @@
     for span in sorted(spans, key=lambda span: span["start_ns"]):
         if span["parent"] != parent_of:
             continue
-        took_ms = (span["end_ns"] - span["start_ns"]) / 1e6
+        elapsed_ms = (span["end_ns"] - span["start_ns"]) / 1e6
         indent = "  " * depth
         attributes = json.dumps(span["attributes"])
         print_now(
             f"{indent}{span['name']} on {span['entry']}: "
-            f"{took_ms:.1f} ms {attributes}"
+            f"{elapsed_ms:.1f} ms {attributes}"
         )
         _print_spans(spans, parent_of=span["span"], depth=depth + 1)
 
--- a/scripts/demonstration.py
+++ b/scripts/demonstration.py
@@ -1,4 +1,4 @@
-"""What demonstrations share: processes that end with them, and their words."""
+"""Shared parts of the demonstrations: processes and printing."""
 
 from collections.abc import Callable
 import sys
@@ -7,12 +7,12 @@
 
 
 def print_now(text: str) -> None:
-    """Prints at once, so that a demonstration can be followed."""
+    """Prints a line at once, so that a demonstration can be followed."""
     print(text, flush=True)
 
 
 def run_demonstration(run: Callable[[Processes], None]) -> None:
-    """Runs a demonstration; its processes end with it."""
+    """Runs a demonstration and ends its processes afterwards."""
     processes = Processes()
     try:
         run(processes)
--- a/scripts/environment.sh
+++ b/scripts/environment.sh
@@ -1,5 +1,6 @@
-# Makes the project's own environment in .venv, once for each requirements.txt.
-# To be sourced from the root of the checkout.
+# Creates the project's virtual environment in .venv and creates it again when
+# requirements.txt or pyproject.toml changes. Source it from the root of the
+# checkout.
 PYTHON="${PYTHON:-python3}"
 if ! "$PYTHON" -c 'import sys; sys.exit(sys.version_info < (3, 11))'; then
   echo "almondstair needs Python 3.11 or newer; set PYTHON=/path/to/it" >&2
--- a/scripts/plays.py
+++ b/scripts/plays.py
@@ -1,9 +1,9 @@
-"""Plays a scenario many times, alone or beside busy processes.
+"""Runs a scenario many times, alone or with processor load beside it.
 
     .venv/bin/python -m scripts.plays features/overload.feature:10 --count 10
     .venv/bin/python -m scripts.plays features/leaving.feature:71 --busy 20
 
-Prints a line for each play and a table at the end; what a failed play printed,
+Prints a line for each run and a table at the end. The output of a failed run,
 with the ends of its processes' logs, is kept in a folder.
 """
 
@@ -22,15 +22,15 @@
 from scripts.run_features import PORTS_VARIABLE
 from scripts.run_features import ROOT
 
-# Behind the ports of `run_features` and the fixed ones of scenarios on
-# heartbeats (27100 on), so that both may run at once.
+# Above the ports of `run_features` and the fixed ports of heartbeat scenarios
+# (27100 on), so that both can run at once.
 PORTS = "28500-29999"
 BUSY_LOOP = "while True: pass"
 CAUSE_MARK = "ASSERT FAILED"
 
 
 class ScenarioRun(NamedTuple):
-    """One play of a scenario."""
+    """Holds the result of one run of a scenario."""
 
     number: int
     passed: bool
@@ -41,7 +41,7 @@
 
 @contextlib.contextmanager
 def busy_processes(count: int) -> Iterator[None]:
-    """Runs loops of ordinary priority until the block ends."""
+    """Runs busy loops at normal priority until the block ends."""
     processes = []
     for _ in range(count):
         processes.append(subprocess.Popen([sys.executable, "-c", BUSY_LOOP]))
@@ -56,9 +56,9 @@
 def run_scenario(
     location: str, number: int, folder: Path, ports: str
 ) -> ScenarioRun:
-    """Plays a scenario once; keeps the output if it fails."""
+    """Runs a scenario once; keeps the output if it fails."""
     started_s = time.monotonic()
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "behave", "--no-color", "--format", "plain"]
         + [location],
         cwd=ROOT,
@@ -67,15 +67,15 @@
         text=True,
         check=False,
     )
-    took_s = time.monotonic() - started_s
+    duration_s = time.monotonic() - started_s
     cause = ""
-    if done.returncode:
+    if completed.returncode:
         name = location.rpartition("/")[2].replace(":", "-")
         path = folder / f"{name}-{number}.txt"
-        path.write_text(done.stdout + done.stderr, encoding="utf-8")
-        cause = _cause(done.stdout)
+        path.write_text(completed.stdout + completed.stderr, encoding="utf-8")
+        cause = _cause(completed.stdout)
     return ScenarioRun(
-        number, not done.returncode, took_s, os.getloadavg()[0], cause
+        number, not completed.returncode, duration_s, os.getloadavg()[0], cause
     )
 
 
@@ -93,36 +93,39 @@
     keep: str = "",
     ports: str = PORTS,
 ) -> None:
-    """Plays scenarios, prints what came of each, and exits 1 on a failure.
+    """Runs scenarios, prints result result, and exits 1 on a failure.
 
     Args:
       *locations: features, or scenarios as `file:line`.
-      count: plays of each.
-      busy: loops that run beside them.
-      keep: folder for the output of failed plays; by default a new one.
+      count: number of runs of each.
+      busy: number of busy loops that run beside them.
+      keep: folder for the output of failed runs; by default a new one.
       ports: `first-last` for processes; two runs at once need ports of their
         own.
     """
     folder = Path(keep or tempfile.mkdtemp(prefix="almondstair-plays-"))
     folder.mkdir(parents=True, exist_ok=True)
-    table = []
+    totals = []
     with busy_processes(busy):
         for location in locations:
             passed = 0
             for number in range(1, count + 1):
-                each = run_scenario(location, number, folder, ports)
-                passed += each.passed
-                word = "passed" if each.passed else "FAILED"
+                result = run_scenario(location, number, folder, ports)
+                passed += result.passed
+                verdict = "passed" if result.passed else "FAILED"
                 print(
-                    f"{location} {number}: {word} in {each.duration_s:.1f} s, "
-                    f"load {each.load_average:.1f} {each.cause}",
+                    f"{location} {number}: {verdict} in "
+                    f"{result.duration_s:.1f} s, "
+                    f"load {result.load_average:.1f} {result.cause}",
                     flush=True,
                 )
-            table.append((location, passed))
-    for location, passed in table:
-        print(f"{location}: {passed} of {count} passed, beside {busy} loops")
-    if any(passed < count for _, passed in table):
-        print(f"output of failed plays: {folder}")
+            totals.append((location, passed))
+    for location, passed in totals:
+        print(
+            f"{location}: {passed} of {count} passed, beside {busy} busy loops"
+        )
+    if any(passed < count for _, passed in totals):
+        print(f"output of failed runs: {folder}")
         sys.exit(1)
 
 
--- a/scripts/run_features.py
+++ b/scripts/run_features.py
@@ -1,9 +1,9 @@
-"""Runs behave and ends with the real totals on one line.
+"""Runs behave and prints the totals of all features on one line.
 
-Each feature file runs in a behave of its own, a few of them at a time, longest
-first by its size; the whole output of a file is printed when it has ended.
-Scenarios named in KNOWN-RED.txt may fail; they are printed, and do not fail
-the run. One that passes although it is listed is printed too.
+Each feature file runs in its own behave process, a few at a time, largest file
+first; the complete output of a file is printed when it has ended. Scenarios
+named in KNOWN-RED.txt may fail: they are printed and do not fail the run. A
+listed scenario that passes is printed too.
 """
 
 from concurrent import futures
@@ -22,14 +22,14 @@
 KNOWN_RED_LIMIT = 8
 CAUSE_LINES = 12
 WORKERS = 4
-# Each worker's own ports, for the addresses of the processes under test.
+# Each worker has its own ports for the processes under test.
 FIRST_PORT = 21_000
 PORTS_PER_WORKER = 1_500
 PORTS_VARIABLE = "ALMONDSTAIR_TEST_PORTS"
 
 
 class Totals(NamedTuple):
-    """What became of the scenarios."""
+    """Holds the results of the scenarios."""
 
     passed: int
     failed: tuple[str, ...]
@@ -50,26 +50,26 @@
 
 
 class FileResult(NamedTuple):
-    """How one run of behave ended."""
+    """Holds the result of one run of behave."""
 
     code: int
     scenarios: list[dict[str, Any]]
 
 
 def _without_skipped(result: FileResult) -> FileResult:
-    """Leaves out what the arguments did not select; behave calls it skipped.
+    """Drops scenarios that the arguments did not select, reported as skipped.
 
-    In a run of everything a skipped scenario counts as failed.
+    In a run of all features a skipped scenario counts as failed.
     """
-    chosen = []
+    selected = []
     for scenario in result.scenarios:
         if scenario["status"] != "skipped":
-            chosen.append(scenario)
-    return FileResult(result.code, chosen)
+            selected.append(scenario)
+    return FileResult(result.code, selected)
 
 
 def feature_files() -> list[str]:
-    """Returns every feature file, the longest first."""
+    """Returns every feature file, the largest first."""
     files = sorted(
         (ROOT / "features").glob("*.feature"),
         key=lambda path: path.stat().st_size,
@@ -79,11 +79,11 @@
 
 
 def run_behave(arguments: list[str], report: Path, ports: str) -> FileResult:
-    """Runs behave with a JSON report and prints its output as a whole."""
+    """Runs behave with a JSON report and prints its output in one piece."""
     command = [sys.executable, "-m", "behave", "--no-color"]
     command += ["--format", "progress", "--outfile", "/dev/stdout"]
     command += ["--format", "json", "--outfile", str(report)]
-    done = subprocess.run(
+    completed = subprocess.run(
         command + arguments,
         cwd=ROOT,
         env={**os.environ, PORTS_VARIABLE: ports},
@@ -91,11 +91,11 @@
         stderr=subprocess.STDOUT,
         check=False,
     )
-    sys.stdout.write(done.stdout.decode("utf-8", "replace"))
+    sys.stdout.write(completed.stdout.decode("utf-8", "replace"))
     sys.stdout.flush()
     if not report.exists():
-        return FileResult(done.returncode or 1, [])
-    return FileResult(done.returncode, read_scenarios(report))
+        return FileResult(completed.returncode or 1, [])
+    return FileResult(completed.returncode, read_scenarios(report))
 
 
 def worker_ports(worker: int) -> str:
@@ -106,27 +106,27 @@
 
 def run_all(directory: Path) -> list[FileResult]:
     """Runs every feature file, `WORKERS` at a time."""
-    free: queue.SimpleQueue[int] = queue.SimpleQueue()
+    free_workers: queue.SimpleQueue[int] = queue.SimpleQueue()
     for worker in range(WORKERS):
-        free.put(worker)
+        free_workers.put(worker)
 
     def run(number: int, file: str) -> FileResult:
-        worker = free.get()
+        worker = free_workers.get()
         ports = worker_ports(worker)
         try:
             return run_behave([file], directory / f"{number}.json", ports)
         finally:
-            free.put(worker)
+            free_workers.put(worker)
 
     with futures.ThreadPoolExecutor(WORKERS) as pool:
-        waiting = []
+        running = []
         for number, file in enumerate(feature_files()):
-            waiting.append(pool.submit(run, number, file))
-        return [future.result() for future in waiting]
+            running.append(pool.submit(run, number, file))
+        return [future.result() for future in running]
 
 
 def read_scenarios(report: Path) -> list[dict[str, Any]]:
-    """Returns the scenarios of a report, outlines as single ones."""
+    """Returns the scenarios of a report, one for each row of an outline."""
     found = []
     for feature in json.loads(report.read_text(encoding="utf-8")):
         for element in feature.get("elements", []):
@@ -166,7 +166,7 @@
 
 
 def print_causes(results: list[FileResult]) -> None:
-    """Prints the step at which each failed scenario stopped, and why."""
+    """Prints the step at which each failed scenario stopped and its error."""
     for result in results:
         for scenario in result.scenarios:
             for step in scenario.get("steps", []):
@@ -182,7 +182,7 @@
 
 
 def main() -> None:
-    """Runs, counts, prints, and exits 1 on any failure."""
+    """Runs behave, prints the totals and exits 1 on any failure."""
     known_red = read_known_red()
     if len(known_red) > KNOWN_RED_LIMIT:
         sys.exit(f"KNOWN-RED.txt may list {KNOWN_RED_LIMIT} scenarios")
@@ -204,11 +204,11 @@
         print(f"known red: {name}")
     for name in totals.unexpected_green:
         print(f"listed in KNOWN-RED.txt, but passed: {name}")
-    bad = len(totals.failed)
-    line = f"behave: {totals.passed} passed, {bad} failed"
+    failed = len(totals.failed)
+    line = f"behave: {totals.passed} passed, {failed} failed"
     TOTALS.write_text(line + "\n", encoding="utf-8")
     print(line)
-    if bad or not totals.passed:
+    if failed or not totals.passed:
         sys.exit(1)
 
 
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Runs the scenarios; with arguments, those that behave is given.
+# Runs all scenarios, or those that the arguments for behave select.
 set -eu
 cd "$(dirname "$0")/.."
 . scripts/environment.sh
