--- a/almondstair/tools/almondstairctl.py
+++ b/almondstair/tools/almondstairctl.py
@@ -1,7 +1,7 @@
-"""Command-line tool of the operators.
+"""Command-line tool for operators.
 
-It asks the operators' listener of an entry. Every failure has a kind, and each
-kind has an exit code; `docs/ERRORS.md` lists them.
+It connects to the operators' listener of an entry. Every failure has a kind,
+and each kind has an exit code; `docs/ERRORS.md` lists them.
 """
 
 import argparse
@@ -37,14 +37,14 @@
       almondstairctl gateway why 9c41d07be2a35f68 /var/log/gateway-*.log
 
     Options of every command:
-      --entry=IP:PORT[,IP:PORT...]: operators' listeners, asked in this order
+      --entry=IP:PORT[,IP:PORT...]: operators' listeners, tried in this order
         until one answers; by default from ALMONDSTAIR_ENTRY.
-      --author=NAME: name put on edits; by default the user's.
-      --json: print JSON for scripts.
+      --author=NAME: author of edits; by default the user's name.
+      --json: print JSON.
     """
 
     def __init__(self, session: session_module.Session) -> None:
-        """Makes the groups of commands."""
+        """Makes the command groups."""
         self._session = session
         self.config = commands.ConfigCommands(session)
         self.profile = commands.ProfileCommands(session)
@@ -57,8 +57,8 @@
     def status(self) -> None:
         """Shows entries, upstreams, regions and links.
 
-        Each entry is asked, since only the home of an upstream knows what runs
-        there. What an entry that does not answer would know is unknown.
+        Each entry is queried, since only the home of an upstream knows what
+        runs there. Values from an entry that does not answer are unknown.
 
         Examples:
           almondstairctl status
@@ -129,10 +129,10 @@
 
 
 def _options() -> argparse.ArgumentParser:
-    """Returns the parser of the options that every command has.
+    """Returns the parser of the options that every command accepts.
 
-    They are taken out before the rest is understood, so that they may stand
-    anywhere in the line and the help of each group stays about the group.
+    They are parsed before the rest, so that they can stand anywhere in the
+    command line and the help of each group shows only the group.
     """
     parser = argparse.ArgumentParser(
         prog=_PROGRAM, add_help=False, allow_abbrev=False
--- a/almondstair/tools/commands.py
+++ b/almondstair/tools/commands.py
@@ -1,7 +1,7 @@
-"""The groups of commands of the command-line tool.
+"""Command groups of the command-line tool.
 
-A command does its work only after the whole command line was understood. If it
-ran at once, `vm leave a b` would mark `a` and then complain about `b`.
+A command runs only after the whole command line has been parsed. If it ran at
+once, `vm leave a b` would mark `a` and then reject `b`.
 """
 
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 
 
 class PreparedCommand:
-    """A command that was understood and has not run yet."""
+    """Holds a command that was parsed and has not run yet."""
 
     def __init__(self, *, action: Callable[[], None]) -> None:
         """Keeps the action."""
@@ -37,7 +37,7 @@
 
 
 def run_prepared(result: Any) -> Any:
-    """Runs a command; returns any other result, such as a group, as it is."""
+    """Runs a prepared command; returns other results, such as groups."""
     if not isinstance(result, PreparedCommand):
         return result
     result._run()
@@ -45,7 +45,7 @@
 
 
 def command(method: Callable[..., None]) -> Callable[..., PreparedCommand]:
-    """Makes a method return its work instead of doing it."""
+    """Makes a method return a prepared command instead of running."""
 
     @functools.wraps(method)
     def prepare(*args: Any, **kwargs: Any) -> PreparedCommand:
@@ -61,10 +61,10 @@
 def _reject_non_text(
     method: Callable[..., None], *, arguments: dict[str, Any]
 ) -> None:
-    """Refuses a name that `fire` took for a number.
+    """Rejects an argument of type str that `fire` parsed as a number.
 
-    `1_0` is the number 10 to `fire`, and so a command could reach another VM
-    than the one that was typed.
+    `fire` reads `1_0` as the number 10, so that a command could act on another
+    VM than the one that was typed.
     """
     for name, value in arguments.items():
         if inspect.get_annotations(method).get(name) is not str:
@@ -110,7 +110,7 @@
 
     @command
     def check(self, file: str, *, remote: bool = False) -> None:
-        """Checks a configuration file and lists every fault.
+        """Checks a configuration file and lists every error.
 
         Examples:
           almondstairctl config check deployment.toml
@@ -118,7 +118,7 @@
 
         Args:
           file: the TOML file.
-          remote: have an entry check it too.
+          remote: whether an entry checks it too.
         """
         text = _read_file(file)
         settings_module.read_configuration(text, file)
@@ -158,10 +158,10 @@
     def edit(
         self, file: str, *, base_version: int, wait_s: float = 10.0
     ) -> None:
-        """Puts a file in the place of the configuration.
+        """Replaces the configuration with a file.
 
-        Take the version and the text from `config show`. If somebody else
-        edited it since, nothing is stored and the changed keys are named.
+        Take the version and the text from `config show`. If the configuration
+        was edited since, nothing is stored and the changed keys are listed.
 
         Examples:
           almondstairctl config show > deployment.toml
@@ -169,7 +169,7 @@
 
         Args:
           file: the TOML file.
-          base_version: the version that the file was made from.
+          base_version: the version that the file is based on.
           wait_s: how long to wait for every entry, in seconds.
         """
         text = _read_file(file)
@@ -196,7 +196,7 @@
 
     @command
     def list(self) -> None:
-        """Lists the profiles and the services that run under them.
+        """Lists the profiles and the services that use them.
 
         Examples:
           almondstairctl profile list
@@ -235,7 +235,7 @@
 
         Args:
           profile: name of the profile.
-          key: the field, with its unit suffix.
+          key: name of the field, with its unit suffix.
           value: the new value.
           wait_s: how long to wait for every entry, in seconds.
         """
@@ -254,7 +254,7 @@
     def assign(
         self, service: str, profile: str, *, wait_s: float = 10.0
     ) -> None:
-        """Puts a service under a profile.
+        """Assigns a profile to a service.
 
         Examples:
           almondstairctl profile assign matching spread
@@ -272,7 +272,7 @@
 
 
 class VmCommands:
-    """Mark VMs as leaving, and back."""
+    """Mark VMs as leaving, or remove the mark."""
 
     def __init__(self, session: session_module.Session) -> None:
         """Keeps the session."""
@@ -315,7 +315,7 @@
 
     @command
     def _return_vm(self, name: str, *, wait_s: float = 10.0) -> None:
-        """Takes the mark off a VM, so that it gets work again.
+        """Removes the mark from a VM, so that it gets work again.
 
         Examples:
           almondstairctl vm return matching-se1-1
@@ -327,14 +327,14 @@
         until_s = time.monotonic() + wait_s
         self._mark(name, leaving=False, wait_s=wait_s)
         drain = self._session.client.drain(name=name)
-        # The other entries still say for a moment that it leaves.
+        # Other entries report for a moment longer that it is leaving.
         while drain["leaving"] and time.monotonic() < until_s:
             time.sleep(session_module.POLL_INTERVAL_S)
             drain = self._session.client.drain(name=name)
         line = f"{name} takes work again"
         if drain["leaving"]:
-            line = f"{name} is unmarked, but leaves by its own or the "
-            line += "platform's word"
+            line = f"{name} is unmarked, but still leaving, as it or the "
+            line += "platform reports"
         self._session.show(drain, line)
 
     def _mark(self, name: str, *, leaving: bool, wait_s: float) -> None:
@@ -345,10 +345,10 @@
         self._session.print_note(f"the mark is in force everywhere: {name}")
 
     def _send_mark(self, name: str, *, leaving: bool) -> operator_api.EditState:
-        """Sends a mark again if another edit came first.
+        """Sends a mark, and again if it conflicts with another edit.
 
         A mark depends on no other setting, so the operator need not read the
-        configuration again, as after a conflict of two edits.
+        configuration again as after other conflicts.
         """
         for _ in range(_MARK_ATTEMPTS):
             edit_id = session_module.new_edit_id()
@@ -379,12 +379,12 @@
         )
 
 
-# `return` is a word of the language, so no method can be defined under it.
+# `return` is a keyword, so no method can be defined with this name.
 setattr(VmCommands, "return", VmCommands._return_vm)
 
 
 class EditCommands:
-    """Ask for the fate of an edit."""
+    """Show the status of an edit."""
 
     def __init__(self, session: session_module.Session) -> None:
         """Keeps the session."""
@@ -392,7 +392,7 @@
 
     @command
     def status(self, edit_id: str) -> None:
-        """Says whether an edit is in force everywhere.
+        """Shows whether an edit is in force everywhere.
 
         Examples:
           almondstairctl edit status edit-5b0c0f6e
--- a/almondstair/tools/gateway_client.py
+++ b/almondstair/tools/gateway_client.py
@@ -1,4 +1,4 @@
-"""Asks gateways on their metrics addresses."""
+"""Client of gateways on their metrics addresses."""
 
 from collections.abc import Sequence
 import json
@@ -8,15 +8,15 @@
 
 from almondstair import errors
 
-# A gateway answers its pages in milliseconds.
+# A gateway normally answers in milliseconds.
 PAGE_TIMEOUT_S = 3.0
 
 
 def statuses(addresses: Sequence[str]) -> list[dict[str, Any]]:
-    """Returns what gateways say of themselves, or that they are silent.
+    """Returns the status of each gateway, or the error if it is unreachable.
 
     Raises:
-      AlmondstairError: `usage`, no gateway is named.
+      AlmondstairError: `usage` if no gateway is named.
     """
     if not addresses:
         raise errors.AlmondstairError(
@@ -33,10 +33,10 @@
 
 
 def configuration(address: str, *, version: int = 0) -> dict[str, Any]:
-    """Returns a configuration that a gateway had in force; 0 for now.
+    """Returns a version that a gateway had in force; 0 for the current.
 
     Raises:
-      AlmondstairError: `not_found`, it does not keep that version;
+      AlmondstairError: `not_found` if it does not keep that version;
         `entry_unreachable`.
     """
     try:
@@ -55,6 +55,6 @@
 
 def _get(address: str, path: str) -> dict[str, Any]:
     url = f"http://{address}{path}"
-    with urllib.request.urlopen(url, timeout=PAGE_TIMEOUT_S) as answer:
-        body: dict[str, Any] = json.loads(answer.read())
+    with urllib.request.urlopen(url, timeout=PAGE_TIMEOUT_S) as response:
+        body: dict[str, Any] = json.loads(response.read())
     return body
--- a/almondstair/tools/gateway_commands.py
+++ b/almondstair/tools/gateway_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the tool for gateways, the processes on the users' platform."""
+"""Commands for gateways, the processes on the users' platform."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -20,7 +20,7 @@
 
 
 class GatewayCommands:
-    """Looks at gateways, the processes on the users' platform."""
+    """Inspects gateways, the processes on the users' platform."""
 
     def __init__(self, session: session_module.Session) -> None:
         """Makes the group of configuration commands."""
@@ -29,7 +29,7 @@
 
     @commands.command
     def status(self, *addresses: str) -> None:
-        """Shows what gateways believe of the fleet.
+        """Shows the gateways and their view of the fleet.
 
         Args:
           *addresses: `ip:port` of the metrics address of each gateway.
@@ -48,7 +48,7 @@
 
     @commands.command
     def vm(self, *addresses: str) -> None:
-        """Shows the VMs that gateways run on, and who knows of them.
+        """Shows the VMs that gateways run on and which gateways know them.
 
         Args:
           *addresses: `ip:port` of the metrics address of each gateway.
@@ -65,8 +65,8 @@
         """Shows upstreams that are leaving and what still runs there.
 
         Args:
-          *addresses: `ip:port` of the metrics address of each gateway; what
-            one that is not named has there is not counted.
+          *addresses: `ip:port` of the metrics address of each gateway; requests
+            of a gateway that is not named are not counted.
 
         Examples:
           almondstairctl gateway drain 10.1.0.35:9464 10.2.0.28:9464
@@ -97,19 +97,19 @@
         rows: Sequence[Any],
         table: rich_table.Table,
     ) -> None:
-        """Prints a view with the age of each gateway's word."""
+        """Prints a view with the age of each gateway's data."""
         self._session.show(
             gateway_views.as_json(bodies, name, rows),
             table,
             gateway_tables.ages(bodies),
         )
 
-    # What goes wrong without: one in several hundred ids has only digits, or
-    # digits and one e; fire takes it for a number, and the story is refused.
+    # One in several hundred ids has only digits, or digits and one e. Without
+    # this, fire parses it as a number and the command is refused.
     @decorators.SetParseFns(request=str)
     @commands.command
     def why(self, request: str, *files: str) -> None:
-        """Tells the story of one request from the logs of several VMs.
+        """Explains what happened to one request, from the logs of several VMs.
 
         Args:
           request: the request's id, as the caller sent it.
@@ -119,20 +119,20 @@
           almondstairctl gateway why 9c41d07be2a35f68 /var/log/gateway-*.log
           cat *.log | almondstairctl gateway why 9c41d07be2a35f68 --json
         """
-        story = request_explanations.explain(request, _read(files))
-        body = story._asdict()
-        body["lines"] = [line.fields for line in story.lines]
-        body["around"] = [line.fields for line in story.around]
+        explanation = request_explanations.explain(request, _read(files))
+        body = explanation._asdict()
+        body["lines"] = [line.fields for line in explanation.lines]
+        body["around"] = [line.fields for line in explanation.around]
         self._session.show(
             body,
-            f"request {story.request}: {story.cause}",
-            gateway_tables.lines("Its own lines", story.lines),
-            gateway_tables.lines("Around it", story.around),
+            f"request {explanation.request}: {explanation.cause}",
+            gateway_tables.lines("Lines of the request", explanation.lines),
+            gateway_tables.lines("Related lines", explanation.around),
         )
 
     @commands.command
     def losses(self, *files: str) -> None:
-        """Tells which requests were lost or late and why, from logs.
+        """Counts lost and late requests by cause, from logs.
 
         Args:
           *files: log files of gateways; standard input if none is named.
@@ -141,13 +141,13 @@
           almondstairctl gateway losses /var/log/gateway-*.log
           cat *.log | almondstairctl gateway losses --json
         """
-        told = losses_module.summarize(_read(files))
+        summary = losses_module.summarize(_read(files))
         self._session.show(
-            losses_module.as_json(told),
-            gateway_tables.losses("All", [told.total]),
-            gateway_tables.losses("By route", told.routes),
-            gateway_tables.losses("By log", told.sources),
-            gateway_tables.losses("By time", told.windows),
+            losses_module.as_json(summary),
+            gateway_tables.losses("All", [summary.total]),
+            gateway_tables.losses("By route", summary.routes),
+            gateway_tables.losses("By log", summary.sources),
+            gateway_tables.losses("By time", summary.windows),
         )
 
 
--- a/almondstair/tools/gateway_config_commands.py
+++ b/almondstair/tools/gateway_config_commands.py
@@ -1,4 +1,4 @@
-"""Commands for the configuration as gateways have it in force."""
+"""Commands for the configuration in force on gateways."""
 
 import difflib
 import json
@@ -11,7 +11,7 @@
 
 
 class GatewayConfigCommands:
-    """Shows and compares configurations; the operators' store has the next."""
+    """Shows and compares configurations in force; the store has the next."""
 
     def __init__(self, session: session_module.Session) -> None:
         """Keeps the session."""
@@ -35,7 +35,7 @@
             return
         print(_lines_of(body["text"]))
         self._session.print_note(
-            f"version {body['version']} on {body['entry']}, which heard of "
+            f"version {body['version']} on {body['entry']}, which read "
             f"the store {body['store_age_s']:.1f} s ago"
         )
 
@@ -63,8 +63,8 @@
 
         Args:
           address: `ip:port` of a gateway's metrics address.
-          other: the same of another one, to compare the two.
-          version: an earlier version of the first, to compare it with.
+          other: the address of another gateway to compare with.
+          version: an earlier version on the first gateway to compare with.
 
         Examples:
           almondstairctl gateway config diff 10.1.0.35:9464 10.2.0.28:9464
@@ -100,9 +100,9 @@
 
 
 def _lines_of(text: str) -> str:
-    """Returns a stored text with a line for each of its fields."""
+    """Returns a stored text as JSON with one field per line."""
     try:
         return json.dumps(json.loads(text), indent=2)
     except json.JSONDecodeError:
-        # Shown as it is stored: that it cannot be read is what is looked for.
+        # Shown as stored, so that the operator sees that it is invalid.
         return text
--- a/almondstair/tools/gateway_tables.py
+++ b/almondstair/tools/gateway_tables.py
@@ -1,4 +1,4 @@
-"""Tables of what gateways believe. What is not known is said to be unknown."""
+"""Tables of what gateways report; missing values are shown as unknown."""
 
 from pathlib import Path
 from typing import Any
@@ -10,20 +10,20 @@
 from almondstair.tools import request_explanations
 from almondstair.tools import tables
 
-# Figures older than this are marked; the store is asked twice a second.
+# Older data is highlighted; gateways read the store twice a second.
 STALE_S = 5.0
 
 
 def gateways(bodies: list[dict[str, Any]]) -> rich_table.Table:
-    """Returns the table of gateways, silent ones included."""
+    """Returns the table of gateways, with unreachable ones."""
     table = tables.make_table(
         "Gateways",
         ("entry", "ready", "version", "store revision", "store age", "peers"),
     )
     for body in bodies:
         if "silent" in body:
-            silent = f"[red]does not answer[/red]: {body['silent']}"
-            table.add_row(body["entry"], silent, *(tables.UNKNOWN,) * 4)
+            unreachable = f"[red]does not answer[/red]: {body['silent']}"
+            table.add_row(body["entry"], unreachable, *(tables.UNKNOWN,) * 4)
             continue
         table.add_row(
             body["entry"],
@@ -37,21 +37,21 @@
 
 
 def upstreams(body: dict[str, Any]) -> rich_table.Table:
-    """Returns the table of upstreams as one gateway believes."""
+    """Returns the table of upstreams as one gateway sees them."""
     table = tables.make_table(
-        f"Upstreams as {body['entry']} believes",
+        f"Upstreams as {body['entry']} sees them",
         ("upstream", "service", "zone", "busy", "slots", "own word", "state"),
     )
     for row in body["upstreams"]:
         age_s = row["load_age_s"]
-        word = "none" if age_s is None else f"{age_s:.1f} s ago"
+        report_age = "none" if age_s is None else f"{age_s:.1f} s ago"
         table.add_row(
             row["id"],
             row["service"],
             row["availability_zone"],
             f"{row['busy']:.1f}",
             str(row["slots"]),
-            word,
+            report_age,
             _state(row, body["evacuated"]),
         )
     return table
@@ -87,12 +87,12 @@
 
 
 def ages(bodies: list[dict[str, Any]]) -> rich_table.Table:
-    """Returns how old the word of each gateway is."""
-    table = tables.make_table("As told by", ("gateway", "store age"))
+    """Returns the table with the age of each gateway's data."""
+    table = tables.make_table("Reported by", ("gateway", "store age"))
     for body in bodies:
         if "silent" in body:
-            silent = f"[red]does not answer[/red]: {body['silent']}"
-            table.add_row(body["entry"], silent)
+            unreachable = f"[red]does not answer[/red]: {body['silent']}"
+            table.add_row(body["entry"], unreachable)
             continue
         table.add_row(body["entry"], _age(body["store_age_s"]))
     return table
@@ -174,7 +174,7 @@
 def versions(body: dict[str, Any]) -> rich_table.Table:
     """Returns the table of configurations that were in force."""
     table = tables.make_table(
-        f"Configurations on {body['entry']}, store heard "
+        f"Configurations on {body['entry']}, store read "
         f"{body['store_age_s']:.1f} s ago",
         ("version", "store revision", "in force"),
     )
--- a/almondstair/tools/gateway_views.py
+++ b/almondstair/tools/gateway_views.py
@@ -1,7 +1,7 @@
-"""What several gateways believe, put side by side.
+"""Views that merge the reports of several gateways.
 
-A gateway that does not answer is never taken as calm: what only it knows is
-named as unknown through the ages that stand beside each view.
+A gateway that does not answer is never counted as idle: the age of each
+gateway's data, shown with every view, marks its values as unknown.
 """
 
 from collections.abc import Iterator, Sequence
@@ -9,15 +9,15 @@
 
 
 class VmRow(NamedTuple):
-    """A VM with a gateway.
+    """Describes a VM with a gateway.
 
     Attributes:
-      name: its name, or its address where it does not answer.
-      region: its region, empty where nobody knows.
-      availability_zone: its zone, empty where nobody knows.
-      answers: whether it answered, None where it was not asked.
-      ready: whether it takes new callers, None where it did not say.
-      known_to: names of the gateways that know it as live.
+      name: name of the VM, or its address if it does not answer.
+      region: its region, empty if unknown.
+      availability_zone: its zone, empty if unknown.
+      answers: whether it answered, None if it was not queried.
+      ready: whether it accepts new callers, None if unknown.
+      known_to: names of the gateways that list it as live.
     """
 
     name: str
@@ -29,14 +29,14 @@
 
 
 class DrainRow(NamedTuple):
-    """An upstream that is leaving.
+    """Describes an upstream that is leaving.
 
     Attributes:
       upstream: its id.
       service: its service.
       availability_zone: its zone.
-      in_flight: requests of the gateways that were asked.
-      known_to: names of the gateways that know of its leaving.
+      in_flight: requests in flight from the gateways that answered.
+      known_to: names of the gateways that know that it is leaving.
       not_known_to: names of those that would still send to it.
       whole: whether every gateway that was asked answered; if not, more may
         be in flight.
@@ -52,13 +52,13 @@
 
 
 class EvacuationRow(NamedTuple):
-    """A zone whose upstreams get nothing.
+    """Describes an evacuated zone, whose upstreams get no requests.
 
     Attributes:
       availability_zone: the zone.
-      known_for_s: time since each gateway got the order, by its name.
+      known_for_s: seconds since each gateway got the order, by its name.
       not_known_to: names of the gateways that would still send there.
-      in_flight: requests of the gateways that were asked.
+      in_flight: requests in flight from the gateways that answered.
       whole: whether every gateway that was asked answered; if not, more may
         be in flight.
     """
@@ -73,7 +73,7 @@
 def as_json(
     bodies: list[dict[str, Any]], name: str, rows: Sequence[Any]
 ) -> dict[str, Any]:
-    """Returns rows for scripts, with the age of each gateway's word."""
+    """Returns rows for --json, with the age of each gateway's data."""
     ages_s = {}
     for body in bodies:
         ages_s[body["entry"]] = body.get("store_age_s")
@@ -91,16 +91,16 @@
 
 
 def vms(bodies: list[dict[str, Any]]) -> list[VmRow]:
-    """Returns the VMs that answered, are known, or were asked in vain."""
+    """Returns the queried VMs and those that a queried one knows."""
     found: dict[str, VmRow] = {}
     for body in bodies:
-        silent = "silent" in body
+        unreachable = "silent" in body
         found[body["entry"]] = VmRow(
             name=body["entry"],
             region="",
             availability_zone="",
-            answers=not silent,
-            ready=None if silent else body["ready"],
+            answers=not unreachable,
+            ready=None if unreachable else body["ready"],
             known_to=[],
         )
     for body in _reachable(bodies):
--- a/almondstair/tools/losses.py
+++ b/almondstair/tools/losses.py
@@ -1,4 +1,4 @@
-"""What requests were lost or late, by cause, read from the logs of gateways."""
+"""Lost and late requests by cause, read from the logs of gateways."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -9,15 +9,14 @@
 from almondstair.log import Event
 from almondstair.tools.request_explanations import LogLine
 
-# Use of a service up to which a refusal for lack of room counts as one beside
-# free slots; above, a request may have found every slot taken at its moment.
+# A refusal for lack of a slot below this use of the service counts as one with
+# free slots; above it, every slot may have been taken at that moment.
 MAX_USE_WITH_FREE_SLOTS = 0.8
-# Length of the windows in seconds.
+# Length of the time windows that losses are counted in.
 WINDOW_S = 2.0
-# Part of the aim that a queue has to take for it to count as the cause.
+# A queue counts as the cause if it took more than this part of the target.
 MIN_QUEUE_FRACTION = 0.2
-# An answer that took this many times what was expected ran otherwise than it
-# was expected to.
+# Ratio of actual to expected latency above which the expectation was wrong.
 SLOW_RUN_RATIO = 1.5
 _SUCCESS = range(200, 300)
 _TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
@@ -32,23 +31,24 @@
 
 
 class Cause(enum.StrEnum):
-    """Why a request was not answered in its aim.
+    """Names why a request was not answered within its latency target.
 
     Attributes:
-      NONE: it was.
-      ROOM: refused while its service had slots free.
-      FULL: refused, no slot was free.
-      NOT_READY: refused by an entry that had just started, or was leaving.
+      IN_TIME: it was answered within its latency target.
+      REFUSED_WITH_FREE_SLOTS: refused while its service had free slots.
+      SERVICE_FULL: refused because no slot was free.
+      NOT_READY: refused by an entry that had just started or was leaving.
       OTHER_REFUSAL: refused for another reason.
-      LOST: it may have run, and there is no whole answer.
-      LEFT: its caller left first.
-      FAILED: the upstream's own failure.
-      TRIES: late after tries at upstreams that failed.
-      QUEUED: late after a queue at its upstream.
-      NEW: late as its object was not known where it ran.
-      FORGOTTEN: late as it ran longer than is usual where its object is known.
-      FAR: late by the way to another region.
-      SLOW: late for none of these.
+      RESPONSE_LOST: it may have run, and there is no complete response.
+      CALLER_DISCONNECTED: its caller disconnected first.
+      UPSTREAM_FAILED: the upstream answered with a failure.
+      FAILED_ATTEMPTS: late after failed attempts at other upstreams.
+      QUEUED: late because of the queue at its upstream.
+      NOT_CACHED: late because the upstream had not cached its object.
+      SLOWER_THAN_CACHED: late because it ran longer than expected with its
+        object cached.
+      ROUND_TRIP: late because of the round trip to another region.
+      OTHER_LATENESS: late for another reason.
     """
 
     IN_TIME = "in its aim"
@@ -68,13 +68,13 @@
 
 
 class RequestEnd(NamedTuple):
-    """How one request ended.
+    """Describes how one request ended.
 
     Attributes:
-      at_s: when, in seconds since the first line.
-      route: its route, empty where none was found.
-      source: the log that tells it.
-      cause: why it was not answered in its aim.
+      at_s: when it ended, in seconds since the first line.
+      route: its route, empty if none matched.
+      source: the log that records it.
+      cause: why it was not answered within its latency target.
     """
 
     at_s: float
@@ -84,12 +84,12 @@
 
 
 class Row(NamedTuple):
-    """Requests of one part, by cause.
+    """Counts requests of one part by cause.
 
     Attributes:
-      part: a route, a log or a window.
-      asked: requests that ended.
-      causes: how many of them by cause.
+      part: name of a route, log or time window.
+      asked: number of requests that ended.
+      causes: number of requests by cause.
     """
 
     part: str
@@ -98,7 +98,7 @@
 
 
 class Losses(NamedTuple):
-    """What was lost: in all, by route, by log and by window."""
+    """Holds lost and late requests: in all, by route, by log and by window."""
 
     total: Row
     routes: list[Row]
@@ -107,12 +107,12 @@
 
 
 def summarize(lines: Iterable[LogLine]) -> Losses:
-    """Returns what the lines of several logs say of lost requests."""
+    """Counts lost and late requests in the lines of several logs."""
     ends = _find_ends(lines)
     windows: dict[str, list[RequestEnd]] = {}
     for end in ends:
-        began_s = int(end.at_s / WINDOW_S) * WINDOW_S
-        windows.setdefault(f"{began_s:6.0f} s", []).append(end)
+        start_s = int(end.at_s / WINDOW_S) * WINDOW_S
+        windows.setdefault(f"{start_s:6.0f} s", []).append(end)
     return Losses(
         total=_row("all", ends),
         routes=_rows(ends, "route"),
@@ -178,16 +178,16 @@
 
 def _lateness_cause(fields: dict[str, Any]) -> Cause:
     took_ms = fields.get("took_ms", 0)
-    aim_ms = fields.get("aim_ms", 0)
+    target_ms = fields.get("aim_ms", 0)
     if fields.get("tries", 1) > 1:
         return Cause.FAILED_ATTEMPTS
-    if fields.get("queue_ms", 0) > MIN_QUEUE_FRACTION * aim_ms:
+    if fields.get("queue_ms", 0) > MIN_QUEUE_FRACTION * target_ms:
         return Cause.QUEUED
     if fields.get("warm") is False:
         return Cause.NOT_CACHED
     if took_ms > SLOW_RUN_RATIO * fields.get("expected_ms", 0):
         return Cause.SLOWER_THAN_CACHED
-    if took_ms - fields.get("way_ms", 0) <= aim_ms:
+    if took_ms - fields.get("way_ms", 0) <= target_ms:
         return Cause.ROUND_TRIP
     return Cause.OTHER_LATENESS
 
@@ -210,7 +210,7 @@
 
 
 def loss_counts(row: Row) -> list[tuple[str, int]]:
-    """Returns the causes of a part with their counts, the greatest first."""
+    """Returns the causes of losses with their counts, the greatest first."""
     found = []
     for cause, count in row.causes.items():
         if cause != str(Cause.IN_TIME):
--- a/almondstair/tools/operator_client.py
+++ b/almondstair/tools/operator_client.py
@@ -13,16 +13,16 @@
 
 _CONNECT_TIMEOUT_S = 2.0
 _REQUEST_TIMEOUT_S = 10.0
-# For one of many entries, so that a frozen one does not hold up the rest.
+# Shorter for one of many entries, so that a frozen one does not delay the rest.
 _SINGLE_ENTRY_TIMEOUT_S = 2.0
 
 
 class UnreachableEntry(NamedTuple):
-    """An entry that gave no answer.
+    """Describes an entry that did not answer.
 
     Attributes:
-      address: its operators' listener.
-      reason: what was seen.
+      address: address of its operators' listener.
+      reason: the error of the connection or request.
     """
 
     address: str
@@ -30,30 +30,30 @@
 
 
 class RemoteError(errors.AlmondstairError):
-    """An error that an entry answered.
+    """Reports an error that an entry answered.
 
     Attributes:
-      body: the whole answer, with members beyond those of every problem.
+      body: the complete problem, with members that are specific to its kind.
     """
 
     def __init__(self, *, kind: errors.ErrorKind, body: dict[str, Any]) -> None:
-        """Makes the error from an answer's body."""
+        """Makes the error from the body of a response."""
         super().__init__(kind=kind, detail=str(body.get("detail", "")))
         self.body = body
 
 
 class OperatorClient:
-    """Asks entries, in the order given, until one answers.
+    """Sends requests to entries, in the order given, until one answers.
 
     Attributes:
-      silences: entries that gave no answer so far, and why.
+      silences: entries that have not answered, with the reason.
     """
 
     def __init__(self, *, addresses_text: str) -> None:
         """Makes a client.
 
         Args:
-          addresses_text: operators' listeners, `ip:port`, parted by commas.
+          addresses_text: operators' listeners, `ip:port`, separated by commas.
 
         Raises:
           AlmondstairError: USAGE if there is none or one is malformed.
@@ -71,7 +71,7 @@
         return self._get("/v1/configuration/history")
 
     def check(self, *, text: str) -> None:
-        """Has an entry check a configuration; raises if it is not valid."""
+        """Has an entry check a configuration; raises if it is invalid."""
         body = operator_api.CheckBody(text=text)
         self._request("POST", "/v1/configuration/check", body=body)
 
@@ -92,7 +92,7 @@
             return _pending_state(error, edit_id=edit_id)
 
     def drain(self, *, name: str) -> operator_api.DrainBody:
-        """Returns what is still running on a VM, as its home knows it."""
+        """Returns what is still running on a VM, as its home reports it."""
         path = f"/v1/drains/{urlparse.quote(name, safe='')}"
         drain: operator_api.DrainBody = self._get(path)
         if drain["in_flight"] is not None or not drain["home_address"]:
@@ -100,15 +100,15 @@
         return self._request_from(drain["home_address"], path) or drain
 
     def status(self) -> operator_api.StatusBody:
-        """Returns what one entry knows."""
+        """Returns the status that one entry reports."""
         return self._get("/v1/status")
 
     def status_of(self, *, address: str) -> operator_api.StatusBody | None:
-        """Returns what a certain entry knows, None if it does not answer."""
+        """Returns the status from a given entry, None if it does not answer."""
         return self._request_from(address, "/v1/status")
 
     def _request_from(self, address: str, path: str) -> Any:
-        """Asks a certain entry; None if it does not answer."""
+        """Sends a GET to a given entry; returns None if it does not answer."""
         try:
             return self._send(
                 address,
@@ -127,7 +127,7 @@
         return self._request("GET", path, body=None)
 
     def _request(self, method: str, path: str, *, body: Any) -> Any:
-        """Asks each entry in turn; only for requests that change nothing."""
+        """Tries each entry in turn; only for requests without side effects."""
         for address in tuple(self._addresses):
             try:
                 return self._send(address, method, path, body=body)
@@ -141,17 +141,17 @@
         *,
         body: operator_api.EditBody | operator_api.MarkBody,
     ) -> operator_api.EditState:
-        """Sends a write to the first entry that takes a connection.
+        """Sends a write to the first entry that accepts a connection.
 
-        When the connection breaks after that, the write may have taken effect
-        though its answer is lost. Sending it again elsewhere could undo what
-        another operator did since, so the fate of the edit is asked instead.
+        If the connection breaks after that, the write may have taken effect
+        although its response is lost. A retry at another entry could undo a later
+        edit of another operator, so the status of the edit is read instead.
         """
         edit_id = body["edit_id"]
         for address in tuple(self._addresses):
             try:
-                answer = self._send(address, "POST", path, body=body)
-                return _edit_state(answer, edit_id=edit_id)
+                response = self._send(address, "POST", path, body=body)
+                return _edit_state(response, edit_id=edit_id)
             except RemoteError as error:
                 return _pending_state(error, edit_id=edit_id)
             except ConnectionRefusedError as error:
@@ -167,10 +167,10 @@
         try:
             return self.edit_state(edit_id=edit_id)
         except errors.AlmondstairError as error:
-            # "Not found" may be said before the lost write has taken effect.
+            # An entry may answer "not found" before the write takes effect.
             raise errors.AlmondstairError(
                 kind=errors.ErrorKind.EDIT_UNKNOWN,
-                detail="the answer to the edit was lost; ask later with: "
+                detail="the response to the edit was lost; check later with: "
                 f"almondstairctl edit status {edit_id}",
             ) from error
 
@@ -199,12 +199,12 @@
         return _decode(response, address=address)
 
     def _record_unreachable(self, address: str, *, error: OSError) -> None:
-        """Notes a silent entry once and asks it last from now on."""
+        """Records an unreachable entry once and tries it last from now on."""
         if address in self._addresses:
             self._addresses.remove(address)
             self._addresses.append(address)
-        for silence in self.unreachable_entries:
-            if silence.address == address:
+        for unreachable in self.unreachable_entries:
+            if unreachable.address == address:
                 return
         reason = error.strerror or str(error) or type(error).__name__
         self.unreachable_entries.append(
@@ -213,8 +213,10 @@
 
     def _unreachable_error(self) -> errors.AlmondstairError:
         lines: list[str] = []
-        for silence in self.unreachable_entries:
-            lines.append(f"{silence.address} does not answer: {silence.reason}")
+        for unreachable in self.unreachable_entries:
+            lines.append(
+                f"{unreachable.address} does not answer: {unreachable.reason}"
+            )
         return errors.AlmondstairError(
             kind=errors.ErrorKind.ENTRY_UNREACHABLE, detail="\n".join(lines)
         )
@@ -243,7 +245,7 @@
 
 
 def _decode(response: httpclient.HTTPResponse, *, address: str) -> Any:
-    """Returns an answer's JSON body; raises if it is a problem."""
+    """Returns the JSON body of a response; raises if it is a problem."""
     try:
         body = json.loads(response.body)
     except ValueError:
@@ -281,7 +283,7 @@
 def _pending_state(
     error: RemoteError, *, edit_id: str
 ) -> operator_api.EditState:
-    """Returns the state in a pending answer; raises any other error again."""
+    """Returns the state from a pending error; raises any other error again."""
     if error.kind is not errors.ErrorKind.EDIT_PENDING:
         raise error
     return operator_api.EditState(
--- a/almondstair/tools/request_explanations.py
+++ b/almondstair/tools/request_explanations.py
@@ -1,4 +1,4 @@
-"""The story of one request, read from the log lines of several VMs."""
+"""Explanations of single requests, from the log lines of several VMs."""
 
 from collections.abc import Iterable
 import json
@@ -23,21 +23,21 @@
         Event.UPSTREAM_UNREACHABLE.value.number,
     )
 )
-# Fields that say nothing about why.
+# Fields that don't help to explain the outcome.
 _COMMON_FIELDS = frozenset(("time", "level", "message", "event", "event_name"))
-# An answer that took this much longer than was expected was slow at the
-# upstream; else the expectation itself was long.
+# Ratio of actual to expected latency above which the upstream was slow; below
+# it, a long latency was expected.
 _SLOW_RUN_RATIO = 1.5
 
 
 class LogLine(NamedTuple):
-    """One line of a log.
+    """Holds one line of a log.
 
     Attributes:
-      time: when it was written, as the log has it.
-      source: file that it comes from.
-      event: number of its event.
-      fields: everything that it says.
+      time: when it was written, in the format of the log.
+      source: name of the log file.
+      event: number of the event.
+      fields: all fields of the line.
     """
 
     time: str
@@ -47,13 +47,13 @@
 
 
 class RequestExplanation(NamedTuple):
-    """What became of a request and why.
+    """Explains what happened to a request and why.
 
     Attributes:
-      request: its id.
-      cause: one sentence.
-      lines: lines that name it, in the order of time.
-      around: lines about the upstreams that it met and about the store.
+      request: id of the request.
+      cause: its outcome and the reason, in one sentence.
+      lines: lines that name the request, in order of time.
+      around: lines about its upstreams and about the store.
     """
 
     request: str
@@ -63,7 +63,7 @@
 
 
 def read_lines(source: str, text: Iterable[str]) -> list[LogLine]:
-    """Reads JSON lines; what is none, such as a traceback, is passed over."""
+    """Reads JSON lines; skips other lines, such as a traceback."""
     lines = []
     for row in text:
         start = row.find("{")
@@ -87,19 +87,21 @@
 
 
 def explain(request: str, lines: list[LogLine]) -> RequestExplanation:
-    """Finds what the lines say of a request."""
+    """Explains a request from log lines."""
     ordered = sorted(lines, key=lambda line: line.time)
-    own = [line for line in ordered if line.fields.get("request") == request]
-    upstreams = _upstreams_tried(own)
-    around = []
+    own_lines = [
+        line for line in ordered if line.fields.get("request") == request
+    ]
+    upstreams = _upstreams_tried(own_lines)
+    context = []
     for line in ordered:
-        if _is_context(line, own, upstreams):
-            around.append(line)
+        if _is_context(line, own_lines, upstreams):
+            context.append(line)
     return RequestExplanation(
         request=request,
-        cause=_describe_cause(own, ordered),
-        lines=own,
-        around=around,
+        cause=_describe_cause(own_lines, ordered),
+        lines=own_lines,
+        around=context,
     )
 
 
@@ -140,18 +142,18 @@
 
 def _describe_unanswered(event: int, last: dict[str, Any]) -> str:
     if event == _ABANDONED:
-        return f"the caller left after {last.get('after_ms')} ms"
-    return "no line tells how it ended; the process may have been killed"
+        return f"the caller disconnected after {last.get('after_ms')} ms"
+    return "no log line shows how it ended; the process may have been killed"
 
 
 def _describe_absence(ordered: list[LogLine]) -> str:
     for line in ordered:
         if line.event == _LINES_DROPPED:
             return (
-                "no line names it, and lines were left out at "
+                "no log line names it; lines were dropped at "
                 f"{line.time}: {line.fields.get('lines')}"
             )
-    return "no line names it: it reached none of these VMs"
+    return "no log line names it: it reached none of these VMs"
 
 
 def _describe_answered(own: list[LogLine], last: dict[str, Any]) -> str:
@@ -160,7 +162,8 @@
     text = f"answered {last.get('status')} after {took_ms} ms"
     if len(own) > 1:
         return (
-            f"{text}, after {len(own) - 1} failed try: {_failed_attempts(own)}"
+            f"{text}, after {len(own) - 1} failed attempts: "
+            f"{_failed_attempts(own)}"
         )
     if took_ms > _SLOW_RUN_RATIO * max(1, expected_ms):
         return (
@@ -168,13 +171,13 @@
             f"{last.get('upstream')} was slow"
         )
     if not last.get("warm"):
-        return f"{text}, as expected: the upstream did not know the object"
+        return f"{text}, as expected: the upstream had not cached the object"
     return f"{text}, as expected with {last.get('busy')} requests there"
 
 
 def _describe_wait(last: dict[str, Any]) -> str:
     text = (
-        f"the answer waited {last.get('waited_ms')} ms on its connection "
+        f"the response waited {last.get('waited_ms')} ms on its connection "
         f"behind request {last.get('behind')}"
     )
     if last.get("delivered"):
@@ -202,7 +205,7 @@
 def _describe_failure(own: list[LogLine], last: dict[str, Any]) -> str:
     if last.get("kind") == "upstream_timeout":
         return (
-            f"no answer after {last.get('after_ms')} ms from upstream "
+            f"no response after {last.get('after_ms')} ms from upstream "
             f"{', '.join(last.get('tried', []))}"
         )
     return f"may have run, no whole answer: {_failed_attempts(own)}"
@@ -215,11 +218,11 @@
             continue
         fields = line.fields
         parts.append(f"{fields.get('upstream')}: {fields.get('cause')}")
-    return "; ".join(parts) or "no try is on record"
+    return "; ".join(parts) or "no failed attempt is logged"
 
 
 def details(line: LogLine) -> str:
-    """Returns what a line says besides its time and event."""
+    """Returns the fields of a line other than its time and event."""
     parts = []
     for name, value in line.fields.items():
         if name not in _COMMON_FIELDS:
--- a/almondstair/tools/session.py
+++ b/almondstair/tools/session.py
@@ -1,4 +1,4 @@
-"""What the commands of the tool share: the entry asked and the printing."""
+"""Session of the command-line tool: the client of entries and the output."""
 
 import json as json_module
 import time
@@ -13,12 +13,12 @@
 from almondstair.tools import operator_client
 
 POLL_INTERVAL_S = 0.5
-# Tables for a file or a pipe; a terminal has a width of its own.
+# Width of tables in a file or pipe; a terminal has its own width.
 _PIPE_WIDTH_COLUMNS = 160
 
 _HINTS = {
     errors.ErrorKind.PLATFORM_UNAVAILABLE: (
-        "The entries go on with the configuration in force; edits and marks "
+        "The entries keep the configuration in force; edits and marks "
         "have to wait until the platform's service is back."
     ),
     errors.ErrorKind.EDIT_CONFLICT: (
@@ -26,11 +26,11 @@
         "(config show) and repeat the edit on it."
     ),
     errors.ErrorKind.EDIT_UNKNOWN: (
-        "Ask for its fate with `almondstairctl edit status` and the id above "
+        "Check it with `almondstairctl edit status` and the id above "
         "before you edit again."
     ),
     errors.ErrorKind.EDIT_PENDING: (
-        "The edit is stored and spreads by itself; do not send it again."
+        "The edit is stored and will take effect; do not send it again."
     ),
     errors.ErrorKind.ENTRY_UNREACHABLE: (
         "What this entry does is not known. Ask another one with --entry."
@@ -39,7 +39,7 @@
 
 
 class Session:
-    """What the commands share: the entry that is asked and how to print.
+    """Holds what the commands share: the client of entries and the output.
 
     Attributes:
       author: name put on edits.
@@ -47,7 +47,7 @@
     """
 
     def __init__(self, *, entry: str, author: str, json: bool) -> None:
-        """Keeps the options; nothing is asked yet."""
+        """Keeps the options and sends nothing."""
         self.author = author
         self.json = json
         self._entry = entry
@@ -67,7 +67,7 @@
         return self._client
 
     def show(self, body: Any, *parts: Any) -> None:
-        """Prints an answer: its JSON, or the parts made for people."""
+        """Prints a result: `body` as JSON with --json, else the parts."""
         if self.json:
             print(json_module.dumps(body, indent=2))
             return
@@ -75,11 +75,11 @@
             self._output_console.print(part)
 
     def print_note(self, text: str) -> None:
-        """Prints a line about progress on the standard error stream."""
+        """Prints a line on the standard error stream."""
         self._error_console.print(text, markup=False, soft_wrap=True)
 
     def show_error(self, error: errors.AlmondstairError) -> None:
-        """Prints an error; with JSON, its problem object."""
+        """Prints an error; with --json, its problem object."""
         if self.json:
             print(json_module.dumps(_problem(error), indent=2))
             return
@@ -93,12 +93,12 @@
             self.print_note(hint)
 
     def print_unreachable(self) -> None:
-        """Says which entries were asked and gave no answer."""
+        """Prints which entries did not answer, and why."""
         if self._client is None:
             return
-        for silence in self._client.unreachable_entries:
+        for unreachable in self._client.unreachable_entries:
             self.print_note(
-                f"{silence.address} does not answer: {silence.reason}"
+                f"{unreachable.address} does not answer: {unreachable.reason}"
             )
 
     def edit(self, *, base_version: int, text: str, wait_s: float) -> None:
@@ -119,7 +119,7 @@
     def wait_accepted(
         self, state: operator_api.EditState, *, wait_s: float
     ) -> operator_api.EditState:
-        """Asks for an edit's state until it is accepted or time is up."""
+        """Polls the state of an edit until it is accepted or time is up."""
         until_s = time.monotonic() + wait_s
         lacking: list[str] = []
         while state["state"] == operator_api.PENDING:
@@ -153,7 +153,7 @@
 
 
 def new_edit_id() -> str:
-    """Returns an id that no other edit has and that reads as text."""
+    """Returns a unique id that `fire` can't read as a number."""
     return f"edit-{uuid.uuid4().hex}"
 
 
--- a/almondstair/tools/system_status.py
+++ b/almondstair/tools/system_status.py
@@ -1,8 +1,8 @@
-"""The status of the whole system, put together from what each entry knows.
+"""Status of the whole system, merged from the reports of all entries.
 
 Only the home of an upstream knows what runs there, and only the entries of an
-availability zone know what they put on its links. So every entry is asked; what
-a silent one alone would know is unknown.
+availability zone know what they send over its links. So every entry is queried;
+values that only an unreachable entry has are unknown.
 """
 
 from almondstair import operator_api
@@ -14,13 +14,13 @@
 def collect(
     client: operator_client.OperatorClient,
 ) -> operator_api.StatusBody:
-    """Asks one entry for the others, and then each of them.
+    """Reads the list of entries from one entry, then the status of each.
 
     Args:
       client: a client of at least one entry.
 
     Returns:
-      The status of the whole system; each entry says whether it answered.
+      The status of the whole system, with whether each entry answered.
 
     Raises:
       AlmondstairError: ENTRY_UNREACHABLE if no entry of the client answers.
@@ -80,7 +80,7 @@
     *,
     home: operator_api.StatusBody | None,
 ) -> operator_api.UpstreamStatus:
-    """Returns the home's row; without it, what runs there is unknown."""
+    """Returns the row from the home; without it, the load is unknown."""
     if home is not None:
         for own in home["upstreams"]:
             if own["name"] == row["name"] and own["home"] == home["entry"]:
@@ -109,7 +109,7 @@
             silent_zones.add(entry["availability_zone"])
     for row in rows.values():
         if row["availability_zone"] in silent_zones:
-            # The silent entry may use its share too.
+            # The unreachable entry may use its share too.
             row["used_bytes_per_s"] = None
     return list(rows.values())
 
--- a/almondstair/tools/tables.py
+++ b/almondstair/tools/tables.py
@@ -1,4 +1,4 @@
-"""Tables for people. What is not known is said to be unknown."""
+"""Tables of the status; missing values are shown as unknown."""
 
 from rich import table as rich_table
 
@@ -7,7 +7,7 @@
 
 UNKNOWN = "[yellow]unknown[/yellow]"
 _NO_HEARTBEAT = "[red]no word[/red]"
-# States that an entry knows of itself, without a report of the upstream.
+# States that an entry knows without a report from the upstream.
 _STATES_WITHOUT_REPORT = ("leaving", "without home", "being taken over")
 _BYTES_PER_MB = 1_000_000
 _REPORT_LIMIT_S = settings.TimingSettings().load_report_limit_ms / 1000
@@ -45,7 +45,7 @@
         state = row["state"]
         busy = number(row["busy"])
         if _is_stale(row["report_age_s"]):
-            # The last calm state before the silence would read as today's.
+            # The last reported state would look like the current one.
             if state not in _STATES_WITHOUT_REPORT:
                 state = UNKNOWN
             busy = UNKNOWN
@@ -102,7 +102,7 @@
 
 
 def history(rows: list[operator_api.HistoryItem]) -> rich_table.Table:
-    """Returns the table of versions."""
+    """Returns the table of configuration versions."""
     table = make_table("", ("version", "edited at", "author", "edit"))
     for row in rows:
         table.add_row(
@@ -137,7 +137,7 @@
 
 
 def report_age(age_s: float | None) -> str:
-    """Returns the age of a report; one past its limit is called stale."""
+    """Returns the age of a report, marked as stale past its limit."""
     if age_s is not None and _is_stale(age_s):
         return f"[yellow]stale, {age_s:.1f} s[/yellow]"
     return seconds(age_s)
