--- a/almondstair/tools/gateway_config_commands.py
+++ b/almondstair/tools/gateway_config_commands.py
@@ -11,7 +11,10 @@
 
 
 class GatewayConfigCommands:
-    """Shows and compares configurations in force; the store has the next."""
+    """Shows and compares the configurations in force on gateways.
+
+    The operators' store has the next configuration.
+    """
 
     def __init__(self, session: session_module.Session) -> None:
         """Keeps the session."""
--- a/almondstair/tools/gateway_views.py
+++ b/almondstair/tools/gateway_views.py
@@ -38,7 +38,7 @@
       in_flight: requests in flight from the gateways that answered.
       known_to: names of the gateways that know that it is leaving.
       not_known_to: names of those that would still send to it.
-      whole: whether every gateway that was asked answered; if not, more may
+      whole: whether every queried gateway answered; if not, more may
         be in flight.
     """
 
@@ -59,7 +59,7 @@
       known_for_s: seconds since each gateway got the order, by its name.
       not_known_to: names of the gateways that would still send there.
       in_flight: requests in flight from the gateways that answered.
-      whole: whether every gateway that was asked answered; if not, more may
+      whole: whether every queried gateway answered; if not, more may
         be in flight.
     """
 
--- a/almondstair/tools/operator_client.py
+++ b/almondstair/tools/operator_client.py
@@ -46,7 +46,7 @@
     """Sends requests to entries, in the order given, until one answers.
 
     Attributes:
-      silences: entries that have not answered, with the reason.
+      unreachable_entries: entries that have not answered, with the reason.
     """
 
     def __init__(self, *, addresses_text: str) -> None:
--- a/almondstair/tools/request_explanations.py
+++ b/almondstair/tools/request_explanations.py
@@ -105,36 +105,44 @@
     )
 
 
-def _upstreams_tried(own: list[LogLine]) -> set[str]:
+def _upstreams_tried(own_lines: list[LogLine]) -> set[str]:
     found = set()
-    for line in own:
+    for line in own_lines:
         if "upstream" in line.fields:
             found.add(line.fields["upstream"])
         found.update(line.fields.get("tried", []))
     return found
 
 
-def _is_context(line: LogLine, own: list[LogLine], upstreams: set[str]) -> bool:
-    if not own:
+def _is_context(
+    line: LogLine, own_lines: list[LogLine], upstreams: set[str]
+) -> bool:
+    if not own_lines:
         return False
     if line.event in (_STORE_LOST, _STORE_BACK, _IN_FORCE):
-        return line.source == own[-1].source and line.time <= own[-1].time
+        return (
+            line.source == own_lines[-1].source
+            and line.time <= own_lines[-1].time
+        )
     if line.event not in _UPSTREAM_EVENTS:
         return False
     return line.fields.get("upstream") in upstreams
 
 
-def _describe_cause(own: list[LogLine], ordered: list[LogLine]) -> str:
-    if not own:
+def _describe_cause(own_lines: list[LogLine], ordered: list[LogLine]) -> str:
+    if not own_lines:
         return _describe_absence(ordered)
-    last = own[-1].fields
-    event = own[-1].event
+    last = own_lines[-1].fields
+    event = own_lines[-1].event
     if event == _ANSWERED:
-        return _describe_answered(own, last)
+        return _describe_answered(own_lines, last)
     if event == _FAILED:
-        return _describe_failure(own, last)
+        return _describe_failure(own_lines, last)
     if event == _WAITED:
-        return f"{_describe_cause(own[:-1], ordered)}; {_describe_wait(last)}"
+        return (
+            f"{_describe_cause(own_lines[:-1], ordered)}; "
+            f"{_describe_wait(last)}"
+        )
     if event == _REFUSED:
         return _describe_refusal(last)
     return _describe_unanswered(event, last)
@@ -156,14 +164,14 @@
     return "no log line names it: it reached none of these VMs"
 
 
-def _describe_answered(own: list[LogLine], last: dict[str, Any]) -> str:
+def _describe_answered(own_lines: list[LogLine], last: dict[str, Any]) -> str:
     took_ms = last.get("took_ms", 0)
     expected_ms = last.get("expected_ms", 0)
     text = f"answered {last.get('status')} after {took_ms} ms"
-    if len(own) > 1:
+    if len(own_lines) > 1:
         return (
-            f"{text}, after {len(own) - 1} failed attempts: "
-            f"{_failed_attempts(own)}"
+            f"{text}, after {len(own_lines) - 1} failed attempts: "
+            f"{_failed_attempts(own_lines)}"
         )
     if took_ms > _SLOW_RUN_RATIO * max(1, expected_ms):
         return (
@@ -202,18 +210,18 @@
     return f"refused, not run: {kind} {last.get('detail')}"
 
 
-def _describe_failure(own: list[LogLine], last: dict[str, Any]) -> str:
+def _describe_failure(own_lines: list[LogLine], last: dict[str, Any]) -> str:
     if last.get("kind") == "upstream_timeout":
         return (
             f"no response after {last.get('after_ms')} ms from upstream "
             f"{', '.join(last.get('tried', []))}"
         )
-    return f"may have run, no whole answer: {_failed_attempts(own)}"
+    return f"may have run, no whole answer: {_failed_attempts(own_lines)}"
 
 
-def _failed_attempts(own: list[LogLine]) -> str:
+def _failed_attempts(own_lines: list[LogLine]) -> str:
     parts = []
-    for line in own:
+    for line in own_lines:
         if line.event != _ATTEMPT_FAILED:
             continue
         fields = line.fields
--- a/almondstair/tools/system_status.py
+++ b/almondstair/tools/system_status.py
@@ -82,9 +82,12 @@
 ) -> operator_api.UpstreamStatus:
     """Returns the row from the home; without it, the load is unknown."""
     if home is not None:
-        for own in home["upstreams"]:
-            if own["name"] == row["name"] and own["home"] == home["entry"]:
-                return own
+        for home_row in home["upstreams"]:
+            if (
+                home_row["name"] == row["name"]
+                and home_row["home"] == home["entry"]
+            ):
+                return home_row
     unknown = row.copy()
     unknown["busy"] = None
     unknown["in_flight"] = None
@@ -103,12 +106,12 @@
             continue
         for link in status["links"]:
             _add_link(rows, link)
-    silent_zones: set[str] = set()
+    unreachable_zones: set[str] = set()
     for entry in first["entries"]:
         if answers[entry["name"]] is None:
-            silent_zones.add(entry["availability_zone"])
+            unreachable_zones.add(entry["availability_zone"])
     for row in rows.values():
-        if row["availability_zone"] in silent_zones:
+        if row["availability_zone"] in unreachable_zones:
             # The unreachable entry may use its share too.
             row["used_bytes_per_s"] = None
     return list(rows.values())
