--- a/almondstair/tools/operator_client.py
+++ b/almondstair/tools/operator_client.py
@@ -144,8 +144,9 @@
         """Sends a write to the first entry that accepts a connection.
 
         If the connection breaks after that, the write may have taken effect
-        although its response is lost. A retry at another entry could undo a later
-        edit of another operator, so the status of the edit is read instead.
+        although its response is lost. A retry at another entry could undo a
+        later edit of another operator, so the status of the edit is read
+        instead.
         """
         edit_id = body["edit_id"]
         for address in tuple(self._addresses):
--- a/almondstair/tools/session.py
+++ b/almondstair/tools/session.py
@@ -18,7 +18,7 @@
 
 _HINTS = {
     errors.ErrorKind.PLATFORM_UNAVAILABLE: (
-        "The entries keep the configuration in force; edits and marks "
+        "The entries go on with the configuration in force; edits and marks "
         "have to wait until the platform's service is back."
     ),
     errors.ErrorKind.EDIT_CONFLICT: (
