--- a/almondstair/tools/gateway_client.py
+++ b/almondstair/tools/gateway_client.py
@@ -32,7 +32,7 @@
     return bodies
 
 
-def configuration(address: str, *, version: int = 0) -> dict[str, Any]:
+def fetch_configuration(address: str, *, version: int = 0) -> dict[str, Any]:
     """Returns a version that a gateway had in force; 0 for the current.
 
     Raises:
--- a/almondstair/tools/gateway_config_commands.py
+++ b/almondstair/tools/gateway_config_commands.py
@@ -32,7 +32,7 @@
           almondstairctl gateway config show 10.1.0.35:9464 > configuration.json
           almondstairctl gateway config show 10.1.0.35:9464 --version=7
         """
-        body = gateway_client.configuration(address, version=version)
+        body = gateway_client.fetch_configuration(address, version=version)
         if self._session.json:
             self._session.show(body)
             return
@@ -52,7 +52,7 @@
         Examples:
           almondstairctl gateway config history 10.1.0.35:9464
         """
-        body = gateway_client.configuration(address)
+        body = gateway_client.fetch_configuration(address)
         shown = {
             "entry": body["entry"],
             "store_age_s": body["store_age_s"],
@@ -78,8 +78,10 @@
                 kind=errors.ErrorKind.USAGE,
                 detail="name either another gateway or a version",
             )
-        newer = gateway_client.configuration(address)
-        older = gateway_client.configuration(other or address, version=version)
+        newer = gateway_client.fetch_configuration(address)
+        older = gateway_client.fetch_configuration(
+            other or address, version=version
+        )
         lines = list(
             difflib.unified_diff(
                 _lines_of(older["text"]).splitlines(),
