--- a/scripts/plays.py
+++ b/scripts/plays.py
@@ -93,7 +93,7 @@
     keep: str = "",
     ports: str = PORTS,
 ) -> None:
-    """Runs scenarios, prints result result, and exits 1 on a failure.
+    """Runs scenarios, prints each result, and exits 1 on a failure.
 
     Args:
       *locations: features, or scenarios as `file:line`.
