--- a/soak/checks.py
+++ b/soak/checks.py
@@ -95,7 +95,7 @@
 
 
 def check_silent(ran: Iterable[Ran], spans: Iterable[Span]) -> list[Violation]:
-    """Finds runs at upstreams that have left or are evacuated."""
+    """Finds runs at upstreams in spans after they left or were evacuated."""
     closed: dict[str, list[Span]] = {}
     for span in spans:
         closed.setdefault(span.name, []).append(span)
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -56,7 +56,7 @@
 
 
 STORE_MODES = ("busy", "limited", "reset", "silent", "slow", "lost", "late")
-HARMS = ("delay", "reset", "silence", "one_way")
+PROXY_FAULTS = ("delay", "reset", "silence", "one_way")
 UPSTREAM_FAULTS = (
     "extra",
     "late_extra",
@@ -73,8 +73,8 @@
 FOREIGN_RECORDS = ("own_key", "no_text", "no_slots", "no_address", "no_state")
 _VARIANTS = {
     Kind.STORE: STORE_MODES,
-    Kind.STORE_PROXY: HARMS,
-    Kind.UPSTREAM_PROXY: HARMS,
+    Kind.STORE_PROXY: PROXY_FAULTS,
+    Kind.UPSTREAM_PROXY: PROXY_FAULTS,
     Kind.UPSTREAM_FAULT: UPSTREAM_FAULTS,
     Kind.FOREIGN_WRITER: FOREIGN_RECORDS,
 }
--- a/soak/run.py
+++ b/soak/run.py
@@ -277,12 +277,14 @@
 
     async def _store_proxy(self, step: Step) -> None:
         proxy = self._world.store_proxies[self._gateway(step)]
-        await self._apply_harm(proxy, step)
+        await self._apply_proxy_fault(proxy, step)
 
     async def _upstream_proxy(self, step: Step) -> None:
-        await self._apply_harm(self._world.proxies[self._upstream(step)], step)
+        await self._apply_proxy_fault(
+            self._world.proxies[self._upstream(step)], step
+        )
 
-    async def _apply_harm(self, proxy: HarmfulProxy, step: Step) -> None:
+    async def _apply_proxy_fault(self, proxy: HarmfulProxy, step: Step) -> None:
         proxy.set_harm(Harm(step.variant), delay_s=0.2)
         await asyncio.sleep(step.duration_s)
         proxy.set_harm(Harm.NONE)
