--- a/almondstair/tools/losses.py
+++ b/almondstair/tools/losses.py
@@ -1,4 +1,4 @@
-"""What requests were lost or late, by cause, read from the logs of gateways."""
+"""Lost and late requests by cause, read from the logs of gateways."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -7,21 +7,20 @@
 from typing import Any, NamedTuple
 
 from almondstair.log import Event
-from almondstair.tools.stories import Line
+from almondstair.tools.request_explanations import LogLine
 
-# Use of a service up to which a refusal for lack of room counts as one beside
-# free slots; above, a request may have found every slot taken at its moment.
-ROOM_USE = 0.8
-# Length of the windows in seconds.
+# A refusal for lack of a slot below this use of the service counts as one with
+# free slots; above it, every slot may have been taken at that moment.
+MAX_USE_WITH_FREE_SLOTS = 0.8
+# Length of the time windows that losses are counted in.
 WINDOW_S = 2.0
-# Part of the aim that a queue has to take for it to count as the cause.
-QUEUE_SHARE = 0.2
-# An answer that took this many times what was expected ran otherwise than it
-# was expected to.
-SLOWER_THAN_EXPECTED = 1.5
+# A queue counts as the cause if it took more than this part of the target.
+MIN_QUEUE_FRACTION = 0.2
+# Ratio of actual to expected latency above which the expectation was wrong.
+SLOW_RUN_RATIO = 1.5
 _SUCCESS = range(200, 300)
 _TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
-_ENDS = frozenset(
+_END_EVENTS = frozenset(
     (
         Event.REQUEST_ANSWERED.value.number,
         Event.GATEWAY_REFUSED.value.number,
@@ -32,49 +31,50 @@
 
 
 class Cause(enum.StrEnum):
-    """Why a request was not answered in its aim.
+    """Names why a request was not answered within its latency target.
 
     Attributes:
-      NONE: it was.
-      ROOM: refused while its service had slots free.
-      FULL: refused, no slot was free.
-      NOT_READY: refused by an entry that had just started, or was leaving.
+      IN_TIME: it was answered within its latency target.
+      REFUSED_WITH_FREE_SLOTS: refused while its service had free slots.
+      SERVICE_FULL: refused because no slot was free.
+      NOT_READY: refused by an entry that had just started or was leaving.
       OTHER_REFUSAL: refused for another reason.
-      LOST: it may have run, and there is no whole answer.
-      LEFT: its caller left first.
-      FAILED: the upstream's own failure.
-      TRIES: late after tries at upstreams that failed.
-      QUEUED: late after a queue at its upstream.
-      NEW: late as its object was not known where it ran.
-      FORGOTTEN: late as it ran longer than is usual where its object is known.
-      FAR: late by the way to another region.
-      SLOW: late for none of these.
+      RESPONSE_LOST: it may have run, and there is no complete response.
+      CALLER_DISCONNECTED: its caller disconnected first.
+      UPSTREAM_FAILED: the upstream answered with a failure.
+      FAILED_ATTEMPTS: late after failed attempts at other upstreams.
+      QUEUED: late because of the queue at its upstream.
+      NOT_CACHED: late because the upstream had not cached its object.
+      SLOWER_THAN_CACHED: late because it ran longer than expected with its
+        object cached.
+      ROUND_TRIP: late because of the round trip to another region.
+      OTHER_LATENESS: late for another reason.
     """
 
-    NONE = "in its aim"
-    ROOM = "refused with slots free"
-    FULL = "refused, service full"
+    IN_TIME = "in its aim"
+    REFUSED_WITH_FREE_SLOTS = "refused with slots free"
+    SERVICE_FULL = "refused, service full"
     NOT_READY = "refused, entry starting or leaving"
     OTHER_REFUSAL = "refused for another reason"
-    LOST = "answer lost"
-    LEFT = "caller left"
-    FAILED = "failed by its upstream"
-    TRIES = "late after failed tries"
+    RESPONSE_LOST = "answer lost"
+    CALLER_DISCONNECTED = "caller left"
+    UPSTREAM_FAILED = "failed by its upstream"
+    FAILED_ATTEMPTS = "late after failed tries"
     QUEUED = "late after a queue"
-    NEW = "late, ran as new"
-    FORGOTTEN = "late, slower than where known"
-    FAR = "late by the way"
-    SLOW = "late otherwise"
+    NOT_CACHED = "late, ran as new"
+    SLOWER_THAN_CACHED = "late, slower than where known"
+    ROUND_TRIP = "late by the way"
+    OTHER_LATENESS = "late otherwise"
 
 
-class End(NamedTuple):
-    """How one request ended.
+class RequestEnd(NamedTuple):
+    """Describes how one request ended.
 
     Attributes:
-      at_s: when, in seconds since the first line.
-      route: its route, empty where none was found.
-      source: the log that tells it.
-      cause: why it was not answered in its aim.
+      at_s: when it ended, in seconds since the first line.
+      route: its route, empty if none matched.
+      source: the log that records it.
+      cause: why it was not answered within its latency target.
     """
 
     at_s: float
@@ -84,12 +84,12 @@
 
 
 class Row(NamedTuple):
-    """Requests of one part, by cause.
+    """Counts requests of one part by cause.
 
     Attributes:
-      part: a route, a log or a window.
-      asked: requests that ended.
-      causes: how many of them by cause.
+      part: name of a route, log or time window.
+      asked: number of requests that ended.
+      causes: number of requests by cause.
     """
 
     part: str
@@ -98,7 +98,7 @@
 
 
 class Losses(NamedTuple):
-    """What was lost: in all, by route, by log and by window."""
+    """Holds lost and late requests: in all, by route, by log and by window."""
 
     total: Row
     routes: list[Row]
@@ -106,13 +106,13 @@
     windows: list[Row]
 
 
-def tell(lines: Iterable[Line]) -> Losses:
-    """Returns what the lines of several logs say of lost requests."""
-    ends = _ends(lines)
-    windows: dict[str, list[End]] = {}
+def summarize(lines: Iterable[LogLine]) -> Losses:
+    """Counts lost and late requests in the lines of several logs."""
+    ends = _find_ends(lines)
+    windows: dict[str, list[RequestEnd]] = {}
     for end in ends:
-        began_s = int(end.at_s / WINDOW_S) * WINDOW_S
-        windows.setdefault(f"{began_s:6.0f} s", []).append(end)
+        start_s = int(end.at_s / WINDOW_S) * WINDOW_S
+        windows.setdefault(f"{start_s:6.0f} s", []).append(end)
     return Losses(
         total=_row("all", ends),
         routes=_rows(ends, "route"),
@@ -121,11 +121,11 @@
     )
 
 
-def _ends(lines: Iterable[Line]) -> list[End]:
+def _find_ends(lines: Iterable[LogLine]) -> list[RequestEnd]:
     found = []
     first_s: float | None = None
     for line in sorted(lines, key=lambda line: line.time):
-        if line.event not in _ENDS:
+        if line.event not in _END_EVENTS:
             continue
         at_s = _seconds(line.time)
         if at_s is None:
@@ -133,7 +133,7 @@
         if first_s is None:
             first_s = at_s
         found.append(
-            End(
+            RequestEnd(
                 at_s=at_s - first_s,
                 route=str(line.fields.get("route", "")),
                 source=line.source,
@@ -150,70 +150,70 @@
         return None
 
 
-def _cause(line: Line) -> Cause:
+def _cause(line: LogLine) -> Cause:
     fields = line.fields
     if line.event == Event.GATEWAY_REFUSED.value.number:
-        return _refusal(fields)
+        return _refusal_cause(fields)
     if line.event == Event.REQUEST_FAILED.value.number:
-        return Cause.LOST
+        return Cause.RESPONSE_LOST
     if line.event == Event.REQUEST_ABANDONED.value.number:
-        return Cause.LEFT
+        return Cause.CALLER_DISCONNECTED
     if fields.get("status") not in _SUCCESS:
-        return Cause.FAILED
+        return Cause.UPSTREAM_FAILED
     if fields.get("took_ms", 0) <= fields.get("aim_ms", 0):
-        return Cause.NONE
-    return _lateness(fields)
+        return Cause.IN_TIME
+    return _lateness_cause(fields)
 
 
-def _refusal(fields: dict[str, Any]) -> Cause:
+def _refusal_cause(fields: dict[str, Any]) -> Cause:
     kind = fields.get("kind")
     if kind in ("entry_not_ready", "entry_leaving"):
         return Cause.NOT_READY
     if kind != "no_slot":
         return Cause.OTHER_REFUSAL
-    if fields.get("use", 1.0) < ROOM_USE:
-        return Cause.ROOM
-    return Cause.FULL
+    if fields.get("use", 1.0) < MAX_USE_WITH_FREE_SLOTS:
+        return Cause.REFUSED_WITH_FREE_SLOTS
+    return Cause.SERVICE_FULL
 
 
-def _lateness(fields: dict[str, Any]) -> Cause:
+def _lateness_cause(fields: dict[str, Any]) -> Cause:
     took_ms = fields.get("took_ms", 0)
-    aim_ms = fields.get("aim_ms", 0)
+    target_ms = fields.get("aim_ms", 0)
     if fields.get("tries", 1) > 1:
-        return Cause.TRIES
-    if fields.get("queue_ms", 0) > QUEUE_SHARE * aim_ms:
+        return Cause.FAILED_ATTEMPTS
+    if fields.get("queue_ms", 0) > MIN_QUEUE_FRACTION * target_ms:
         return Cause.QUEUED
     if fields.get("warm") is False:
-        return Cause.NEW
-    if took_ms > SLOWER_THAN_EXPECTED * fields.get("expected_ms", 0):
-        return Cause.FORGOTTEN
-    if took_ms - fields.get("way_ms", 0) <= aim_ms:
-        return Cause.FAR
-    return Cause.SLOW
+        return Cause.NOT_CACHED
+    if took_ms > SLOW_RUN_RATIO * fields.get("expected_ms", 0):
+        return Cause.SLOWER_THAN_CACHED
+    if took_ms - fields.get("way_ms", 0) <= target_ms:
+        return Cause.ROUND_TRIP
+    return Cause.OTHER_LATENESS
 
 
-def _rows(ends: list[End], name: str) -> list[Row]:
-    parts: dict[str, list[End]] = {}
+def _rows(ends: list[RequestEnd], name: str) -> list[Row]:
+    parts: dict[str, list[RequestEnd]] = {}
     for end in ends:
         parts.setdefault(getattr(end, name), []).append(end)
     rows = [_row(part, parts[part]) for part in parts]
-    return sorted(rows, key=lambda row: -(row.asked - _in_aim(row)))
+    return sorted(rows, key=lambda row: -(row.asked - _in_time(row)))
 
 
-def _row(part: str, ends: list[End]) -> Row:
+def _row(part: str, ends: list[RequestEnd]) -> Row:
     counts = Counter(str(end.cause) for end in ends)
     return Row(part=part, asked=len(ends), causes=dict(counts))
 
 
-def _in_aim(row: Row) -> int:
-    return row.causes.get(str(Cause.NONE), 0)
+def _in_time(row: Row) -> int:
+    return row.causes.get(str(Cause.IN_TIME), 0)
 
 
-def lost(row: Row) -> list[tuple[str, int]]:
-    """Returns the causes of a part with their counts, the greatest first."""
+def loss_counts(row: Row) -> list[tuple[str, int]]:
+    """Returns the causes of losses with their counts, the greatest first."""
     found = []
     for cause, count in row.causes.items():
-        if cause != str(Cause.NONE):
+        if cause != str(Cause.IN_TIME):
             found.append((cause, count))
     return sorted(found, key=lambda pair: -pair[1])
 
--- a/almondstair/tools/whole_status.py
+++ b/almondstair/tools/system_status.py
@@ -1,34 +1,34 @@
-"""The status of the whole system, put together from what each entry knows.
+"""Status of the whole system, merged from the reports of all entries.
 
 Only the home of an upstream knows what runs there, and only the entries of an
-availability zone know what they put on its links. So every entry is asked; what
-a silent one alone would know is unknown.
+availability zone know what they send over its links. So every entry is queried;
+values that only an unreachable entry has are unknown.
 """
 
 from almondstair import operator_api
 from almondstair.tools import operator_client
 
-Answers = dict[str, operator_api.StatusBody | None]
+StatusByEntry = dict[str, operator_api.StatusBody | None]
 
 
-def gather(
+def collect(
     client: operator_client.OperatorClient,
 ) -> operator_api.StatusBody:
-    """Asks one entry for the others, and then each of them.
+    """Reads the list of entries from one entry, then the status of each.
 
     Args:
       client: a client of at least one entry.
 
     Returns:
-      The status of the whole system; each entry says whether it answered.
+      The status of the whole system, with whether each entry answered.
 
     Raises:
       AlmondstairError: ENTRY_UNREACHABLE if no entry of the client answers.
     """
     first = client.status()
-    answers: Answers = {}
+    answers: StatusByEntry = {}
     for entry in first["entries"]:
-        answers[entry["name"]] = _ask(client, entry, first=first)
+        answers[entry["name"]] = _status_of(client, entry, first=first)
     return operator_api.StatusBody(
         entry=first["entry"],
         epoch=first["epoch"],
@@ -39,7 +39,7 @@
     )
 
 
-def _ask(
+def _status_of(
     client: operator_client.OperatorClient,
     entry: operator_api.EntryStatus,
     *,
@@ -53,7 +53,7 @@
 def _entries(
     first: operator_api.StatusBody,
     *,
-    answers: Answers,
+    answers: StatusByEntry,
 ) -> list[operator_api.EntryStatus]:
     rows: list[operator_api.EntryStatus] = []
     for entry in first["entries"]:
@@ -66,25 +66,28 @@
 def _upstreams(
     first: operator_api.StatusBody,
     *,
-    answers: Answers,
+    answers: StatusByEntry,
 ) -> list[operator_api.UpstreamStatus]:
     rows: list[operator_api.UpstreamStatus] = []
     for row in first["upstreams"]:
         home = answers.get(row["home"] or "")
-        rows.append(_row_of_home(row, home=home))
+        rows.append(_home_row(row, home=home))
     return rows
 
 
-def _row_of_home(
+def _home_row(
     row: operator_api.UpstreamStatus,
     *,
     home: operator_api.StatusBody | None,
 ) -> operator_api.UpstreamStatus:
-    """Returns the home's row; without it, what runs there is unknown."""
+    """Returns the row from the home; without it, the load is unknown."""
     if home is not None:
-        for own in home["upstreams"]:
-            if own["name"] == row["name"] and own["home"] == home["entry"]:
-                return own
+        for home_row in home["upstreams"]:
+            if (
+                home_row["name"] == row["name"]
+                and home_row["home"] == home["entry"]
+            ):
+                return home_row
     unknown = row.copy()
     unknown["busy"] = None
     unknown["in_flight"] = None
@@ -95,7 +98,7 @@
 def _links(
     first: operator_api.StatusBody,
     *,
-    answers: Answers,
+    answers: StatusByEntry,
 ) -> list[operator_api.LinkStatus]:
     rows: dict[tuple[str, str], operator_api.LinkStatus] = {}
     for status in answers.values():
@@ -103,13 +106,13 @@
             continue
         for link in status["links"]:
             _add_link(rows, link)
-    silent_zones: set[str] = set()
+    unreachable_zones: set[str] = set()
     for entry in first["entries"]:
         if answers[entry["name"]] is None:
-            silent_zones.add(entry["availability_zone"])
+            unreachable_zones.add(entry["availability_zone"])
     for row in rows.values():
-        if row["availability_zone"] in silent_zones:
-            # The silent entry may use its share too.
+        if row["availability_zone"] in unreachable_zones:
+            # The unreachable entry may use its share too.
             row["used_bytes_per_s"] = None
     return list(rows.values())
 
--- a/scripts/demonstration.py
+++ b/scripts/demonstration.py
@@ -1,4 +1,4 @@
-"""What demonstrations share: processes that end with them, and their words."""
+"""Shared parts of the demonstrations: processes and printing."""
 
 from collections.abc import Callable
 import sys
@@ -6,19 +6,19 @@
 from features.support.harness import Processes
 
 
-def say(text: str) -> None:
-    """Prints at once, so that a demonstration can be followed."""
+def print_now(text: str) -> None:
+    """Prints a line at once, so that a demonstration can be followed."""
     print(text, flush=True)
 
 
-def show(run: Callable[[Processes], None]) -> None:
-    """Runs a demonstration; its processes end with it."""
+def run_demonstration(run: Callable[[Processes], None]) -> None:
+    """Runs a demonstration and ends its processes afterwards."""
     processes = Processes()
     try:
         run(processes)
     except AssertionError as error:
-        say(f"the demonstration failed: {error}")
-        say(processes.log_tails())
+        print_now(f"the demonstration failed: {error}")
+        print_now(processes.log_tails())
         sys.exit(1)
     finally:
         processes.end()
