--- a/emulator/__main__.py
+++ b/emulator/__main__.py
@@ -13,10 +13,10 @@
 
 
 class Commands:
-    """The users' platform on one machine, and experiments on it."""
+    """Emulates the users' platform on one host and runs experiments on it."""
 
     def run(self, deployment: str, seconds: float = 30.0) -> None:
-        """Runs a deployment with its load, and shows where it is reached.
+        """Runs a deployment with its load and prints its addresses.
 
         Args:
           deployment: path of the deployment file; see emulator/examples.
@@ -37,18 +37,18 @@
         seconds: float = 20.0,
         rounds: int = 2,
     ) -> None:
-        """Plays two builds or two settings in turns and writes a page.
+        """Runs two builds or settings alternately and writes a report page.
 
         Args:
           deployment: path of the deployment file; see emulator/examples.
-          page: where the page with tables and plots is written.
+          page: path of the HTML page with tables and plots.
           source_a: root of the checkout that side a runs.
           source_b: root of the checkout that side b runs.
-          bounds_a: bounds of side a that differ, as `{maxShift: 0.3}`.
-          bounds_b: the same for side b.
+          bounds_a: overridden bounds of side a, as `{maxShift: 0.3}`.
+          bounds_b: overridden bounds of side b.
           seed: seed of the first pair of runs.
           seconds: length of the load of each run.
-          rounds: how many pairs are played.
+          rounds: number of pairs of runs.
         """
         comparing = _comparing()
         comparing.compare(
@@ -71,16 +71,16 @@
         constants: str | tuple[str, ...] = (),
         jobs: int = 4,
     ) -> None:
-        """Replays load patterns in virtual time with the real decisions.
+        """Replays load patterns in virtual time with the real placement code.
 
         Args:
           *patterns: paths of pattern files; see emulator/patterns.
-          seeds: how many plays of each, side by side.
-          without: mechanisms to do without, separated by commas; the table then
-            compares with and without, seed by seed.
-          constants: other values for constants of almondstair.core, separated
-            by commas, as `choosing.CROWDED_USE=0.9`.
-          jobs: processes that play at a time.
+          seeds: number of replays of each pattern, each with its own seed.
+          without: mechanisms to switch off, separated by commas; the table then
+            compares replays with and without them, seed by seed.
+          constants: overridden constants of almondstair.core, separated by
+            commas, as `choosing.CROWDED_USE=0.9`.
+          jobs: number of parallel processes.
         """
         importlib.import_module("emulator.replaying").replay(
             patterns,
@@ -95,8 +95,8 @@
 
         Args:
           address: `ip:port` to listen on.
-          views: availability zones by further addresses; each shows upstreams
-            and gateways as they are reached from its zone.
+          views: availability zone by additional `ip:port`; each address serves
+            the store with the addresses that its zone uses.
         """
         store.main(address, dict(views or {}))
 
@@ -113,24 +113,24 @@
           address: `ip:port` to listen on.
           store: `ip:port` of the store.
           plan: its behaviour as JSON; see `UpstreamPlan`.
-          announce: address to register, if it is reached through another.
+          announce: address to register; the listening address by default.
         """
         upstream_process.main(address, store, plan, announce)
 
 
 def _names(given: str | tuple[str, ...]) -> list[str]:
-    """Returns what was given, separated by commas or as a list."""
+    """Returns the names of a comma-separated text or of a list."""
     names = given.split(",") if isinstance(given, str) else given
     return [name for name in names if name]
 
 
 def _comparing() -> Any:
-    """Returns what compares; upstreams start without its plots' library."""
+    """Imports `comparing` on demand; upstreams start without pygal."""
     return importlib.import_module("emulator.comparing")
 
 
 def main() -> None:
-    """Runs the command that is named."""
+    """Runs the command line."""
     fire.Fire(Commands, name="emulator")
 
 
--- a/emulator/caller_wire.py
+++ b/emulator/caller_wire.py
@@ -1,4 +1,4 @@
-"""What callers write and read on their connections."""
+"""Requests and responses as callers encode and decode them."""
 
 import asyncio
 from typing import NamedTuple
@@ -10,11 +10,11 @@
     """A request as its caller sends it.
 
     Attributes:
-      request: its id.
-      path: its path.
-      key: the object that it is about.
-      deadline_ms: how long its caller waits, in milliseconds.
-      body: its body; one without is a GET.
+      request: request id.
+      path: path of the URL.
+      key: affinity key.
+      deadline_ms: how long the caller waits, in milliseconds.
+      body: body of a POST; empty for a GET.
     """
 
     request: str
@@ -25,12 +25,12 @@
 
 
 class Reply(NamedTuple):
-    """An answer as its caller reads it.
+    """A response as its caller reads it.
 
     Attributes:
-      status: its status.
-      headers: its headers, names in lower case.
-      body: its body.
+      status: HTTP status.
+      headers: header values by lower-case name.
+      body: decoded body.
     """
 
     status: int
@@ -39,21 +39,21 @@
 
     @property
     def seal(self) -> str:
-        """Returns the upstream's signature, empty if there is none."""
+        """Returns the upstream's seal, empty if there is none."""
         return self.headers.get("x-almondstair-response-seal", "")
 
     @property
     def goes_on(self) -> bool:
-        """Whether the connection takes another request."""
+        """Whether the connection accepts another request."""
         return self.headers.get("connection", "") != "close"
 
     def whole(self, request: str) -> bool:
-        """Whether the body is an emulated upstream's whole one."""
+        """Whether the body is complete, as an emulated upstream sends it."""
         return self.body == f"answer to {request}\n".encode() * 8
 
 
 def write_ask(ask: Ask) -> bytes:
-    """Returns a request's bytes."""
+    """Returns a request as HTTP/1.1 bytes."""
     method = "POST" if ask.body else "GET"
     head = (
         f"{method} {ask.path} HTTP/1.1\r\nHost: {HOST}\r\n"
@@ -67,11 +67,11 @@
 
 
 async def read_reply(reader: asyncio.StreamReader) -> Reply:
-    """Reads an answer.
+    """Reads a response.
 
     Raises:
-      EOFError: the connection ended before it was whole.
-      ValueError: it is no answer.
+      EOFError: the connection closed before the response was complete.
+      ValueError: the bytes are not an HTTP response.
     """
     text = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     lines = text.split("\r\n")
--- a/emulator/comparing.py
+++ b/emulator/comparing.py
@@ -1,4 +1,4 @@
-"""The emulator's commands that play a deployment and show what came of it."""
+"""Commands that run a deployment and report the results."""
 
 import asyncio
 from pathlib import Path
@@ -35,20 +35,22 @@
     seconds: float,
     rounds: int,
 ) -> None:
-    """Plays both sides in turns, prints the tables and writes the page."""
-    wanted = _load(deployment)
-    done = asyncio.run(
+    """Runs both sides alternately, prints the tables and writes the page."""
+    loaded = _load(deployment)
+    results = asyncio.run(
         experiment.compare(
-            deployment=wanted,
+            deployment=loaded,
             sides=sides,
             seed=seed,
             seconds=seconds,
             rounds=rounds,
         )
     )
-    found = report.rows(done, zones=list(wanted.zones))
-    spent = report.costs(done, seconds=seconds)
+    summary_rows = report.rows(results, zones=list(loaded.zones))
+    cost_rows = report.costs(results, seconds=seconds)
     title = f"{Path(deployment).stem}, seed {seed}, {rounds} rounds"
-    report.write_page(page, title=title, rounds=done, found=found, cost=spent)
-    print(report.text(found, spent))
+    report.write_page(
+        page, title=title, rounds=results, found=summary_rows, cost=cost_rows
+    )
+    print(report.text(summary_rows, cost_rows))
     print(f"written: {page}")
--- a/emulator/datagrams.py
+++ b/emulator/datagram_proxy.py
@@ -1,26 +1,26 @@
-"""A distance for datagrams: what gateways tell each other of their loads."""
+"""A UDP proxy with a delay, for the load reports between gateways."""
 
 import asyncio
 from typing import Any
 
 
-class DatagramWay(asyncio.DatagramProtocol):
-    """Passes datagrams on to a target, later.
+class DatagramProxy(asyncio.DatagramProtocol):
+    """Forwards datagrams to a target after a delay.
 
     Attributes:
-      passed: datagrams that came so far.
+      passed: number of datagrams received so far.
     """
 
-    def __init__(self, *, target: str, distance_s: float) -> None:
-        """Makes a way to `ip:port`.
+    def __init__(self, *, target: str, delay_s: float) -> None:
+        """Creates a proxy that is not listening yet.
 
         Args:
-          target: where it leads.
-          distance_s: time that each datagram takes, in seconds.
+          target: destination `ip:port`.
+          delay_s: one-way delay of each datagram, in seconds.
         """
         ip, _, port = target.rpartition(":")
         self._target = (ip, int(port))
-        self._distance_s = distance_s
+        self._delay_s = delay_s
         self._transport: asyncio.DatagramTransport | None = None
         self.passed = 0
 
@@ -32,20 +32,20 @@
         )
 
     def close(self) -> None:
-        """Stops; what is on its way is lost."""
+        """Closes the socket; delayed datagrams are dropped."""
         if self._transport is not None:
             self._transport.close()
 
     def connection_made(self, transport: Any) -> None:
-        """Takes the socket."""
+        """Stores the transport."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Passes a datagram on after its time."""
+        """Schedules a datagram to be forwarded after the delay."""
         del addr
         self.passed += 1
         loop = asyncio.get_running_loop()
-        loop.call_later(self._distance_s, self._send, data)
+        loop.call_later(self._delay_s, self._send, data)
 
     def _send(self, data: bytes) -> None:
         if self._transport is None or self._transport.is_closing():
--- a/emulator/deployment.py
+++ b/emulator/deployment.py
@@ -1,10 +1,10 @@
-"""What is emulated: zones, distances, upstreams, gateways, routes, load."""
+"""Deployment files: zones, delays, upstreams, gateways, routes and load."""
 
 from pathlib import Path
 
 import msgspec
 
-from emulator import reading
+from emulator import toml_files
 
 
 class Delays(
@@ -13,7 +13,7 @@
     """One-way delays, in milliseconds.
 
     Attributes:
-      in_zone_ms: between two places of one availability zone.
+      in_zone_ms: between two processes in one availability zone.
       between_zones_ms: between two availability zones of one region.
       between_regions_ms: between two regions.
       callers_ms: between callers and the entries of their zone.
@@ -31,14 +31,14 @@
     """One service and its upstreams.
 
     Attributes:
-      name: its name.
-      upstreams: how many stand in each availability zone.
-      slots: requests that one runs at once.
-      queue: requests that one lets wait.
-      work_ms: run time of a request for a new object, in milliseconds.
-      keeps: objects that one remembers.
-      cold_s: how long one is cold after its start, in seconds.
-      cold_rate_per_s: requests a second that one bears while cold.
+      name: service name.
+      upstreams: number of upstreams by availability zone.
+      slots: concurrent requests per upstream.
+      queue: queued requests per upstream; it refuses more.
+      work_ms: run time for an object that is not cached, in milliseconds.
+      keeps: capacity of an upstream's object cache.
+      cold_s: duration of the cold start, in seconds.
+      cold_rate_per_s: requests a second that a cold upstream can handle.
     """
 
     name: str
@@ -54,20 +54,20 @@
 class RouteRule(
     msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True
 ):
-    """One route and the requests that come on it.
+    """One route and its load.
 
     Attributes:
-      prefix: start of the path; begins and ends with a slash.
-      service: where its requests go.
+      prefix: path prefix; begins and ends with a slash.
+      service: destination service.
       kind: `safe`, `unsafe` or `upload`.
-      aim_ms: within which an answer is worth its full credit.
-      timeout_ms: how long a request may be kept waiting.
-      attempts: greatest number of upstreams that one request is sent to.
-      priority: rank; 0 is the most urgent.
+      aim_ms: target latency, in milliseconds.
+      timeout_ms: the route's timeout, in milliseconds.
+      attempts: maximum number of upstreams that a request is sent to.
+      priority: priority; 0 is the most urgent.
       rate_per_s: requests a second over all zones.
-      objects: how many objects they are about.
-      deadline_ms: how long their callers wait.
-      body_bytes: size of their bodies.
+      objects: number of distinct objects requested.
+      deadline_ms: how long callers wait, in milliseconds.
+      body_bytes: size of each request body, in bytes.
     """
 
     prefix: str
@@ -86,17 +86,17 @@
 class Deployment(
     msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True
 ):
-    """A whole deployment.
+    """A complete deployment.
 
     Attributes:
       zones: region of each availability zone.
-      gateways: how many entries stand in each availability zone.
+      gateways: number of entries by availability zone.
       services: services with their upstreams.
       routes: routes with their load.
       store_zone: availability zone of the store; empty for the first.
-      delays: distances.
-      bounds: the operators' bounds that differ from the emulator's own, by the
-        platform's names.
+      delays: one-way delays between processes.
+      bounds: operator bounds that override the emulator's defaults, by their
+        names in the platform's settings.
     """
 
     zones: dict[str, str]
@@ -116,8 +116,8 @@
         return self.delays.between_regions_ms / 1000
 
     @property
-    def delayed(self) -> bool:
-        """Whether any two places are apart."""
+    def has_delays(self) -> bool:
+        """Whether any two processes have a delay between them."""
         delays = self.delays
         return (
             delays.in_zone_ms
@@ -126,66 +126,72 @@
             > 0
         )
 
-    def upstream_places(self) -> list[tuple[Service, str]]:
+    def upstream_locations(self) -> list[tuple[Service, str]]:
         """Returns service and availability zone of each upstream."""
-        places = []
+        locations = []
         for service in self.services:
-            for zone in _in_turn(service.upstreams):
-                places.append((service, zone))
-        return places
+            for zone in _round_robin(service.upstreams):
+                locations.append((service, zone))
+        return locations
 
     def gateway_zones(self) -> list[str]:
         """Returns the availability zone of each gateway."""
-        return _in_turn(self.gateways)
+        return _round_robin(self.gateways)
 
 
-def _in_turn(counts: dict[str, int]) -> list[str]:
-    """Returns each name as often as its count says, by turns."""
-    found = []
-    for turn in range(max(counts.values(), default=0)):
+def _round_robin(counts: dict[str, int]) -> list[str]:
+    """Returns each name as often as its count, in round-robin order."""
+    names = []
+    for round_number in range(max(counts.values(), default=0)):
         for name, count in counts.items():
-            if turn < count:
-                found.append(name)
-    return found
+            if round_number < count:
+                names.append(name)
+    return names
 
 
 def load(path: Path) -> Deployment:
     """Reads and checks a deployment file.
 
     Raises:
-      AlmondstairError: `settings_invalid`, with file, key and remedy.
+      AlmondstairError: `settings_invalid`, with the path and the reason.
     """
-    found = reading.read(path, Deployment)
-    _check(path, found)
-    return found
-
-
-def _check(path: Path, found: Deployment) -> None:
-    """Checks what the types cannot: names that must be known."""
-    services = {service.name for service in found.services}
-    for service in found.services:
-        _check_zones(path, found, service.upstreams, f"services {service.name}")
-    _check_zones(path, found, found.gateways, "gateways")
-    if found.store_zone and found.store_zone not in found.zones:
-        raise reading.invalid(path, f"store_zone: no zone {found.store_zone}")
-    for route in found.routes:
+    deployment = toml_files.read_toml(path, Deployment)
+    _check(path, deployment)
+    return deployment
+
+
+def _check(path: Path, deployment: Deployment) -> None:
+    """Checks references between sections, which the types do not cover."""
+    services = {service.name for service in deployment.services}
+    for service in deployment.services:
+        _check_zones(
+            path, deployment, service.upstreams, f"services {service.name}"
+        )
+    _check_zones(path, deployment, deployment.gateways, "gateways")
+    if deployment.store_zone and deployment.store_zone not in deployment.zones:
+        raise toml_files.invalid_file(
+            path, f"store_zone: no zone {deployment.store_zone}"
+        )
+    for route in deployment.routes:
         if route.service not in services:
-            raise reading.invalid(
+            raise toml_files.invalid_file(
                 path, f"routes {route.prefix}: no service {route.service}"
             )
         if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
-            raise reading.invalid(
+            raise toml_files.invalid_file(
                 path, f"routes {route.prefix}: begin and end it with a slash"
             )
-    if not found.gateway_zones() or not found.upstream_places():
-        raise reading.invalid(path, "it needs a gateway and an upstream")
+    if not deployment.gateway_zones() or not deployment.upstream_locations():
+        raise toml_files.invalid_file(
+            path, "it needs a gateway and an upstream"
+        )
 
 
 def _check_zones(
-    path: Path, found: Deployment, counts: dict[str, int], where: str
+    path: Path, deployment: Deployment, counts: dict[str, int], where: str
 ) -> None:
     for zone in counts:
-        if zone not in found.zones:
-            raise reading.invalid(
+        if zone not in deployment.zones:
+            raise toml_files.invalid_file(
                 path, f"{where}: no zone {zone}; add it to [zones]"
             )
--- a/emulator/documents.py
+++ b/emulator/documents.py
@@ -1,4 +1,4 @@
-"""Settings files and configurations as the platform writes them."""
+"""Gateway settings and configurations in the platform's formats."""
 
 import base64
 import json
@@ -7,7 +7,7 @@
 from emulator.deployment import Deployment
 
 HOST = "shop.example"
-PARTS = ("callers", "ready", "lookups", "control", "peers", "operators")
+LISTENERS = ("callers", "ready", "lookups", "control", "peers", "operators")
 BOUNDS = {
     "drainS": 2.0,
     "graceS": 4.0,
@@ -23,16 +23,16 @@
 
 
 class GatewayPlace(NamedTuple):
-    """Where a gateway stands.
+    """Identity and addresses of a gateway.
 
     Attributes:
-      name: its VM's name.
+      name: name of its VM.
       zone: its availability zone.
       addresses: `ip:port` of each of `PARTS`.
       store: `ip:port` of the store.
       zones: region of each availability zone.
-      seed: `ip:port` at which another gateway serves others, if any.
-      bounds: what the operators bind the system to, by the platform's names.
+      seed: control `ip:port` of another gateway; empty for its own.
+      bounds: operator bounds, by their names in the platform's settings.
     """
 
     name: str
@@ -83,9 +83,9 @@
 def route(
     prefix: str, service: str = "service", kind: str = "safe", **action: Any
 ) -> dict[str, Any]:
-    """Returns a rule of the operator's configuration."""
-    wanted = {"service": service, "timeoutS": 2.0, "attempts": 2}
-    wanted.update(action)
+    """Returns a route rule of the operator's configuration."""
+    route_action = {"service": service, "timeoutS": 2.0, "attempts": 2}
+    route_action.update(action)
     return {
         "name": f"r{prefix.strip('/')}",
         "routeType": kind,
@@ -93,7 +93,7 @@
         "priority": 1,
         "sessionAffinity": True,
         "match": {"prefix": prefix},
-        "action": wanted,
+        "action": route_action,
     }
 
 
@@ -103,7 +103,7 @@
     services: tuple[str, ...] = ("service", "other"),
     **limits: Any,
 ) -> str:
-    """Returns the operator's configuration."""
+    """Returns the operator's configuration as JSON."""
     clusters = [_cluster(name, 3.0, 5.0) for name in services]
     return _configuration(version, routes, clusters, limits)
 
@@ -126,7 +126,7 @@
     clusters: list[dict[str, Any]],
     limits: dict[str, Any],
 ) -> str:
-    wanted = {
+    default_limits = {
         "maxHeaderBytes": 16384,
         "maxBodyBytes": 4 << 20,
         "headerTimeoutS": 3,
@@ -135,7 +135,7 @@
     return json.dumps(
         {
             "version": f"{version:08x}",
-            "limits": wanted | limits,
+            "limits": default_limits | limits,
             "listeners": [{"hostname": HOST, "ruleSet": rules}],
             "clusters": clusters,
         }
@@ -143,18 +143,18 @@
 
 
 def deployment_text(version: int, deployment: Deployment) -> str:
-    """Returns the operator's configuration of a deployment."""
+    """Returns the operator's configuration for a deployment as JSON."""
     rules = []
-    for wanted in deployment.routes:
+    for route_rule in deployment.routes:
         rule = route(
-            wanted.prefix,
-            wanted.service,
-            wanted.kind,
-            timeoutS=wanted.timeout_ms / 1000,
-            attempts=wanted.attempts,
+            route_rule.prefix,
+            route_rule.service,
+            route_rule.kind,
+            timeoutS=route_rule.timeout_ms / 1000,
+            attempts=route_rule.attempts,
         )
-        rule["targetLatencyS"] = wanted.aim_ms / 1000
-        rule["priority"] = wanted.priority
+        rule["targetLatencyS"] = route_rule.aim_ms / 1000
+        rule["priority"] = route_rule.priority
         rules.append(rule)
     clusters = []
     for service in deployment.services:
@@ -167,7 +167,7 @@
 def operator_change(
     puts: dict[str, str] | None = None, remove: list[str] | None = None
 ) -> dict[str, Any]:
-    """Returns a change of the store as the operator sends it."""
+    """Returns the body of an operator's transaction on the store."""
     rows = []
     for key, text in (puts or {}).items():
         value = base64.b64encode(text.encode()).decode()
--- a/emulator/experiment.py
+++ b/emulator/experiment.py
@@ -1,7 +1,7 @@
 """Compares two builds or two settings side by side on one deployment.
 
-Both sides get the same requests at the same times, from the same seed, in
-turns: a, b, b, a, a, b ... What the machine does meanwhile falls on both.
+Both sides get the same requests at the same times from the same seed. The runs
+alternate (a, b, b, a, a, b, ...), so that other load on the host affects both.
 """
 
 import asyncio
@@ -19,18 +19,19 @@
 from emulator.load import Outcome
 from emulator.world import World
 
-# From the gateways' readiness to the first request: until they count each
-# other, and sums over all of them are shared.
+# Wait between the gateways' readiness and the first request, in which they
+# discover each other and exchange load totals.
 SETTLE_S = 5.0
 
 
 class Side(NamedTuple):
-    """One of the two that are compared.
+    """One of the two variants that are compared.
 
     Attributes:
-      name: what it is called in tables.
+      name: label in the tables.
       source: root of the checkout whose gateways run.
-      bounds: the operators' bounds that differ, by the platform's names.
+      bounds: overridden operator bounds, by their names in the platform's
+        settings.
     """
 
     name: str
@@ -39,15 +40,16 @@
 
 
 class Round(NamedTuple):
-    """What one run of one side showed.
+    """Measurements of one run of one side.
 
     Attributes:
-      side: which one.
-      outcomes: what became of each request.
-      store_calls: calls to the store by kind.
-      gateway_cpu_s: processor time of all gateways during the load.
-      gateway_peak_bytes: the greatest resident memory of a gateway.
-      runs: runs that upstreams began.
+      side: name of the side.
+      outcomes: outcome of each request.
+      store_calls: number of store calls by kind.
+      gateway_cpu_s: CPU time of all gateways during the load, in seconds.
+      gateway_peak_bytes: largest resident memory of a gateway after the load,
+        in bytes.
+      runs: number of runs that upstreams started.
     """
 
     side: str
@@ -59,14 +61,14 @@
 
 
 def order(rounds: int) -> list[int]:
-    """Returns the sides in the order of their runs, 0 and 1.
+    """Returns the indexes of the sides, 0 or 1, in the order of their runs.
 
-    Each pair is turned around, so that neither side always comes first.
+    Every other pair is reversed, so that neither side always runs first.
     """
-    found = []
+    indexes = []
     for number in range(rounds):
-        found += [0, 1] if number % 2 == 0 else [1, 0]
-    return found
+        indexes += [0, 1] if number % 2 == 0 else [1, 0]
+    return indexes
 
 
 async def compare(
@@ -77,16 +79,16 @@
     seconds: float,
     rounds: int,
 ) -> list[Round]:
-    """Plays both sides in turns.
+    """Runs both sides alternately.
 
     Args:
-      deployment: what is emulated.
-      sides: the two that are compared.
-      seed: seed of the first pair; each later pair has the next one.
+      deployment: the emulated deployment.
+      sides: the two sides to compare.
+      seed: seed of the first pair; incremented for each later pair.
       seconds: length of the load of each run.
-      rounds: how many pairs are played.
+      rounds: number of pairs of runs.
     """
-    done = []
+    results = []
     for number, index in enumerate(order(rounds)):
         arrivals = load.plan(
             routes=deployment.routes,
@@ -95,26 +97,28 @@
             seconds=seconds,
         )
         side = sides[index]
-        found = await _play(deployment, side, arrivals, seed + number // 2)
-        done.append(found)
-        served = sum(1 for each in found.outcomes if each.served)
+        result = await _run_side(deployment, side, arrivals, seed + number // 2)
+        results.append(result)
+        served = sum(1 for each in result.outcomes if each.served)
         print(
             f"round {number + 1} of {2 * rounds}, {side.name}: "
-            f"{served} of {len(found.outcomes)} served",
+            f"{served} of {len(result.outcomes)} served",
             flush=True,
         )
-    return done
+    return results
 
 
-async def _play(
+async def _run_side(
     deployment: Deployment, side: Side, arrivals: list[Arrival], seed: int
 ) -> Round:
-    changed = msgspec.structs.replace(
+    side_deployment = msgspec.structs.replace(
         deployment, bounds=deployment.bounds | side.bounds
     )
     with tempfile.TemporaryDirectory(prefix="almondstair-emulator-") as folder:
         world = World(
-            deployment=changed, directory=Path(folder), source=side.source
+            deployment=side_deployment,
+            directory=Path(folder),
+            source=side.source,
         )
         try:
             await world.start()
@@ -166,10 +170,10 @@
 
 
 async def serve(deployment: Deployment, *, seconds: float) -> None:
-    """Runs a deployment with its load and shows where it can be reached.
+    """Runs a deployment with its load and prints its addresses.
 
     Args:
-      deployment: what is emulated.
+      deployment: the emulated deployment.
       seconds: length of the load.
     """
     with tempfile.TemporaryDirectory(prefix="almondstair-emulator-") as folder:
@@ -178,13 +182,13 @@
             await world.start()
             await world.configure_deployment()
             await world.until_ready()
-            _show_places(world)
+            _print_addresses(world)
             await _serve_load(world, seconds)
         finally:
             await world.end()
 
 
-def _show_places(world: World) -> None:
+def _print_addresses(world: World) -> None:
     print(f"store {world.store}")
     for name, place in world.gateways.items():
         print(
--- a/emulator/load.py
+++ b/emulator/load.py
@@ -1,9 +1,9 @@
-"""Callers of a deployment: an open-loop load that follows the platform's rules.
+"""Callers of a deployment: an open-loop load with the platform's retry rules.
 
-Requests come at times that a seed gives, whatever became of those before. A
-caller asks the entries for addresses, picks one at random for each new
-connection, and tries again as the platform says: what is safe after any
-failure, everything else only after a promise that it has not run.
+A seed determines the arrival times, independent of earlier responses. A caller
+looks up the addresses of entries, picks one at random for each attempt, and
+retries as the platform requires: safe requests after any failure, all others
+only after a response that guarantees that the request has not run.
 """
 
 import asyncio
@@ -25,27 +25,27 @@
 from emulator.documents import HOST
 from emulator.world import World
 
-# Statuses that promise that the request has not run and never will.
-PROMISES = frozenset((408, 421, 429, 503))
-# Statuses after which nobody tries again.
-FINAL = frozenset((400, 401, 404, 413, 431))
+# Statuses that guarantee that the request has not run and never will.
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+# Statuses after which a request is not retried.
+FINAL_STATUSES = frozenset((400, 401, 404, 413, 431))
 CONNECT_TIMEOUT_S = 1.0
-# The part of the time left that a caller lets a time to come back take.
-RETRY_AFTER_SHARE = 1 / 3
-# Tries of one request, the first one with them.
-TRIES = 2
-LOOK_UP_TIMEOUT_S = 1.0
+# Maximum share of the remaining time that a caller waits for Retry-After.
+MAX_RETRY_AFTER_SHARE = 1 / 3
+# Includes the first attempt.
+MAX_ATTEMPTS = 2
+LOOKUP_TIMEOUT_S = 1.0
 
 
 class Arrival(NamedTuple):
     """One request of the plan.
 
     Attributes:
-      at_s: when it comes, in seconds from the start.
-      zone: its caller's availability zone.
-      route: its route.
-      key: the object that it is about.
-      number: its number in the plan.
+      at_s: arrival time, in seconds from the start.
+      zone: availability zone of the caller.
+      route: route of the request.
+      key: affinity key.
+      number: index in the plan.
     """
 
     at_s: float
@@ -56,14 +56,14 @@
 
 
 class Outcome(NamedTuple):
-    """What became of a request.
+    """The outcome of a request.
 
     Attributes:
       arrival: the request.
-      status: status of the last answer, 0 if there was none.
-      served: whether it was an upstream's whole answer.
-      latency_s: from its arrival to the last answer, in seconds.
-      tries: how often it was sent.
+      status: status of the last response, 0 if there was none.
+      served: whether the last response was an upstream's complete one.
+      latency_s: from the first attempt to the last response, in seconds.
+      tries: number of attempts.
     """
 
     arrival: Arrival
@@ -76,35 +76,35 @@
 def plan(
     *, routes: list[RouteRule], zones: list[str], seed: int, seconds: float
 ) -> list[Arrival]:
-    """Returns the requests of a seed in the order of their times.
+    """Returns the requests of a seed in the order of arrival.
 
     Args:
       routes: routes with their rates over all zones.
       zones: availability zones of the callers.
-      seed: the seed.
+      seed: seed of all random choices.
       seconds: length of the load.
     """
-    found = []
+    rows = []
     for route in routes:
-        # A string seeds alike in every process.
-        chance = random.Random(f"{seed}/{route.prefix}")
-        for at_s in _times(chance, route.rate_per_s, seconds):
-            key = str(chance.randrange(route.objects))
-            zone = chance.choice(zones)
-            found.append((at_s, zone, route, key))
-    found.sort(key=lambda row: row[0])
-    return [Arrival(*row, number) for number, row in enumerate(found)]
-
-
-def _times(
-    chance: random.Random, rate_per_s: float, seconds: float
+        # A string seed gives the same sequence in every process.
+        rng = random.Random(f"{seed}/{route.prefix}")
+        for at_s in _arrival_times(rng, route.rate_per_s, seconds):
+            key = str(rng.randrange(route.objects))
+            zone = rng.choice(zones)
+            rows.append((at_s, zone, route, key))
+    rows.sort(key=lambda row: row[0])
+    return [Arrival(*row, number) for number, row in enumerate(rows)]
+
+
+def _arrival_times(
+    rng: random.Random, rate_per_s: float, seconds: float
 ) -> Iterator[float]:
     if rate_per_s <= 0:
         return
-    at_s = chance.expovariate(rate_per_s)
+    at_s = rng.expovariate(rate_per_s)
     while at_s < seconds:
         yield at_s
-        at_s += chance.expovariate(rate_per_s)
+        at_s += rng.expovariate(rate_per_s)
 
 
 class _Connection(NamedTuple):
@@ -117,10 +117,10 @@
     """The callers of one availability zone."""
 
     def __init__(self, *, world: World, zone: str, seed: int) -> None:
-        """Makes callers that know no entry yet."""
+        """Creates callers without any entry addresses."""
         self._world = world
         self._zone = zone
-        self._chance = random.Random(f"{seed}/{zone}")
+        self._rng = random.Random(f"{seed}/{zone}")
         self._addresses: list[str] = []
         self._addresses_until_s = 0.0
         self._idle: dict[str, deque[_Connection]] = {}
@@ -130,37 +130,44 @@
             self._zone_of_address[address] = world.zone_of(name)
 
     async def send(self, arrival: Arrival) -> Outcome:
-        """Sends a request until it is served, final, or out of time."""
+        """Sends a request and retries it until its outcome is final."""
         began_s = time.monotonic()
         until_s = began_s + arrival.route.deadline_ms / 1000
-        tries = 0
-        reply: Reply | None = None
+        attempts = 0
+        response: Reply | None = None
         request = ""
-        while tries < TRIES and time.monotonic() < until_s:
-            tries += 1
-            request = f"{arrival.number:012x}{tries:04x}"
-            reply = await self._try(arrival, request, until_s, anew=tries > 1)
+        while attempts < MAX_ATTEMPTS and time.monotonic() < until_s:
+            attempts += 1
+            request = f"{arrival.number:012x}{attempts:04x}"
+            response = await self._send_attempt(
+                arrival, request, until_s, new_connection=attempts > 1
+            )
             left_s = until_s - time.monotonic()
-            wait_s = pause_s(arrival.route, reply, left_s)
+            wait_s = pause_s(arrival.route, response, left_s)
             if wait_s is None:
                 break
-            if tries < TRIES:
+            if attempts < MAX_ATTEMPTS:
                 await asyncio.sleep(wait_s)
-        served = reply is not None and reply.status == 200
+        served = response is not None and response.status == 200
         return Outcome(
             arrival=arrival,
-            status=reply.status if reply else 0,
-            served=served and reply is not None and reply.whole(request),
+            status=response.status if response else 0,
+            served=served and response is not None and response.whole(request),
             latency_s=time.monotonic() - began_s,
-            tries=tries,
+            tries=attempts,
         )
 
-    async def _try(
-        self, arrival: Arrival, request: str, until_s: float, *, anew: bool
+    async def _send_attempt(
+        self,
+        arrival: Arrival,
+        request: str,
+        until_s: float,
+        *,
+        new_connection: bool,
     ) -> Reply | None:
         route = arrival.route
         left_s = max(0.001, until_s - time.monotonic())
-        ask = Ask(
+        message = Ask(
             request=request,
             path=f"{route.prefix}{arrival.key}",
             key=arrival.key,
@@ -169,39 +176,45 @@
         )
         try:
             async with asyncio.timeout(left_s):
-                return await self._exchange(ask, anew=anew)
+                return await self._exchange(
+                    message, new_connection=new_connection
+                )
         except (OSError, EOFError, ValueError, TimeoutError):
             return None
 
-    async def _exchange(self, ask: Ask, *, anew: bool) -> Reply:
-        address = await self._pick()
-        distance_s = self._distance_s(address)
-        await asyncio.sleep(distance_s)
-        connection = await self._connection(address, anew=anew)
+    async def _exchange(self, message: Ask, *, new_connection: bool) -> Reply:
+        address = await self._pick_address()
+        delay_s = self._one_way_delay_s(address)
+        await asyncio.sleep(delay_s)
+        connection = await self._open_connection(
+            address, new_connection=new_connection
+        )
         try:
-            connection.writer.write(write_ask(ask))
-            reply = await read_reply(connection.reader)
+            connection.writer.write(write_ask(message))
+            response = await read_reply(connection.reader)
         except BaseException:
             connection.writer.close()
             raise
-        await asyncio.sleep(distance_s)
-        if reply.goes_on:
+        await asyncio.sleep(delay_s)
+        if response.goes_on:
             self._idle.setdefault(address, deque()).append(connection)
         else:
             connection.writer.close()
-        return reply
+        return response
 
-    def _distance_s(self, address: str) -> float:
+    def _one_way_delay_s(self, address: str) -> float:
         deployment = self._world.deployment
         zone = self._zone_of_address.get(address, self._zone)
-        way_s = deployment.delays.callers_ms / 1000
+        delay_s = deployment.delays.callers_ms / 1000
         if zone != self._zone:
-            way_s += deployment.delay_s(self._zone, zone)
-        return way_s
+            delay_s += deployment.delay_s(self._zone, zone)
+        return delay_s
 
-    async def _connection(self, address: str, *, anew: bool) -> _Connection:
+    async def _open_connection(
+        self, address: str, *, new_connection: bool
+    ) -> _Connection:
         idle = self._idle.get(address)
-        while idle and not anew:
+        while idle and not new_connection:
             connection = idle.pop()
             if not connection.reader.at_eof():
                 return connection
@@ -212,38 +225,38 @@
         )
         return _Connection(address, reader, writer)
 
-    async def _pick(self) -> str:
+    async def _pick_address(self) -> str:
         if time.monotonic() >= self._addresses_until_s:
-            await self._look_up()
+            await self._refresh_addresses()
         if not self._addresses:
-            raise OSError("no entry is known")
-        return self._chance.choice(self._addresses)
+            raise OSError("no entry address is known")
+        return self._rng.choice(self._addresses)
 
-    async def _look_up(self) -> None:
-        """Asks an entry which to use; keeps what is known if none answers."""
+    async def _refresh_addresses(self) -> None:
+        """Looks up entry addresses; keeps the old ones if lookups fail."""
         region = self._world.deployment.zones[self._zone]
         query = parse.urlencode(
             {"name": HOST, "region": region, "zone": self._zone}
         )
-        for name in self._nearest():
+        for name in self._nearest_gateways():
             address = self._world.gateways[name].addresses["lookups"]
             try:
-                answer = await self._client.fetch(
+                response = await self._client.fetch(
                     f"http://{address}/resolve?{query}",
-                    request_timeout=LOOK_UP_TIMEOUT_S,
+                    request_timeout=LOOKUP_TIMEOUT_S,
                 )
             except (OSError, httpclient.HTTPError):
                 continue
-            told = json.loads(answer.body)
-            if told["addresses"]:
-                self._addresses = told["addresses"]
-                self._addresses_until_s = time.monotonic() + told["ttlS"]
+            body = json.loads(response.body)
+            if body["addresses"]:
+                self._addresses = body["addresses"]
+                self._addresses_until_s = time.monotonic() + body["ttlS"]
                 return
 
-    def _nearest(self) -> list[str]:
+    def _nearest_gateways(self) -> list[str]:
         deployment = self._world.deployment
         names = list(self._world.gateways)
-        self._chance.shuffle(names)
+        self._rng.shuffle(names)
         names.sort(
             key=lambda name: deployment.delay_s(
                 self._zone, self._world.zone_of(name)
@@ -252,7 +265,7 @@
         return names[:3]
 
     def close(self) -> None:
-        """Closes every kept connection."""
+        """Closes every idle connection."""
         for idle in self._idle.values():
             for connection in idle:
                 connection.writer.close()
@@ -261,29 +274,29 @@
 def pause_s(
     route: RouteRule, reply: Reply | None, left_s: float
 ) -> float | None:
-    """Returns how long a caller waits before it tries again, None for never.
+    """Returns the delay before a retry in seconds, None for no retry.
 
     Args:
       route: the request's route.
-      reply: the answer; None if there was none.
-      left_s: what is left of the caller's time, in seconds.
+      reply: the response; None if there was none.
+      left_s: time left until the caller's deadline, in seconds.
     """
     if left_s <= 0:
         return None
     if reply is None:
         return 0.0 if route.kind == "safe" else None
-    if reply.status < 300 or reply.status in FINAL:
+    if reply.status < 300 or reply.status in FINAL_STATUSES:
         return None
-    if reply.status in PROMISES:
-        wanted_s = float(reply.headers.get("retry-after", 0) or 0)
-        return min(wanted_s, RETRY_AFTER_SHARE * left_s)
+    if reply.status in NOT_RUN_STATUSES:
+        retry_after_s = float(reply.headers.get("retry-after", 0) or 0)
+        return min(retry_after_s, MAX_RETRY_AFTER_SHARE * left_s)
     return 0.0 if route.kind == "safe" else None
 
 
 async def play(
     world: World, arrivals: list[Arrival], *, seed: int
 ) -> list[Outcome]:
-    """Sends a plan and returns what became of each request."""
+    """Sends the planned requests and returns the outcome of each."""
     zones = sorted({arrival.zone for arrival in arrivals})
     callers = {
         zone: ZoneCallers(world=world, zone=zone, seed=seed) for zone in zones
--- a/emulator/load_pattern.py
+++ b/emulator/load_pattern.py
@@ -1,11 +1,11 @@
-"""Load patterns of the replay: who asks for what, and what goes wrong."""
+"""Load patterns for replays: requests, upstreams and disturbances."""
 
 from pathlib import Path
 from typing import Literal
 
 import msgspec
 
-from emulator import reading
+from emulator import toml_files
 
 
 class Service(
@@ -14,11 +14,11 @@
     """A service and its upstreams.
 
     Attributes:
-      name: its name.
-      upstreams: how many stand in each region.
-      slots: requests that one runs at once.
-      queue: requests that one lets wait; it refuses more.
-      keeps: objects that one remembers.
+      name: service name.
+      upstreams: number of upstreams by region.
+      slots: concurrent requests per upstream.
+      queue: queued requests per upstream; it refuses more.
+      keeps: capacity of an upstream's object cache.
     """
 
     name: str
@@ -27,13 +27,13 @@
     queue: int = 24
     keeps: int = 32
 
-    def places(self) -> list[tuple[str, str]]:
+    def upstream_locations(self) -> list[tuple[str, str]]:
         """Returns id and region of each upstream."""
-        found = []
+        locations = []
         for region, count in self.upstreams.items():
             for number in range(count):
-                found.append((f"{self.name}-{region}-{number}", region))
-        return found
+                locations.append((f"{self.name}-{region}-{number}", region))
+        return locations
 
 
 class Kind(
@@ -42,17 +42,17 @@
     """A kind of request.
 
     Attributes:
-      name: its name.
-      service: the service that takes it.
-      per_s: requests a second from all regions.
-      known_s: run time where the object is known, in seconds.
-      new_s: run time where it is not, in seconds.
-      aim_s: time within which an answer is worth its full credit, in seconds.
-      deadline_s: time after which its callers give up, in seconds.
-      keys: objects that each region's callers ask for.
-      priority: rank; 0 is the most urgent.
-      retries: how often a caller comes back after a refusal.
-      repeatable: whether it may run twice.
+      name: name of the kind.
+      service: destination service.
+      per_s: requests a second over all regions.
+      known_s: mean run time where the object is cached, in seconds.
+      new_s: mean run time where it is not cached, in seconds.
+      aim_s: target latency, in seconds.
+      deadline_s: time after which callers give up, in seconds.
+      keys: number of objects that each region's callers request.
+      priority: priority; 0 is the most urgent.
+      retries: retries of a caller after a refusal.
+      repeatable: whether a request may run twice.
     """
 
     name: str
@@ -68,26 +68,26 @@
     repeatable: bool = True
 
 
-class Trouble(
+class Disturbance(
     msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True
 ):
-    """Something that goes wrong for a while.
+    """A temporary fault or change of the load.
 
     Attributes:
-      what: burst: `times` the load of a kind, or of all; shift: a share of a
-        region's callers ask in another one; lost: a share of a service's
-        upstreams takes no connections, and knows nothing afterwards; slow: a
-        share of them runs `times` as long; evacuated: a region's upstreams get
-        nothing; new_objects: all objects are new; restart: all entries are away
-        and know nothing afterwards.
-      at_s: when it begins, in seconds.
-      for_s: how long it lasts, in seconds.
-      times: how strong it is.
-      share: the part that it strikes, 0 to 1.
+      what: burst: multiplies the load of a kind, or of all, by `times`; shift:
+        sends a share of a region's callers to another region; lost: a share of
+        a service's upstreams accepts no connections and starts again with an
+        empty cache; slow: a share of them runs `times` as long; evacuated: a
+        region's upstreams get no requests; new_objects: replaces all objects by
+        new ones; restart: all entries are down and start again without state.
+      at_s: start time, in seconds.
+      for_s: duration, in seconds.
+      times: factor of a burst or of slow upstreams.
+      share: affected share of callers or upstreams, 0 to 1.
       kind: kind of request, empty for all.
       service: service, empty for all.
       region: region, empty for all.
-      to_region: where a shift goes.
+      to_region: region that a shift sends callers to.
     """
 
     what: Literal[
@@ -108,26 +108,27 @@
     region: str = ""
     to_region: str = ""
 
-    def lasts(self, now_s: float) -> bool:
-        """Whether it goes on now."""
+    def is_active(self, now_s: float) -> bool:
+        """Whether the disturbance is in effect at a time."""
         return self.at_s <= now_s < self.at_s + self.for_s
 
 
 class Pattern(
     msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True
 ):
-    """A whole pattern.
+    """A complete load pattern.
 
     Attributes:
-      shows: what it is for, in a sentence.
-      span_s: its length, in seconds.
-      warm_up_s: its start, which does not count.
-      entries: how many entries stand in each region.
-      round_trip_s: between two regions, in seconds.
-      told_s: how old others' loads are when they are told, in seconds.
+      shows: purpose of the pattern, in a sentence.
+      span_s: duration of the load, in seconds.
+      warm_up_s: initial time that is not counted, in seconds.
+      entries: number of entries by region.
+      round_trip_s: round trip between two regions, in seconds.
+      told_s: interval of the load reports between entries and age of their
+        loads on receipt, in seconds.
       services: the services.
       kinds: the kinds of request.
-      troubles: what goes wrong.
+      troubles: the disturbances.
     """
 
     shows: str
@@ -135,7 +136,7 @@
     services: list[Service]
     kinds: list[Kind]
     entries: dict[str, int]
-    troubles: list[Trouble] = []
+    troubles: list[Disturbance] = []
     warm_up_s: float = 0.0
     round_trip_s: float = 0.07
     told_s: float = 0.05
@@ -150,31 +151,31 @@
     """Reads and checks a pattern.
 
     Raises:
-      AlmondstairError: `settings_invalid`, with file, key and remedy.
+      AlmondstairError: `settings_invalid`, with the path and the reason.
     """
-    found = reading.read(path, Pattern)
-    _check(path, found)
-    return found
+    pattern = toml_files.read_toml(path, Pattern)
+    _check(path, pattern)
+    return pattern
 
 
-def _check(path: Path, found: Pattern) -> None:
-    """Checks what the types cannot: names that must be known."""
-    services = {service.name for service in found.services}
-    for service in found.services:
+def _check(path: Path, pattern: Pattern) -> None:
+    """Checks references between sections, which the types do not cover."""
+    services = {service.name for service in pattern.services}
+    for service in pattern.services:
         for region in service.upstreams:
-            _check_name(path, "region", region, set(found.regions))
-    for kind in found.kinds:
+            _check_name(path, "region", region, set(pattern.regions))
+    for kind in pattern.kinds:
         _check_name(path, "service", kind.service, services)
-    kinds = {kind.name for kind in found.kinds}
-    for trouble in found.troubles:
-        _check_name(path, "kind", trouble.kind, kinds | {""})
-        _check_name(path, "service", trouble.service, services | {""})
-        for region in (trouble.region, trouble.to_region):
-            _check_name(path, "region", region, {*found.regions, ""})
+    kinds = {kind.name for kind in pattern.kinds}
+    for disturbance in pattern.troubles:
+        _check_name(path, "kind", disturbance.kind, kinds | {""})
+        _check_name(path, "service", disturbance.service, services | {""})
+        for region in (disturbance.region, disturbance.to_region):
+            _check_name(path, "region", region, {*pattern.regions, ""})
 
 
 def _check_name(path: Path, what: str, name: str, known: set[str]) -> None:
     if name not in known:
-        raise reading.invalid(
+        raise toml_files.invalid_file(
             path, f"no {what} {name!r}; it has {sorted(known)}"
         )
--- a/emulator/modelled_entry.py
+++ b/emulator/modelled_entry.py
@@ -1,4 +1,4 @@
-"""An entry in virtual time: the real decisions, without connections."""
+"""An entry in virtual time: the real placement code without connections."""
 
 from collections.abc import Iterable, Mapping
 
@@ -22,11 +22,11 @@
 from emulator.load_pattern import Kind
 from emulator.load_pattern import Pattern
 
-# The operators' bounds where a pattern has none of its own.
-MOST_REGION_CHANGE = 0.15
-COLD_OVER = 1.5
+# Operator bounds of every replay; patterns do not set them.
+MAX_REGION_CHANGE = 0.15
+COLD_RATE_FACTOR = 1.5
 COLD_SLACK = 5.0
-ATTEMPTS = 2
+MAX_ATTEMPTS = 2
 _LIMITS = CallerLimits(16_384, 1 << 20, 3.0, 15.0)
 
 
@@ -38,7 +38,7 @@
         kind=RouteKind.SAFE if kind.repeatable else RouteKind.UNSAFE,
         target_latency_s=kind.aim_s,
         timeout_s=kind.deadline_s,
-        attempts=ATTEMPTS,
+        attempts=MAX_ATTEMPTS,
         priority=kind.priority,
         key_affinity=True,
         destinations=(Destination(kind.service, 1),),
@@ -55,26 +55,26 @@
 
 
 class ModelledEntry:
-    """One entry's knowledge and decisions.
+    """The state and the placement of one entry.
 
     Attributes:
-      name: its name.
-      region: where it stands.
-      routes: the route of each kind of request.
-      placing: decides where requests go.
-      places: which upstreams know which objects.
-      waits: what waits at it.
+      name: name of the entry.
+      region: its region.
+      routes: route by kind of request.
+      placing: chooses upstreams for requests.
+      cached_locations: upstreams that have each object cached.
+      queue: requests that wait at the entry.
     """
 
     def __init__(
         self, *, name: str, region: str, pattern: Pattern, names: Iterable[str]
     ) -> None:
-        """Starts with the upstreams known and nothing learned.
+        """Starts with all upstreams registered and no measurements.
 
         Args:
-          name: its name.
-          region: where it stands.
-          pattern: what is played.
+          name: name of the entry.
+          region: its region.
+          pattern: the load pattern.
           names: names of all entries.
         """
         self.name = name
@@ -85,7 +85,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Forgets everything that was learned."""
+        """Resets all state that the entry has learned."""
         zones = {region: region for region in self._pattern.regions}
         self._fleet = Fleet(
             own_name=self.name, own_region=self.region, zones=zones
@@ -103,58 +103,60 @@
         for region in self._pattern.regions:
             if region != self.region:
                 round_trips_s[region] = self._pattern.round_trip_s
-        self.places = CachedLocations()
+        self.cached_locations = CachedLocations()
         self.placing = RequestPlacer(
             fleet=self._fleet,
             run_times=RunTimes(),
-            cached_locations=self.places,
+            cached_locations=self.cached_locations,
             region_limiter=RegionShareLimiter(
-                own_region=self.region, max_change=MOST_REGION_CHANGE
+                own_region=self.region, max_change=MAX_REGION_CHANGE
             ),
             cold_start_limiter=ColdStartLimiter(
-                own_name=self.name, rate_factor=COLD_OVER, slack=COLD_SLACK
+                own_name=self.name,
+                rate_factor=COLD_RATE_FACTOR,
+                slack=COLD_SLACK,
             ),
             round_trips_s=round_trips_s,
         )
-        self.waits = EntryQueue()
+        self.queue = EntryQueue()
 
     def loads(self) -> dict[int, int]:
-        """Returns how many requests it has at each upstream, by its hash."""
-        found = {}
+        """Returns the requests in flight by hash of the upstream's name."""
+        in_flight = {}
         for state in self._fleet.upstreams():
             if state.in_flight:
-                found[state.name_hash] = state.in_flight
-        return found
+                in_flight[state.name_hash] = state.in_flight
+        return in_flight
 
     def hear(
         self, total: Mapping[int, int], own: Mapping[int, int], plan: Plan
     ) -> None:
-        """Takes everybody's loads, less what of them is its own."""
+        """Applies the plan and the loads of all entries, less its own."""
         self._fleet.peer_loads_complete = True
         self._fleet.peer_loads.update(total, own=own)
         self._fleet.set_plan(plan)
 
     def takers(self) -> dict[str, list[UpstreamState]]:
-        """Returns the upstreams that may get work, by service."""
-        found = {}
+        """Returns the eligible upstreams by service."""
+        eligible = {}
         for service in self._fleet.services():
-            found[service] = self._fleet.eligible_upstreams(service)
-        return found
+            eligible[service] = self._fleet.eligible_upstreams(service)
+        return eligible
 
-    def evacuate(self, region: str, *, now_s: float) -> None:
-        """Gives a region's upstreams nothing."""
+    def start_evacuation(self, region: str, *, now_s: float) -> None:
+        """Stops sending requests to a region's upstreams."""
         self._fleet.start_evacuation(region, now_s=now_s)
 
-    def take_back(self, region: str, *, now_s: float) -> None:
-        """Uses a region's upstreams again."""
+    def end_evacuation(self, region: str, *, now_s: float) -> None:
+        """Resumes sending requests to a region's upstreams."""
         self._fleet.end_evacuation(region, now_s=now_s)
 
 
 def upstream_records(pattern: Pattern) -> list[UpstreamRecord]:
     """Returns the registrations of a pattern's upstreams."""
-    found = []
+    records = []
     for service in pattern.services:
-        for name, region in service.places():
+        for name, region in service.upstream_locations():
             record = UpstreamRecord(
                 upstream_id=name,
                 service=service.name,
@@ -165,5 +167,5 @@
                 draining=False,
                 cold_left_s=0.0,
             )
-            found.append(record)
-    return found
+            records.append(record)
+    return records
--- a/emulator/modelled_upstream.py
+++ b/emulator/modelled_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream in virtual time: slots, a first-come queue, and a memory."""
+"""An upstream in virtual time: slots, a FIFO queue and an LRU cache."""
 
 from collections import OrderedDict
 from collections import deque
@@ -9,36 +9,36 @@
 from emulator.load_pattern import Kind
 from emulator.load_pattern import Service
 
-# Spread of run times: the logarithm's standard deviation.
-RUN_SPREAD = 0.15
-# The same of the speed of the upstreams of a service.
-SPEED_SPREAD = 0.2
+# Standard deviation of the logarithm of run times.
+RUN_TIME_SIGMA = 0.15
+# Standard deviation of the logarithm of the upstreams' speeds.
+SPEED_SIGMA = 0.2
 
 
 class Run(NamedTuple):
     """A request at an upstream.
 
     Attributes:
-      kind: its kind.
-      key: its object.
-      done: is called at the end with whether the object was new; not at all
-        where the upstream is lost meanwhile.
+      kind: kind of the request.
+      key: affinity key.
+      on_completed: called on completion with whether the object was new; not
+        called if the upstream is lost before.
     """
 
     kind: Kind
     key: str
-    done: Callable[[bool], None]
+    on_completed: Callable[[bool], None]
 
 
 class ModelledUpstream:
-    """Runs requests.
+    """Runs requests in slots and queues those beyond.
 
     Attributes:
-      name: its id.
+      name: upstream id.
       service: name of its service.
-      region: where it stands.
-      lost: whether it takes no connections.
-      slow_times: how many times longer it runs requests.
+      region: its region.
+      lost: whether it accepts no connections.
+      run_time_factor: factor on run times.
     """
 
     def __init__(
@@ -47,68 +47,71 @@
         name: str,
         region: str,
         service: Service,
-        draws: random.Random,
-        later: Callable[[float, Callable[[], None]], None],
+        rng: random.Random,
+        schedule: Callable[[float, Callable[[], None]], None],
     ) -> None:
-        """Starts with nothing known.
+        """Starts idle with an empty cache.
 
         Args:
-          name: its id.
-          region: where it stands.
+          name: upstream id.
+          region: its region.
           service: its service.
-          draws: chance.
-          later: calls something after a time in seconds.
+          rng: random number generator.
+          schedule: calls a function after a delay in seconds.
         """
         self.name = name
         self.service = service.name
         self.region = region
         self.lost = False
-        self.slow_times = 1.0
-        self._rule = service
-        self._draws = draws
-        self._later = later
+        self.run_time_factor = 1.0
+        self._service = service
+        self._rng = rng
+        self._schedule = schedule
         self._running = 0
         self._queue: deque[Run] = deque()
-        self._known: OrderedDict[str, None] = OrderedDict()
-        self._start = 0
-        self._speed = draws.lognormvariate(0.0, SPEED_SPREAD)
-
-    def take(self, run: Run) -> bool:
-        """Runs a request, now or later; returns False where it is full."""
-        if self._running < self._rule.slots:
-            self._begin(run)
+        self._cached_keys: OrderedDict[str, None] = OrderedDict()
+        self._incarnation = 0
+        self._speed = rng.lognormvariate(0.0, SPEED_SIGMA)
+
+    def submit(self, run: Run) -> bool:
+        """Runs or queues a request; returns False if the queue is full."""
+        if self._running < self._service.slots:
+            self._start_run(run)
             return True
-        if len(self._queue) >= self._rule.queue:
+        if len(self._queue) >= self._service.queue:
             return False
         self._queue.append(run)
         return True
 
-    def lose(self) -> None:
-        """Ends: what it ran gets no answer, and what it knew is gone."""
+    def shut_down(self) -> None:
+        """Drops running and queued requests without response and the cache."""
         self.lost = True
-        self._start += 1
+        self._incarnation += 1
         self._running = 0
         self._queue.clear()
-        self._known.clear()
+        self._cached_keys.clear()
 
-    def _begin(self, run: Run) -> None:
+    def _start_run(self, run: Run) -> None:
         self._running += 1
-        new = run.key not in self._known
-        # It counts as known from its first run's begin, as at the users'.
-        self._known[run.key] = None
-        self._known.move_to_end(run.key)
-        if len(self._known) > self._rule.keeps:
-            self._known.popitem(last=False)
+        new = run.key not in self._cached_keys
+        # An object counts as cached from the start of its first run, as on the
+        # users' platform.
+        self._cached_keys[run.key] = None
+        self._cached_keys.move_to_end(run.key)
+        if len(self._cached_keys) > self._service.keeps:
+            self._cached_keys.popitem(last=False)
         mean_s = run.kind.new_s if new else run.kind.known_s
-        spread = self._draws.lognormvariate(0.0, RUN_SPREAD)
-        start = self._start
+        spread = self._rng.lognormvariate(0.0, RUN_TIME_SIGMA)
+        incarnation = self._incarnation
 
-        def end() -> None:
-            if start != self._start:
+        def complete() -> None:
+            if incarnation != self._incarnation:
                 return
             self._running -= 1
             if self._queue:
-                self._begin(self._queue.popleft())
-            run.done(new)
+                self._start_run(self._queue.popleft())
+            run.on_completed(new)
 
-        self._later(mean_s * spread * self._speed * self.slow_times, end)
+        self._schedule(
+            mean_s * spread * self._speed * self.run_time_factor, complete
+        )
--- a/emulator/ports.py
+++ b/emulator/ports.py
@@ -1,29 +1,32 @@
-"""Addresses on loopback for processes that are about to start."""
+"""Free loopback addresses for processes that are about to start."""
 
 import os
 import socket
 
-# Below the kernel's usual range for outgoing connections, so that none of
-# those sits on a port between the moment it is chosen and its listener.
+# Below the kernel's default ephemeral range, so that no outgoing connection
+# takes a port between its selection and the bind of its listener.
 FIRST_PORT = 21_000
 LAST_PORT = 29_999
 PORT_STRIDE = 1009
-# Set by scripts/run_features.py: each of its workers has ports of its own, so
-# that no two choose the same one between the look and the bind.
+# Set by scripts/run_features.py to a separate range per worker, so that two
+# workers cannot select the same port between the check and the bind.
 PORTS_VARIABLE = "ALMONDSTAIR_TEST_PORTS"
 
 
 class PortRange:
-    """Gives out ports that nobody listens on, each once a run."""
+    """Allocates free ports; reuses one only after the range wraps."""
 
     def __init__(self, *, first: int, last: int) -> None:
-        """Starts where the process id says, so that parallel runs differ."""
+        """Starts at a port that depends on the process id.
+
+        Parallel runs therefore start at different ports.
+        """
         self._first = first
         self._last = last
         span = last - first + 1
         self._next = first + os.getpid() * PORT_STRIDE % span
 
-    def take(self) -> int:
+    def next_free(self) -> int:
         """Returns a free port."""
         for _ in range(self._last - self._first + 1):
             port = self._next
@@ -48,5 +51,5 @@
 
 
 def free_address() -> str:
-    """Returns an `ip:port` that nobody listens on."""
-    return f"127.0.0.1:{_PORTS.take()}"
+    """Returns a free `ip:port` on loopback."""
+    return f"127.0.0.1:{_PORTS.next_free()}"
--- a/emulator/proxy.py
+++ b/emulator/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback TCP proxy: a distance, and harm to the connections through it."""
+"""A loopback TCP proxy that adds delay and connection faults."""
 
 import asyncio
 from collections import deque
@@ -6,13 +6,13 @@
 import time
 
 CHUNK_BYTES = 65536
-# How long the end of reset connections is waited for; it takes a few turns of
-# the loop.
+# Maximum wait for reset connections to close; normally they take a few
+# iterations of the event loop.
 CLOSE_LIMIT_S = 1.0
 
 
 class Harm(enum.StrEnum):
-    """What the proxy does to its connections."""
+    """Faults that the proxy applies to its connections."""
 
     NONE = "none"
     DELAY = "delay"
@@ -22,19 +22,19 @@
 
 
 class HarmfulProxy:
-    """Passes bytes on to a target, later or not at all.
+    """Forwards TCP connections to a target, with delays and faults.
 
     Attributes:
-      harm: what is done now.
-      delay_s: time added each way under `DELAY`, in seconds.
+      harm: the current fault.
+      delay_s: additional one-way delay under `DELAY`, in seconds.
     """
 
     def __init__(self, *, target: str, distance_s: float = 0.0) -> None:
-        """Makes a proxy to `ip:port`.
+        """Creates a proxy that is not listening yet.
 
         Args:
-          target: where it leads.
-          distance_s: time that bytes always take each way, in seconds.
+          target: destination `ip:port`.
+          distance_s: one-way delay that always applies, in seconds.
         """
         self._target = target
         self._distance_s = distance_s
@@ -49,7 +49,7 @@
         self._server = await asyncio.start_server(self._accept, ip, int(port))
 
     async def close(self) -> None:
-        """Stops and resets every connection."""
+        """Stops listening and resets every connection."""
         if self._server is not None:
             self._server.close()
         self.reset_all()
@@ -63,7 +63,7 @@
             writer.transport.abort()
 
     def set_harm(self, harm: Harm, delay_s: float = 0.0) -> None:
-        """Changes what is done from now on."""
+        """Sets the fault; `RESET` also resets open connections."""
         self.harm = harm
         self.delay_s = delay_s
         if harm is Harm.RESET:
@@ -77,47 +77,49 @@
             return
         ip, _, port = self._target.rpartition(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 ip, int(port)
             )
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far_writer}
-        forth = self._pump(reader, far_writer, back=False)
-        back = self._pump(far_reader, writer, back=True)
+        self._writers |= {writer, target_writer}
+        to_target = self._forward(reader, target_writer, from_target=False)
+        from_target = self._forward(target_reader, writer, from_target=True)
         try:
-            await asyncio.gather(forth, back)
+            await asyncio.gather(to_target, from_target)
         finally:
-            self._writers -= {writer, far_writer}
+            self._writers -= {writer, target_writer}
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        back: bool,
+        from_target: bool,
     ) -> None:
-        late = _LateWriter(writer=writer)
+        delayed_writer = _DelayedWriter(writer=writer)
         try:
             while data := await reader.read(CHUNK_BYTES):
                 if self.harm is Harm.SILENCE:
                     continue
-                if self.harm is Harm.ONE_WAY and back:
+                if self.harm is Harm.ONE_WAY and from_target:
                     continue
-                await late.write(data, delay_s=self._wait_s())
-            late.close(delay_s=self._wait_s())
+                await delayed_writer.write(
+                    data, delay_s=self._current_delay_s()
+                )
+            delayed_writer.close(delay_s=self._current_delay_s())
         except (OSError, asyncio.IncompleteReadError):
             writer.transport.abort()
 
-    def _wait_s(self) -> float:
+    def _current_delay_s(self) -> float:
         if self.harm is Harm.DELAY:
             return self._distance_s + self.delay_s
         return self._distance_s
 
 
-class _LateWriter:
-    """Writes pieces some time after they came, in their order."""
+class _DelayedWriter:
+    """Writes chunks in order, each after its delay."""
 
     def __init__(self, *, writer: asyncio.StreamWriter) -> None:
         self._writer = writer
@@ -130,13 +132,13 @@
             self._writer.write(data)
             await self._writer.drain()
             return
-        self._put(data, delay_s)
+        self._enqueue(data, delay_s)
 
     def close(self, *, delay_s: float) -> None:
         self._closing = True
-        self._put(b"", delay_s)
+        self._enqueue(b"", delay_s)
 
-    def _put(self, data: bytes, delay_s: float) -> None:
+    def _enqueue(self, data: bytes, delay_s: float) -> None:
         loop = asyncio.get_running_loop()
         self._due.append((loop.time() + delay_s, data))
         if self._timer is None:
--- a/emulator/replay.py
+++ b/emulator/replay.py
@@ -1,10 +1,9 @@
-"""Plays a load pattern in virtual time with the real decisions of entries.
+"""Replays a load pattern in virtual time with the real placement code.
 
-A minute of load takes seconds, so a policy is judged over many seeds at once.
-What is modelled: slots, first-come queues that refuse, objects that are known
-or new in a memory of some size, distances, loads that are told a moment late,
-callers that come back. What is not: connections, packets, the store, processor
-time, coldness.
+A minute of load takes seconds, so a policy can be evaluated over many seeds.
+The model covers slots, bounded FIFO queues that refuse, bounded caches of
+objects, latency between regions, delayed load reports and retries of callers.
+It does not cover connections, packets, the store, CPU time or cold starts.
 """
 
 from collections.abc import Callable
@@ -20,10 +19,10 @@
 from almondstair.core.request_placer import PlacementRequest
 from almondstair.gateway.reaching import CONNECT_TIMEOUT_S
 from almondstair.gateway.reaching import FIRST_LOOK_S
+from emulator.load_pattern import Disturbance
 from emulator.load_pattern import Kind
 from emulator.load_pattern import Pattern
-from emulator.load_pattern import Trouble
-from emulator.modelled_entry import ATTEMPTS
+from emulator.modelled_entry import MAX_ATTEMPTS
 from emulator.modelled_entry import ModelledEntry
 from emulator.modelled_upstream import ModelledUpstream
 from emulator.modelled_upstream import Run
@@ -31,94 +30,93 @@
 from emulator.replay_outcome import Outcome
 from emulator.replay_outcome import Tally
 
-# Pause between two looks at what the pattern's troubles do.
-_TROUBLE_STEP_S = 0.1
-# Longest part of the time left for which a caller waits as it is told.
-_PATIENT_SHARE = 1 / 3
-# A caller whose entry is away asks again after this time.
-_AWAY_RETRY_S = 0.5
-# Steepness of the popularity of keys: the one in place n is asked for n to the
-# power of minus this as often as the first.
-_POPULARITY = 0.4
+_DISTURBANCE_CHECK_INTERVAL_S = 0.1
+# Maximum share of the remaining time that a caller waits before a retry.
+_MAX_RETRY_WAIT_SHARE = 1 / 3
+# Delay before a caller's retry while all entries are down.
+_ENTRIES_DOWN_RETRY_S = 0.5
+# The n-th most popular key is requested n ** -_ZIPF_EXPONENT times as often as
+# the most popular one.
+_ZIPF_EXPONENT = 0.4
 
 
 class _Request(NamedTuple):
-    """A caller's request through all its tries."""
+    """A caller's request over all its attempts."""
 
     kind: Kind
     region: str
     key: str
-    asked_s: float
-    ends_s: float
-    retries: int
+    started_s: float
+    deadline_s: float
+    retries_left: int
 
 
 class _Call(NamedTuple):
-    """One try of a caller at an entry."""
+    """One attempt of a caller at an entry."""
 
     request: _Request
     entry: ModelledEntry
-    asked: PlacementRequest
+    placement_request: PlacementRequest
 
 
 class Replay:
-    """One play of a pattern with one seed."""
+    """A replay of a pattern with one seed."""
 
     def __init__(self, pattern: Pattern, *, seed: int) -> None:
-        """Prepares; `play` plays.
+        """Creates the upstreams and entries of the pattern.
 
         Args:
-          pattern: what is played.
-          seed: of all chance.
+          pattern: the load pattern.
+          seed: seed of all random choices.
         """
         self._pattern = pattern
-        self._draws = random.Random(seed)
+        self._rng = random.Random(seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._now_s = 0.0
         self._tally = Tally(warm_up_s=pattern.warm_up_s)
         self._upstreams = self._make_upstreams()
         self._entries = self._make_entries()
         self._planner = Planner()
-        self._away = False
-        self._generation = 0
-        self._going_on: set[int] = set()
+        self._entries_down = False
+        self._key_generation = 0
+        self._active_disturbances: set[int] = set()
 
     def play(self) -> Outcome:
-        """Plays to the end and returns what became of the requests."""
+        """Runs the replay to its end and returns the outcome."""
         for kind in self._pattern.kinds:
-            self._later(0.0, self._arrivals(kind))
-        self._later(self._pattern.told_s, self._tell)
-        self._later(0.0, self._strike)
+            self._schedule(0.0, self._arrival_process(kind))
+        self._schedule(self._pattern.told_s, self._exchange_loads)
+        self._schedule(0.0, self._update_disturbances)
         while self._events:
             at_s, _, work = heapq.heappop(self._events)
             self._now_s = at_s
             work()
         return self._tally.outcome()
 
-    def _later(self, after_s: float, work: Callable[[], None]) -> None:
-        event = (self._now_s + after_s, next(self._numbers), work)
+    def _schedule(self, delay_s: float, action: Callable[[], None]) -> None:
+        event = (self._now_s + delay_s, next(self._sequence), action)
         heapq.heappush(self._events, event)
 
     def _make_upstreams(self) -> dict[str, ModelledUpstream]:
-        found = {}
+        upstreams = {}
         for service in self._pattern.services:
-            for name, region in service.places():
-                found[name] = ModelledUpstream(
+            for name, region in service.upstream_locations():
+                upstreams[name] = ModelledUpstream(
                     name=name,
                     region=region,
                     service=service,
-                    draws=self._draws,
-                    later=self._later,
+                    rng=self._rng,
+                    schedule=self._schedule,
                 )
-        return found
+        return upstreams
 
     def _make_entries(self) -> list[ModelledEntry]:
         names = []
         for region, count in self._pattern.entries.items():
             for number in range(count):
                 names.append((f"e-{region}-{number}", region))
-        found = []
+        entries = []
         for name, region in names:
             entry = ModelledEntry(
                 name=name,
@@ -126,94 +124,98 @@
                 pattern=self._pattern,
                 names=[other for other, _ in names],
             )
-            found.append(entry)
-        return found
+            entries.append(entry)
+        return entries
 
     # Callers.
 
-    def _arrivals(self, kind: Kind) -> Callable[[], None]:
-        ranks = [(1 + rank) ** -_POPULARITY for rank in range(kind.keys)]
-        cumulative = list(itertools.accumulate(ranks))
+    def _arrival_process(self, kind: Kind) -> Callable[[], None]:
+        weights = [(1 + rank) ** -_ZIPF_EXPONENT for rank in range(kind.keys)]
+        cumulative = list(itertools.accumulate(weights))
 
         def arrive() -> None:
             if self._now_s >= self._pattern.span_s:
                 return
-            rate_per_s = kind.per_s * self._burst(kind)
-            self._later(self._draws.expovariate(rate_per_s), arrive)
-            region = self._draws.choice(self._pattern.regions)
-            number = self._draws.choices(
+            rate_per_s = kind.per_s * self._load_factor(kind)
+            self._schedule(self._rng.expovariate(rate_per_s), arrive)
+            region = self._rng.choice(self._pattern.regions)
+            number = self._rng.choices(
                 range(kind.keys), cum_weights=cumulative
             )[0]
-            key = f"{kind.service}/{region}/{number}/{self._generation}"
+            key = f"{kind.service}/{region}/{number}/{self._key_generation}"
             request = _Request(
                 kind=kind,
-                region=self._shifted(region),
+                region=self._pick_region(region),
                 key=key,
-                asked_s=self._now_s,
-                ends_s=self._now_s + kind.deadline_s,
-                retries=kind.retries,
+                started_s=self._now_s,
+                deadline_s=self._now_s + kind.deadline_s,
+                retries_left=kind.retries,
             )
-            self._ask(request)
+            self._submit(request)
 
         return arrive
 
-    def _burst(self, kind: Kind) -> float:
-        times = 1.0
-        for trouble in self._pattern.troubles:
-            if trouble.what == "burst" and trouble.lasts(self._now_s):
-                if trouble.kind in ("", kind.name):
-                    times *= trouble.times
-        return times
-
-    def _shifted(self, region: str) -> str:
-        for trouble in self._pattern.troubles:
-            if trouble.what != "shift" or not trouble.lasts(self._now_s):
+    def _load_factor(self, kind: Kind) -> float:
+        factor = 1.0
+        for disturbance in self._pattern.troubles:
+            if disturbance.what == "burst" and disturbance.is_active(
+                self._now_s
+            ):
+                if disturbance.kind in ("", kind.name):
+                    factor *= disturbance.times
+        return factor
+
+    def _pick_region(self, region: str) -> str:
+        for disturbance in self._pattern.troubles:
+            if disturbance.what != "shift" or not disturbance.is_active(
+                self._now_s
+            ):
                 continue
-            if trouble.region == region:
-                if self._draws.random() < trouble.share:
-                    return trouble.to_region
+            if disturbance.region == region:
+                if self._rng.random() < disturbance.share:
+                    return disturbance.to_region
         return region
 
-    def _ask(self, request: _Request) -> None:
-        if self._away:
-            self._come_back(request, _AWAY_RETRY_S, Ending.FAILED)
+    def _submit(self, request: _Request) -> None:
+        if self._entries_down:
+            self._retry_or_finish(request, _ENTRIES_DOWN_RETRY_S, Ending.FAILED)
             return
-        near = []
+        local_entries = []
         for entry in self._entries:
             if entry.region == request.region:
-                near.append(entry)
-        entry = self._draws.choice(near)
-        asked = PlacementRequest(
+                local_entries.append(entry)
+        entry = self._rng.choice(local_entries)
+        placement_request = PlacementRequest(
             route=entry.routes[request.kind.name],
             service=request.kind.service,
             key=request.key,
             arrived_s=self._now_s,
-            deadline_s=request.ends_s,
+            deadline_s=request.deadline_s,
             tried=[],
         )
-        self._place(_Call(request, entry, asked))
+        self._place(_Call(request, entry, placement_request))
 
-    def _come_back(
-        self, request: _Request, after_s: float, ending: Ending
+    def _retry_or_finish(
+        self, request: _Request, delay_s: float, ending: Ending
     ) -> None:
-        left_s = request.ends_s - self._now_s
-        if not request.retries or left_s <= 0:
-            self._end(request, ending)
+        left_s = request.deadline_s - self._now_s
+        if not request.retries_left or left_s <= 0:
+            self._finish(request, ending)
             return
-        again = request._replace(retries=request.retries - 1)
-        after_s = min(after_s, left_s * _PATIENT_SHARE)
-        self._later(after_s, lambda: self._ask(again))
+        retry = request._replace(retries_left=request.retries_left - 1)
+        delay_s = min(delay_s, left_s * _MAX_RETRY_WAIT_SHARE)
+        self._schedule(delay_s, lambda: self._submit(retry))
 
-    def _end(self, request: _Request, ending: Ending) -> None:
-        took_s = self._now_s - request.asked_s
-        if ending is Ending.ANSWERED and took_s > request.kind.aim_s:
+    def _finish(self, request: _Request, ending: Ending) -> None:
+        latency_s = self._now_s - request.started_s
+        if ending is Ending.ANSWERED and latency_s > request.kind.aim_s:
             ending = Ending.LATE
-        if ending is Ending.LATE and self._now_s > request.ends_s:
+        if ending is Ending.LATE and self._now_s > request.deadline_s:
             ending = Ending.FAILED
-        self._tally.note(
+        self._tally.record_request(
             kind=request.kind.name,
-            asked_s=request.asked_s,
-            took_s=took_s,
+            started_s=request.started_s,
+            latency_s=latency_s,
             ending=ending,
         )
 
@@ -221,180 +223,202 @@
 
     def _place(self, call: _Call) -> None:
         entry = call.entry
-        placed = entry.placing.place(call.asked, now_s=self._now_s)
+        placed = entry.placing.place(call.placement_request, now_s=self._now_s)
         if placed.choice is not None:
             self._send(call, placed.choice)
             return
-        if call.asked.tried or not entry.waits.has_capacity(body_bytes=0):
+        if call.placement_request.tried or not entry.queue.has_capacity(
+            body_bytes=0
+        ):
             self._refuse(call)
             return
-        self._wait(call)
+        self._wait_at_entry(call)
 
-    def _wait(self, call: _Call) -> None:
+    def _wait_at_entry(self, call: _Call) -> None:
         entry = call.entry
-        if not entry.placing.may_wait(call.asked, now_s=self._now_s):
+        if not entry.placing.may_wait(
+            call.placement_request, now_s=self._now_s
+        ):
             self._refuse(call)
             return
-        waits = entry.waits
-        waits.enter(body_bytes=0)
+        queue = entry.queue
+        queue.enter(body_bytes=0)
 
-        def look() -> None:
-            waits.leave(body_bytes=0)
+        def place_again() -> None:
+            queue.leave(body_bytes=0)
             self._place(call)
 
-        self._later(waits.attempt_interval_s, look)
+        self._schedule(queue.attempt_interval_s, place_again)
 
     def _refuse(self, call: _Call) -> None:
-        self._come_back(
+        self._retry_or_finish(
             call.request, NO_CAPACITY_RETRY_MS / 1000, Ending.REFUSED
         )
 
     def _send(self, call: _Call, choice: Choice) -> None:
-        entry, asked = call.entry, call.asked
+        entry, placement_request = call.entry, call.placement_request
         state = choice.upstream
         upstream = self._upstreams[state.record.upstream_id]
         sent_s = self._now_s
-        entry.placing.record_sent(asked, choice, now_s=sent_s)
+        entry.placing.record_sent(placement_request, choice, now_s=sent_s)
         state.record_sent()
-        assert isinstance(asked.tried, list)
-        asked.tried.append(upstream.name)
-        way_s = choice.round_trip_s / 2
+        assert isinstance(placement_request.tried, list)
+        placement_request.tried.append(upstream.name)
+        one_way_s = choice.round_trip_s / 2
 
-        def answer(new: bool) -> None:
-            self._later(way_s, lambda: answered(new))
+        def send_response(new: bool) -> None:
+            self._schedule(one_way_s, lambda: receive_response(new))
 
-        def answered(new: bool) -> None:
+        def receive_response(new: bool) -> None:
             state.record_ended()
             state.record_response(good=True, now_s=self._now_s)
             entry.placing.record_run(
-                asked,
+                placement_request,
                 choice,
                 took_s=self._now_s - sent_s,
                 now_s=self._now_s,
             )
-            self._tally.note_run(
-                key=asked.key, upstream=upstream.name, new=new, at_s=sent_s
+            self._tally.record_run(
+                key=placement_request.key,
+                upstream=upstream.name,
+                new=new,
+                at_s=sent_s,
             )
-            self._end(call.request, Ending.ANSWERED)
+            self._finish(call.request, Ending.ANSWERED)
 
         def arrive() -> None:
             if upstream.lost:
-                self._later(
-                    CONNECT_TIMEOUT_S, lambda: self._unreachable(call, choice)
+                self._schedule(
+                    CONNECT_TIMEOUT_S,
+                    lambda: self._on_unreachable(call, choice),
                 )
                 return
-            if not upstream.take(Run(call.request.kind, asked.key, answer)):
-                self._later(way_s, lambda: self._shed(call, choice))
+            if not upstream.submit(
+                Run(call.request.kind, placement_request.key, send_response)
+            ):
+                self._schedule(
+                    one_way_s, lambda: self._on_refused(call, choice)
+                )
 
-        self._later(way_s, arrive)
+        self._schedule(one_way_s, arrive)
 
-    def _shed(self, call: _Call, choice: Choice) -> None:
+    def _on_refused(self, call: _Call, choice: Choice) -> None:
         choice.upstream.record_ended()
         choice.upstream.record_response(good=False, now_s=self._now_s)
-        self._try_again(call)
+        self._retry_elsewhere(call)
 
-    def _unreachable(self, call: _Call, choice: Choice) -> None:
+    def _on_unreachable(self, call: _Call, choice: Choice) -> None:
         state = choice.upstream
         state.record_ended()
         if not state.is_paused():
             upstream = self._upstreams[state.record.upstream_id]
-            self._later(FIRST_LOOK_S, lambda: self._look(upstream, choice))
+            self._schedule(FIRST_LOOK_S, lambda: self._probe(upstream, choice))
         state.record_unreachable()
         call.entry.placing.record_disruption(now_s=self._now_s)
-        self._try_again(call)
+        self._retry_elsewhere(call)
 
-    def _look(self, upstream: ModelledUpstream, choice: Choice) -> None:
+    def _probe(self, upstream: ModelledUpstream, choice: Choice) -> None:
         if not upstream.lost:
             choice.upstream.record_reached()
             return
         if self._now_s < self._pattern.span_s:
-            self._later(FIRST_LOOK_S, lambda: self._look(upstream, choice))
+            self._schedule(FIRST_LOOK_S, lambda: self._probe(upstream, choice))
 
-    def _try_again(self, call: _Call) -> None:
-        if len(call.asked.tried) >= ATTEMPTS:
+    def _retry_elsewhere(self, call: _Call) -> None:
+        if len(call.placement_request.tried) >= MAX_ATTEMPTS:
             self._refuse(call)
             return
         self._place(call)
 
-    def _tell(self) -> None:
-        """Tells every entry what all have at each upstream, and the plan."""
-        own = {entry.name: entry.loads() for entry in self._entries}
+    def _exchange_loads(self) -> None:
+        """Schedules the delivery of all entries' loads and the plan."""
+        loads_by_entry = {entry.name: entry.loads() for entry in self._entries}
         total: dict[int, int] = {}
-        for loads in own.values():
+        for loads in loads_by_entry.values():
             for name, count in loads.items():
                 total[name] = total.get(name, 0) + count
         self._planner.update(
             services=self._entries[0].takers(), now_s=self._now_s
         )
         plan = self._planner.plan
-        places = []
+        locations = []
         for entry in self._entries:
-            places += entry.places.locations_to_report(now_s=self._now_s)
+            locations += entry.cached_locations.locations_to_report(
+                now_s=self._now_s
+            )
 
-        def hear() -> None:
+        def apply() -> None:
             for entry in self._entries:
-                entry.hear(total, own[entry.name], plan)
-                entry.places.apply_reported(places, now_s=self._now_s)
+                entry.hear(total, loads_by_entry[entry.name], plan)
+                entry.cached_locations.apply_reported(
+                    locations, now_s=self._now_s
+                )
 
-        self._later(self._pattern.told_s, hear)
+        self._schedule(self._pattern.told_s, apply)
         if self._now_s < self._pattern.span_s:
-            self._later(self._pattern.told_s, self._tell)
+            self._schedule(self._pattern.told_s, self._exchange_loads)
 
-    # Troubles.
+    # Disturbances.
 
-    def _strike(self) -> None:
-        """Begins and ends what the pattern has for this moment."""
-        for number, trouble in enumerate(self._pattern.troubles):
-            lasts = trouble.lasts(self._now_s)
-            if lasts == (number in self._going_on):
+    def _update_disturbances(self) -> None:
+        """Starts and ends the disturbances that are due."""
+        for number, disturbance in enumerate(self._pattern.troubles):
+            is_active = disturbance.is_active(self._now_s)
+            if is_active == (number in self._active_disturbances):
                 continue
-            if lasts:
-                self._going_on.add(number)
+            if is_active:
+                self._active_disturbances.add(number)
             else:
-                self._going_on.discard(number)
-            self._change(trouble, begins=lasts)
+                self._active_disturbances.discard(number)
+            self._apply_disturbance(disturbance, begins=is_active)
         if self._now_s < self._pattern.span_s:
-            self._later(_TROUBLE_STEP_S, self._strike)
+            self._schedule(
+                _DISTURBANCE_CHECK_INTERVAL_S, self._update_disturbances
+            )
 
-    def _change(self, trouble: Trouble, *, begins: bool) -> None:
-        if trouble.what == "new_objects":
-            self._generation += begins
-        elif trouble.what == "restart":
+    def _apply_disturbance(
+        self, disturbance: Disturbance, *, begins: bool
+    ) -> None:
+        if disturbance.what == "new_objects":
+            self._key_generation += begins
+        elif disturbance.what == "restart":
             self._restart(begins)
-        elif trouble.what == "evacuated":
-            self._evacuate(trouble.region, begins)
-        elif trouble.what == "lost":
-            self._lose(trouble, begins)
-        elif trouble.what == "slow":
-            for upstream in self._struck(trouble):
-                upstream.slow_times = trouble.times if begins else 1.0
-
-    def _struck(self, trouble: Trouble) -> list[ModelledUpstream]:
-        fitting = []
+        elif disturbance.what == "evacuated":
+            self._evacuate(disturbance.region, begins)
+        elif disturbance.what == "lost":
+            self._set_lost(disturbance, begins)
+        elif disturbance.what == "slow":
+            for upstream in self._affected_upstreams(disturbance):
+                upstream.run_time_factor = disturbance.times if begins else 1.0
+
+    def _affected_upstreams(
+        self, disturbance: Disturbance
+    ) -> list[ModelledUpstream]:
+        matching = []
         for upstream in self._upstreams.values():
-            if trouble.service not in ("", upstream.service):
+            if disturbance.service not in ("", upstream.service):
                 continue
-            if trouble.region not in ("", upstream.region):
+            if disturbance.region not in ("", upstream.region):
                 continue
-            fitting.append(upstream)
-        return fitting[: round(trouble.share * len(fitting))]
+            matching.append(upstream)
+        return matching[: round(disturbance.share * len(matching))]
 
-    def _lose(self, trouble: Trouble, begins: bool) -> None:
-        for upstream in self._struck(trouble):
+    def _set_lost(self, disturbance: Disturbance, begins: bool) -> None:
+        for upstream in self._affected_upstreams(disturbance):
             if begins:
-                upstream.lose()
+                upstream.shut_down()
             else:
                 upstream.lost = False
 
     def _evacuate(self, region: str, begins: bool) -> None:
         for entry in self._entries:
             if begins:
-                entry.evacuate(region, now_s=self._now_s)
+                entry.start_evacuation(region, now_s=self._now_s)
             else:
-                entry.take_back(region, now_s=self._now_s)
+                entry.end_evacuation(region, now_s=self._now_s)
 
     def _restart(self, begins: bool) -> None:
-        self._away = begins
+        self._entries_down = begins
         if begins:
             for entry in self._entries:
                 entry.restart()
--- a/emulator/replay_outcome.py
+++ b/emulator/replay_outcome.py
@@ -1,4 +1,4 @@
-"""What became of the requests of a replay."""
+"""Outcomes of the requests of a replay."""
 
 from collections import Counter
 import enum
@@ -6,10 +6,10 @@
 
 from hdrh.histogram import HdrHistogram
 
-# What a late answer is worth, as a part of a timely one.
+# Credit of a late response; one within the target latency earns 1.
 LATE_CREDIT = 0.2
 WINDOW_S = 2.0
-_LONGEST_MS = 60_000
+_MAX_LATENCY_MS = 60_000
 
 
 class Ending(enum.StrEnum):
@@ -22,16 +22,16 @@
 
 
 class KindOutcome(NamedTuple):
-    """The requests of one kind.
+    """Outcomes of the requests of one kind.
 
     Attributes:
-      asked: how many there were.
-      in_aim: how many were answered in their aim.
-      late: how many were answered later.
-      refused: how many were not run.
-      failed: how many had no answer.
-      p50_ms: median time to an answer, in milliseconds.
-      p99_ms: 99th percentile of it, in milliseconds.
+      asked: number of requests.
+      in_aim: number with a response within the target latency.
+      late: number with a later response.
+      refused: number that were refused and not run.
+      failed: number without a response before the deadline.
+      p50_ms: median latency, in milliseconds.
+      p99_ms: 99th percentile of the latency, in milliseconds.
     """
 
     asked: int
@@ -44,21 +44,21 @@
 
     @property
     def credit(self) -> float:
-        """Returns what was earned, as a part of what could be."""
+        """Returns the share of the possible credit that was earned."""
         if not self.asked:
             return 1.0
         return (self.in_aim + LATE_CREDIT * self.late) / self.asked
 
 
 class Outcome(NamedTuple):
-    """A whole play.
+    """The outcome of a replay.
 
     Attributes:
-      kinds: what became of each kind of request.
-      windows: the credit of each window of `WINDOW_S`, by its begin in seconds.
-      runs: how many requests ran.
-      new_runs: how many of them ran as new.
-      places: upstreams at which a key was run, in the mean over keys.
+      kinds: outcome by kind of request.
+      windows: credit of each window of `WINDOW_S`, by start time in seconds.
+      runs: number of runs at upstreams.
+      new_runs: number of runs whose object was not cached.
+      places: mean number of upstreams that ran a key.
     """
 
     kinds: dict[str, KindOutcome]
@@ -75,41 +75,41 @@
         return earned / asked if asked else 1.0
 
     @property
-    def worst_kind(self) -> float:
-        """Returns the credit of the kind that earned the least."""
+    def lowest_kind_credit(self) -> float:
+        """Returns the lowest credit of any kind."""
         return min(kind.credit for kind in self.kinds.values())
 
 
 class Tally:
-    """Counts while a replay plays."""
+    """Collects the outcomes of a running replay."""
 
     def __init__(self, *, warm_up_s: float) -> None:
-        """Starts with nothing; what is asked before `warm_up_s` is left out."""
+        """Starts empty; requests sent before `warm_up_s` are not counted."""
         self._warm_up_s = warm_up_s
         self._endings: dict[str, Counter[Ending]] = {}
         self._latencies: dict[str, HdrHistogram] = {}
-        self._asked: Counter[float] = Counter()
+        self._requests: Counter[float] = Counter()
         self._earned: dict[float, float] = {}
-        self._places: dict[str, set[str]] = {}
+        self._upstreams_by_key: dict[str, set[str]] = {}
         self._runs = 0
         self._new_runs = 0
 
-    def note(
-        self, *, kind: str, asked_s: float, took_s: float, ending: Ending
+    def record_request(
+        self, *, kind: str, started_s: float, latency_s: float, ending: Ending
     ) -> None:
-        """Counts a request that has ended.
+        """Records a request that has ended.
 
         Args:
-          kind: its kind.
-          asked_s: when its caller first asked.
-          took_s: how long its caller waited, in seconds.
+          kind: kind of the request.
+          started_s: time of its first attempt, in seconds.
+          latency_s: time that its caller waited, in seconds.
           ending: how it ended.
         """
-        if asked_s < self._warm_up_s:
+        if started_s < self._warm_up_s:
             return
         self._endings.setdefault(kind, Counter())[ending] += 1
-        window_s = asked_s // WINDOW_S * WINDOW_S
-        self._asked[window_s] += 1
+        window_s = started_s // WINDOW_S * WINDOW_S
+        self._requests[window_s] += 1
         earned = self._earned.setdefault(window_s, 0.0)
         if ending is Ending.ANSWERED:
             self._earned[window_s] = earned + 1.0
@@ -118,22 +118,22 @@
         if ending in (Ending.ANSWERED, Ending.LATE):
             latencies = self._latencies.get(kind)
             if latencies is None:
-                latencies = HdrHistogram(1, _LONGEST_MS, 2)
+                latencies = HdrHistogram(1, _MAX_LATENCY_MS, 2)
                 self._latencies[kind] = latencies
-            latencies.record_value(max(1, round(took_s * 1000)))
+            latencies.record_value(max(1, round(latency_s * 1000)))
 
-    def note_run(
+    def record_run(
         self, *, key: str, upstream: str, new: bool, at_s: float
     ) -> None:
-        """Counts a run at an upstream."""
+        """Records a run at an upstream."""
         if at_s < self._warm_up_s:
             return
         self._runs += 1
         self._new_runs += new
-        self._places.setdefault(key, set()).add(upstream)
+        self._upstreams_by_key.setdefault(key, set()).add(upstream)
 
     def outcome(self) -> Outcome:
-        """Returns what was counted."""
+        """Returns the collected outcomes."""
         kinds = {}
         for kind, endings in self._endings.items():
             latencies = self._latencies.get(kind)
@@ -147,15 +147,21 @@
                 p99_ms=_percentile_ms(latencies, 99),
             )
         windows = {}
-        for window_s in sorted(self._asked):
-            windows[window_s] = self._earned[window_s] / self._asked[window_s]
-        places = [len(found) for found in self._places.values()]
+        for window_s in sorted(self._requests):
+            windows[window_s] = (
+                self._earned[window_s] / self._requests[window_s]
+            )
+        upstream_counts = [
+            len(found) for found in self._upstreams_by_key.values()
+        ]
         return Outcome(
             kinds=kinds,
             windows=windows,
             runs=self._runs,
             new_runs=self._new_runs,
-            places=sum(places) / len(places) if places else 0.0,
+            places=sum(upstream_counts) / len(upstream_counts)
+            if upstream_counts
+            else 0.0,
         )
 
 
--- a/emulator/replay_switches.py
+++ b/emulator/replay_switches.py
@@ -1,8 +1,8 @@
-"""Mechanisms of the decisions that a replay can do without.
+"""Placement mechanisms that a replay can switch off.
 
-Each is switched off by the value of one or two of its constants, so that what
-is played is the code itself. `constants` sets any other number of a module of
-`almondstair.core` in the same way, to see how sensitive a result is to it.
+Overriding one or two constants switches a mechanism off, so that the replay
+still runs the production code. `parse` reads overrides of any other numeric
+constant of `almondstair.core`, to measure how sensitive a result is to it.
 """
 
 from collections.abc import Iterator
@@ -16,7 +16,7 @@
 
 
 class Constant(NamedTuple):
-    """A value for a constant of a module of `almondstair.core`."""
+    """An overriding value for a constant of an `almondstair.core` module."""
 
     module: str
     name: str
@@ -24,11 +24,11 @@
 
 
 MECHANISMS: dict[str, tuple[Constant, ...]] = {
-    # No object is taken to be known anywhere but at its home.
+    # Objects count as cached only at their home.
     "known-objects": (Constant("known_places", "WARM_S", 0.0),),
-    # An entry knows only the places that it sent requests to itself.
+    # An entry uses only cached locations that it learned from its own requests.
     "places-told": (Constant("known_places", "TOLD_S", 0.0),),
-    # A region keeps all keys of its callers, however few slots it has.
+    # A region keeps all keys of its callers even if its slots are too few.
     "region-weights": (Constant("placement", "PLANNED_USE", 1e-9),),
     "moves-of-keys": (Constant("placement_plan", "QUEUED", math.inf),),
     "crowding": (Constant("choosing", "CROWDED_USE", math.inf),),
@@ -45,12 +45,12 @@
 
 
 def parse(settings: list[str]) -> tuple[Constant, ...]:
-    """Reads constants given as `choosing.CROWDED_USE=0.9`.
+    """Parses overrides such as `choosing.CROWDED_USE=0.9`.
 
     Raises:
       AlmondstairError: `settings_invalid` if there is no such constant.
     """
-    found = []
+    constants = []
     for setting in settings:
         path, _, value = setting.partition("=")
         module, _, name = path.rpartition(".")
@@ -61,8 +61,8 @@
             raise _invalid(f"{setting}: {error}") from error
         if not isinstance(before, int | float):
             raise _invalid(f"{path} is no number")
-        found.append(constant)
-    return tuple(found)
+        constants.append(constant)
+    return tuple(constants)
 
 
 def without(names: list[str]) -> tuple[Constant, ...]:
@@ -71,17 +71,17 @@
     Raises:
       AlmondstairError: `settings_invalid` if there is no such mechanism.
     """
-    found: tuple[Constant, ...] = ()
+    constants: tuple[Constant, ...] = ()
     for name in names:
         if name not in MECHANISMS:
             raise _invalid(f"no mechanism {name}; it has {sorted(MECHANISMS)}")
-        found += MECHANISMS[name]
-    return found
+        constants += MECHANISMS[name]
+    return constants
 
 
 @contextlib.contextmanager
 def using(constants: tuple[Constant, ...]) -> Iterator[None]:
-    """Gives constants other values for a while."""
+    """Overrides constants within the context and restores them after it."""
     before = []
     for constant in constants:
         module = _module(constant)
--- a/emulator/replaying.py
+++ b/emulator/replaying.py
@@ -1,4 +1,4 @@
-"""The command that replays patterns over seeds and prints what came of it."""
+"""The command that replays patterns over seeds and prints the results."""
 
 from collections.abc import Iterable
 from concurrent import futures
@@ -23,13 +23,13 @@
 
 
 class Comparison(NamedTuple):
-    """A figure over seeds, as it is and with other constants.
+    """A figure over seeds, without and with overridden constants.
 
     Attributes:
-      name: what it is.
-      mean: its mean as it is.
-      changed: its mean with other constants; the same where there are none.
-      error: standard error of the difference, seed by seed.
+      name: name of the figure.
+      mean: mean without overrides.
+      changed: mean with overrides; the same if there are none.
+      error: standard error of the paired difference per seed.
     """
 
     name: str
@@ -41,18 +41,18 @@
 def play(
     pattern: Pattern, *, seeds: int, constants: tuple[Constant, ...], jobs: int
 ) -> list[Outcome]:
-    """Plays a pattern with the seeds from 1 on, side by side."""
-    numbers = range(1, seeds + 1)
+    """Replays a pattern with seeds from 1, in parallel processes."""
+    seed_range = range(1, seeds + 1)
     if jobs == 1:
-        return [_play_one(pattern, seed, constants) for seed in numbers]
+        return [_run_one(pattern, seed, constants) for seed in seed_range]
     with futures.ProcessPoolExecutor(jobs) as pool:
         waiting = []
-        for seed in numbers:
-            waiting.append(pool.submit(_play_one, pattern, seed, constants))
+        for seed in seed_range:
+            waiting.append(pool.submit(_run_one, pattern, seed, constants))
         return [future.result() for future in waiting]
 
 
-def _play_one(
+def _run_one(
     pattern: Pattern, seed: int, constants: tuple[Constant, ...]
 ) -> Outcome:
     with replay_switches.using(constants):
@@ -62,20 +62,20 @@
 def compare(
     outcomes: list[Outcome], changed: list[Outcome]
 ) -> list[Comparison]:
-    """Returns the figures of two lists of plays with the same seeds."""
+    """Compares the figures of two lists of replays with the same seeds."""
     figures = [("credit", [outcome.credit for outcome in outcomes])]
-    others = [[outcome.credit for outcome in changed]]
-    figures.append(("worst kind", [one.worst_kind for one in outcomes]))
-    others.append([one.worst_kind for one in changed])
+    changed_figures = [[outcome.credit for outcome in changed]]
+    figures.append(("worst kind", [one.lowest_kind_credit for one in outcomes]))
+    changed_figures.append([one.lowest_kind_credit for one in changed])
     for kind in outcomes[0].kinds:
         figures.append((kind, [one.kinds[kind].credit for one in outcomes]))
-        others.append([one.kinds[kind].credit for one in changed])
+        changed_figures.append([one.kinds[kind].credit for one in changed])
     figures.append(("new runs", [one.new_runs / one.runs for one in outcomes]))
-    others.append([one.new_runs / one.runs for one in changed])
+    changed_figures.append([one.new_runs / one.runs for one in changed])
     figures.append(("places a key", [one.places for one in outcomes]))
-    others.append([one.places for one in changed])
+    changed_figures.append([one.places for one in changed])
     rows = []
-    for (name, values), after in zip(figures, others, strict=True):
+    for (name, values), after in zip(figures, changed_figures, strict=True):
         rows.append(_comparison(name, values, after))
     return rows
 
@@ -112,11 +112,13 @@
         sys.exit(USAGE_CODE)
     for path, pattern in loaded:
         outcomes = play(pattern, seeds=seeds, constants=(), jobs=jobs)
-        others = outcomes
+        changed_outcomes = outcomes
         if changed:
-            others = play(pattern, seeds=seeds, constants=changed, jobs=jobs)
+            changed_outcomes = play(
+                pattern, seeds=seeds, constants=changed, jobs=jobs
+            )
         title = f"{Path(path).stem}, {seeds} seeds: {pattern.shows}"
-        _print(title, compare(outcomes, others), bool(changed))
+        _print(title, compare(outcomes, changed_outcomes), bool(changed))
 
 
 def _print(title: str, rows: list[Comparison], with_change: bool) -> None:
--- a/emulator/report.py
+++ b/emulator/report.py
@@ -1,4 +1,4 @@
-"""Tables and plots of an experiment, for the terminal and as one HTML page."""
+"""Tables and plots of an experiment, for the terminal and as an HTML page."""
 
 import html
 from pathlib import Path
@@ -8,26 +8,27 @@
 from pygal.style import CleanStyle
 
 from emulator.experiment import Round
-from emulator.load import PROMISES
+from emulator.load import NOT_RUN_STATUSES
 from emulator.load import Outcome
 
 PERCENTILES = (0.5, 0.9, 0.99)
-# Steps of the latency plots, in milliseconds.
-STEP_MS = 25
-LONGEST_MS = 2000
+LATENCY_STEP_MS = 25
+MAX_LATENCY_MS = 2000
 
 
 class Row(NamedTuple):
-    """Figures of one side over some requests.
+    """Figures of one side over a group of requests.
 
     Attributes:
-      group: which requests.
-      side: which side.
-      sent: how many.
-      served_share: part that was served.
-      in_aim_share: part that was served within its route's aim.
-      refused_share: part that ended with a promise that it has not run.
-      percentiles_ms: latencies of those served at `PERCENTILES`.
+      group: `all`, a route's prefix or an availability zone.
+      side: name of the side.
+      sent: number of requests.
+      served_share: share that was served.
+      in_aim_share: share that was served within the route's target latency.
+      refused_share: share whose last response guarantees that the request has
+        not run.
+      percentiles_ms: latencies of served requests at `PERCENTILES`, in
+        milliseconds.
     """
 
     group: str
@@ -40,14 +41,14 @@
 
 
 class Cost(NamedTuple):
-    """What one side cost.
+    """Resource use of one side.
 
     Attributes:
-      side: which side.
-      store_calls_per_s: calls to the store a second of load.
-      cpu_ms: processor time of gateways for each request, in milliseconds.
-      memory_mb: the greatest resident memory of a gateway, in MB.
-      runs_per_request: runs of upstreams for each request.
+      side: name of the side.
+      store_calls_per_s: store calls per second of load.
+      cpu_ms: CPU time of all gateways per request, in milliseconds.
+      memory_mb: largest resident memory of a gateway, in MB.
+      runs_per_request: runs at upstreams per request.
     """
 
     side: str
@@ -58,15 +59,15 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Returns the value that a share of the sorted values does not exceed."""
+    """Returns the value at a quantile of sorted values, 0.0 if empty."""
     if not values:
         return 0.0
     return values[min(len(values) - 1, int(share * len(values)))]
 
 
 def rows(rounds: list[Round], *, zones: list[str]) -> list[Row]:
-    """Returns the figures of each side, over all, by route and by zone."""
-    found = []
+    """Returns the figures of each side: overall, by route and by zone."""
+    result = []
     sides = list(dict.fromkeys(each.side for each in rounds))
     routes = []
     for each in rounds:
@@ -74,20 +75,24 @@
             if outcome.arrival.route.prefix not in routes:
                 routes.append(outcome.arrival.route.prefix)
     for side in sides:
-        found.append(_row("all", side, _of(rounds, side)))
+        result.append(_row("all", side, _select_outcomes(rounds, side)))
     for route in sorted(routes):
         for side in sides:
-            found.append(_row(route, side, _of(rounds, side, route=route)))
+            result.append(
+                _row(route, side, _select_outcomes(rounds, side, route=route))
+            )
     for zone in zones:
         for side in sides:
-            found.append(_row(zone, side, _of(rounds, side, zone=zone)))
-    return found
+            result.append(
+                _row(zone, side, _select_outcomes(rounds, side, zone=zone))
+            )
+    return result
 
 
-def _of(
+def _select_outcomes(
     rounds: list[Round], side: str, *, route: str = "", zone: str = ""
 ) -> list[Outcome]:
-    found = []
+    selected = []
     for each in rounds:
         if each.side != side:
             continue
@@ -96,8 +101,8 @@
                 continue
             if zone and outcome.arrival.zone != zone:
                 continue
-            found.append(outcome)
-    return found
+            selected.append(outcome)
+    return selected
 
 
 def _row(group: str, side: str, outcomes: list[Outcome]) -> Row:
@@ -106,7 +111,7 @@
     in_aim = 0
     refused = 0
     for outcome in outcomes:
-        if outcome.status in PROMISES:
+        if outcome.status in NOT_RUN_STATUSES:
             refused += 1
         if not outcome.served:
             continue
@@ -114,14 +119,14 @@
         latencies_ms.append(latency_ms)
         in_aim += latency_ms <= outcome.arrival.route.aim_ms
     latencies_ms.sort()
-    whole = max(1, sent)
+    total = max(1, sent)
     return Row(
         group=group,
         side=side,
         sent=sent,
-        served_share=len(latencies_ms) / whole,
-        in_aim_share=in_aim / whole,
-        refused_share=refused / whole,
+        served_share=len(latencies_ms) / total,
+        in_aim_share=in_aim / total,
+        refused_share=refused / total,
         percentiles_ms=tuple(
             percentile(latencies_ms, share) for share in PERCENTILES
         ),
@@ -129,22 +134,25 @@
 
 
 def costs(rounds: list[Round], *, seconds: float) -> list[Cost]:
-    """Returns what each side cost, as means over its rounds."""
-    found = []
+    """Returns the resource use of each side, over all its rounds."""
+    result = []
     for side in dict.fromkeys(each.side for each in rounds):
-        own = [each for each in rounds if each.side == side]
-        sent = max(1, sum(len(each.outcomes) for each in own))
-        calls = sum(sum(each.store_calls.values()) for each in own)
-        found.append(
+        side_rounds = [each for each in rounds if each.side == side]
+        sent = max(1, sum(len(each.outcomes) for each in side_rounds))
+        calls = sum(sum(each.store_calls.values()) for each in side_rounds)
+        result.append(
             Cost(
                 side=side,
-                store_calls_per_s=calls / (seconds * len(own)),
-                cpu_ms=sum(each.gateway_cpu_s for each in own) / sent * 1000,
-                memory_mb=max(each.gateway_peak_bytes for each in own) / 1e6,
-                runs_per_request=sum(each.runs for each in own) / sent,
+                store_calls_per_s=calls / (seconds * len(side_rounds)),
+                cpu_ms=sum(each.gateway_cpu_s for each in side_rounds)
+                / sent
+                * 1000,
+                memory_mb=max(each.gateway_peak_bytes for each in side_rounds)
+                / 1e6,
+                runs_per_request=sum(each.runs for each in side_rounds) / sent,
             )
         )
-    return found
+    return result
 
 
 _ROW_TITLES = (
@@ -200,10 +208,10 @@
 
 
 def text(found: list[Row], cost: list[Cost]) -> str:
-    """Returns both tables for a terminal."""
-    figures = _table(_ROW_TITLES, [_row_cells(row) for row in found])
-    spent = _table(_COST_TITLES, [_cost_cells(each) for each in cost])
-    return f"{figures}\n\n{spent}"
+    """Returns both tables as plain text."""
+    summary_table = _table(_ROW_TITLES, [_row_cells(row) for row in found])
+    cost_table = _table(_COST_TITLES, [_cost_cells(each) for each in cost])
+    return f"{summary_table}\n\n{cost_table}"
 
 
 def write_page(
@@ -214,7 +222,7 @@
     found: list[Row],
     cost: list[Cost],
 ) -> None:
-    """Writes one HTML page with both tables and the plots inside."""
+    """Writes a self-contained HTML page with both tables and the plots."""
     parts = [
         "<!doctype html><meta charset=utf-8>",
         f"<title>{html.escape(title)}</title>",
@@ -231,8 +239,8 @@
         _share_chart(found),
         _calls_chart(rounds),
     ):
-        drawn = chart.render(is_unicode=True, disable_xml_declaration=True)
-        parts.append(f"<figure>{drawn}</figure>")
+        svg = chart.render(is_unicode=True, disable_xml_declaration=True)
+        parts.append(f"<figure>{svg}</figure>")
     path.write_text("\n".join(parts), encoding="utf-8")
 
 
@@ -246,7 +254,7 @@
 
 
 def _latency_chart(rounds: list[Round]) -> pygal.XY:
-    """Draws which part of all requests was served within each time."""
+    """Plots the share of all requests that was served within each latency."""
     chart = pygal.XY(
         title="served within (ms), part of all requests",
         style=CleanStyle,
@@ -263,7 +271,7 @@
     )
     for prefix in prefixes:
         for side in sides:
-            points = _curve(_of(rounds, side, route=prefix))
+            points = _curve(_select_outcomes(rounds, side, route=prefix))
             chart.add(f"{prefix} {side}", points)
     return chart
 
@@ -274,7 +282,7 @@
     )
     points = []
     reached = 0
-    for limit_ms in range(0, LONGEST_MS + 1, STEP_MS):
+    for limit_ms in range(0, MAX_LATENCY_MS + 1, LATENCY_STEP_MS):
         while reached < len(latencies_ms) and latencies_ms[reached] <= limit_ms:
             reached += 1
         points.append((float(limit_ms), reached / max(1, len(outcomes))))
@@ -303,10 +311,10 @@
     kinds = sorted({kind for each in rounds for kind in each.store_calls})
     chart.x_labels = kinds
     for side in dict.fromkeys(each.side for each in rounds):
-        own = [each for each in rounds if each.side == side]
+        side_rounds = [each for each in rounds if each.side == side]
         means = []
         for kind in kinds:
-            total = sum(each.store_calls.get(kind, 0) for each in own)
-            means.append(total / len(own))
+            total = sum(each.store_calls.get(kind, 0) for each in side_rounds)
+            means.append(total / len(side_rounds))
         chart.add(side, means)
     return chart
--- a/emulator/store.py
+++ b/emulator/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value store as a process, with faults to order."""
+"""The platform's key-value store as a process, with fault injection."""
 
 import asyncio
 import base64
@@ -15,21 +15,22 @@
 from emulator.store_state import StoreState
 
 PAGE_ITEMS = 500
-LONGEST_WAIT_MS = 30_000
-EXPIRY_S = 0.05
-# Longer than any caller of the store waits.
+MAX_WAIT_MS = 30_000
+EXPIRY_INTERVAL_S = 0.05
+# Longer than any client's timeout.
 SILENCE_S = 60.0
 
 
 class StoreFaults(msgspec.Struct, kw_only=True):
-    """What is wrong with the store, by order.
+    """Faults injected into the store.
 
     Attributes:
       mode: `up`, `busy` (503), `limited` (429), `reset` or `silent`.
-      delay_s: time added to each answer, in seconds.
-      lose_writes: every so many-th write is done and not answered; 0 for none.
-      late_s: how much later a lost write is done, in seconds.
-      leases_pause: whether leases stand still.
+      delay_s: delay before each response, in seconds.
+      lose_writes: n: every n-th write is applied without a response; 0 for
+        none.
+      late_s: delay before such a write is applied, in seconds.
+      leases_pause: whether leases do not expire.
     """
 
     mode: str = "up"
@@ -40,10 +41,10 @@
 
 
 class Store:
-    """The store, its faults and its count of calls."""
+    """The store with its faults and call counts."""
 
     def __init__(self) -> None:
-        """Makes an empty store without faults."""
+        """Creates an empty store without faults."""
         self.state = StoreState()
         self.faults = StoreFaults()
         self.calls: dict[str, int] = {}
@@ -57,10 +58,10 @@
         """Binds an address, port 0 for any; returns the port.
 
         Args:
-          ip: where to listen.
+          ip: address to listen on.
           port: port, 0 for any.
-          zone: availability zone as which callers of this address see
-            places that are reached by different ways; empty for none.
+          zone: availability zone whose proxy addresses the responses contain;
+            empty for the addresses as written.
         """
         options = {"store": self, "zone": zone}
         application = web.Application(
@@ -70,11 +71,11 @@
                 (r"/kv-watch", _Watch, options),
                 (r"/kv-txn", _Transaction, options),
                 (r"/kv-lease", _Lease, options),
-                (r"/kv-keep/(\d+)", _Keep, options),
-                (r"/kv-lease-end/(\d+)", _End, options),
+                (r"/kv-keep/(\d+)", _LeaseRenewal, options),
+                (r"/kv-lease-end/(\d+)", _LeaseRevocation, options),
                 (r"/faults", _Faults, options),
                 (r"/operator", _Operator, options),
-                (r"/ways", _Ways, options),
+                (r"/ways", _ZoneAddresses, options),
             ],
             log_function=lambda handler: None,
         )
@@ -96,7 +97,7 @@
 
     async def _expire(self) -> None:
         while True:
-            await asyncio.sleep(EXPIRY_S)
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
             if self.faults.leases_pause:
                 continue
             before = self.state.revision
@@ -105,30 +106,30 @@
                 await self.notify()
 
     async def notify(self) -> None:
-        """Wakes the watches."""
+        """Wakes all pending watches."""
         async with self.changed:
             self.changed.notify_all()
 
-    def loses_this_write(self) -> bool:
-        """Counts a write; returns whether its answer is lost."""
+    def loses_write_response(self) -> bool:
+        """Counts a write; returns whether its response is lost."""
         self._writes += 1
         every = self.faults.lose_writes
         return every > 0 and self._writes % every == 0
 
     async def put_text(self, key: str, text: str) -> None:
-        """Writes a key as the operator or an upstream would."""
+        """Writes a key with the rights of the operator or an upstream."""
         self.state.put_text(key, text)
         await self.notify()
 
     async def remove(self, key: str) -> None:
-        """Removes a key as the operator or an upstream would."""
+        """Removes a key with the rights of the operator or an upstream."""
         self.state.remove(key)
         await self.notify()
 
 
 class _Handler(web.RequestHandler):
     kind = ""
-    faulty = True
+    applies_faults = True
 
     def initialize(self, store: Store, zone: str) -> None:
         self.store = store
@@ -140,7 +141,7 @@
     async def prepare(self) -> None:
         calls = self.store.calls
         calls[self.kind] = calls.get(self.kind, 0) + 1
-        if not self.faulty:
+        if not self.applies_faults:
             return
         faults = self.store.faults
         if faults.delay_s:
@@ -150,7 +151,7 @@
         elif faults.mode == "limited":
             self.fail(429)
         elif faults.mode == "reset":
-            self.cut()
+            self.drop_connection()
         elif faults.mode == "silent":
             await asyncio.sleep(SILENCE_S)
 
@@ -158,31 +159,31 @@
         self.set_status(status)
         self.finish()
 
-    def cut(self) -> None:
+    def drop_connection(self) -> None:
         connection_of(self).stream.close()
         raise web.Finish
 
-    def answer(self, body: Any, status: int = 200) -> None:
+    def respond(self, body: Any, status: int = 200) -> None:
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
         self.finish(msgspec.json.encode(body))
 
-    def seen(self, item: Mapping[str, Any]) -> dict[str, Any]:
-        return _seen_from(self.zone, dict(item), self.store.ways)
+    def as_seen_from_zone(self, item: Mapping[str, Any]) -> dict[str, Any]:
+        return _rewrite_addresses(self.zone, dict(item), self.store.ways)
 
     def body(self) -> dict[str, Any]:
         return msgspec.json.decode(self.request.body or b"{}")
 
-    async def write_and_answer(self, change: dict[str, Any]) -> None:
-        if self.store.loses_this_write():
+    async def write_and_respond(self, change: dict[str, Any]) -> None:
+        if self.store.loses_write_response():
             if self.store.faults.late_s:
                 await asyncio.sleep(self.store.faults.late_s)
             self.store.state.transact(change)
             await self.store.notify()
-            self.cut()
+            self.drop_connection()
         status, body = self.store.state.transact(change)
         await self.store.notify()
-        self.answer(body, status)
+        self.respond(body, status)
 
 
 class _Key(_Handler):
@@ -191,10 +192,10 @@
     def get(self) -> None:
         item = self.store.state.items.get(self.get_query_argument("key"))
         if item is None:
-            self.answer({"asOf": self.store.state.revision}, 404)
+            self.respond({"asOf": self.store.state.revision}, 404)
             return
-        shown = self.seen(item)
-        self.answer(shown | {"asOf": self.store.state.revision})
+        shown = self.as_seen_from_zone(item)
+        self.respond(shown | {"asOf": self.store.state.revision})
 
 
 class _Range(_Handler):
@@ -207,8 +208,8 @@
             PAGE_ITEMS,
         )
         revision = self.store.state.revision
-        shown = [self.seen(item) for item in items]
-        self.answer({"items": shown, "hasMore": more, "asOf": revision})
+        items_seen = [self.as_seen_from_zone(item) for item in items]
+        self.respond({"items": items_seen, "hasMore": more, "asOf": revision})
 
 
 class _Watch(_Handler):
@@ -218,17 +219,17 @@
         prefix = self.get_query_argument("prefix")
         after = int(self.get_query_argument("after"))
         wait_ms = int(self.get_query_argument("waitMs"))
-        until_s = time.monotonic() + min(wait_ms, LONGEST_WAIT_MS) / 1000
+        until_s = time.monotonic() + min(wait_ms, MAX_WAIT_MS) / 1000
         while True:
             events = self.store.state.changes(prefix, after)
             if events is None:
-                self.answer({}, 410)
+                self.respond({}, 410)
                 return
             left_s = until_s - time.monotonic()
             if events or left_s <= 0:
                 revision = self.store.state.revision
-                shown = [self.seen(each) for each in events]
-                self.answer({"events": shown, "asOf": revision})
+                shown = [self.as_seen_from_zone(each) for each in events]
+                self.respond({"events": shown, "asOf": revision})
                 return
             await self._wait(left_s)
 
@@ -247,9 +248,9 @@
         change = self.body()
         for put in change.get("puts", []):
             if put["key"].startswith(("op/", "servers/")):
-                self.answer({}, 403)
+                self.respond({}, 403)
                 return
-        await self.write_and_answer(change)
+        await self.write_and_respond(change)
 
 
 class _Lease(_Handler):
@@ -258,32 +259,32 @@
     def post(self) -> None:
         ttl_s = float(self.body()["ttlS_time"])
         lease = self.store.state.grant(ttl_s, time.monotonic())
-        self.answer({"lease": lease, "ttlS_time": ttl_s})
+        self.respond({"lease": lease, "ttlS_time": ttl_s})
 
 
-class _Keep(_Handler):
+class _LeaseRenewal(_Handler):
     kind = "keep"
 
     def post(self, lease: str) -> None:
-        if not self.store.state.keep(int(lease), time.monotonic()):
-            self.answer({}, 404)
+        if not self.store.state.renew(int(lease), time.monotonic()):
+            self.respond({}, 404)
             return
-        self.answer({"ttlS_time": self.store.state.leases[int(lease)].ttl_s})
+        self.respond({"ttlS_time": self.store.state.leases[int(lease)].ttl_s})
 
 
-class _End(_Handler):
+class _LeaseRevocation(_Handler):
     kind = "end"
 
     async def delete(self, lease: str) -> None:
-        if not self.store.state.end(int(lease)):
-            self.answer({}, 404)
+        if not self.store.state.revoke(int(lease)):
+            self.respond({}, 404)
             return
         await self.store.notify()
-        self.answer({})
+        self.respond({})
 
 
 class _Faults(_Handler):
-    """Orders faults; the store's own trouble does not hold here."""
+    """Sets faults and counts calls; not affected by the faults itself."""
 
     kind = "faults"
     faulty = False
@@ -292,14 +293,14 @@
         self.store.faults = msgspec.json.decode(
             self.request.body, type=StoreFaults
         )
-        self.answer({})
+        self.respond({})
 
     def post(self) -> None:
         self.store.state.drop_history()
-        self.answer({})
+        self.respond({})
 
     def get(self) -> None:
-        self.answer({"calls": self.store.calls})
+        self.respond({"calls": self.store.calls})
 
 
 class _Operator(_Handler):
@@ -311,33 +312,33 @@
     async def post(self) -> None:
         status, body = self.store.state.transact(self.body())
         await self.store.notify()
-        self.answer(body, status)
+        self.respond(body, status)
 
 
-class _Ways(_Handler):
-    """Takes the ways by which places are reached from each zone."""
+class _ZoneAddresses(_Handler):
+    """Sets the proxy addresses that each zone uses."""
 
     kind = "ways"
     faulty = False
 
     def put(self) -> None:
         self.store.ways = self.body()
-        self.answer({})
+        self.respond({})
 
 
-def _seen_from(
-    zone: str, item: dict[str, Any], ways: dict[str, dict[str, str]]
+def _rewrite_addresses(
+    zone: str, item: dict[str, Any], zone_addresses: dict[str, dict[str, str]]
 ) -> dict[str, Any]:
-    """Returns an item with the addresses that lead there from a zone.
+    """Returns an item with addresses replaced by those that a zone uses.
 
-    On one machine a distance is a proxy, and each zone has one of its own to
-    each upstream and gateway. They register where they listen; each zone is
-    shown its own way instead.
+    A proxy emulates the distance between two zones, and each zone has its own
+    proxy to each upstream and gateway. They register the address that they
+    listen on; each zone gets the address of its own proxy instead.
 
     Args:
-      zone: the zone; empty for what was written.
+      zone: availability zone; empty for the item as written.
       item: the item.
-      ways: for an address as written, the one that leads there by zone.
+      zone_addresses: proxy address by zone, for each address as written.
     """
     if not zone or item.get("removed") or item["key"].startswith("op/"):
         return item
@@ -345,8 +346,8 @@
     if not isinstance(record, dict):
         return item
     for field, value in record.items():
-        if isinstance(value, str) and value in ways:
-            record[field] = ways[value].get(zone, value)
+        if isinstance(value, str) and value in zone_addresses:
+            record[field] = zone_addresses[value].get(zone, value)
     value = base64.b64encode(msgspec.json.encode(record)).decode()
     return item | {"value": value}
 
@@ -362,11 +363,11 @@
 
 
 def main(address: str, views: dict[str, str]) -> None:
-    """Serves an empty store at `ip:port` until it is ended.
+    """Serves an empty store until the process is ended.
 
     Args:
-      address: where to listen.
-      views: availability zones by further addresses, each of which shows
-        upstreams and gateways as they are reached from there.
+      address: `ip:port` to listen on.
+      views: availability zone by additional `ip:port`; each address serves the
+        store with the addresses that its zone uses.
     """
     asyncio.run(_serve(address, views))
--- a/emulator/store_state.py
+++ b/emulator/store_state.py
@@ -1,11 +1,11 @@
-"""The key-value store without its sockets: revisions, leases, history."""
+"""State of the key-value store: keys, revisions, leases and history."""
 
 import base64
 from typing import Any, NamedTuple, TypedDict
 
 
 class StoredItem(TypedDict):
-    """One key as the store's answers show it."""
+    """A key as it appears in the store's responses."""
 
     key: str
     value: str
@@ -15,7 +15,7 @@
 
 
 class Removal(TypedDict):
-    """A key's removal as the store's answers show it."""
+    """The removal of a key as it appears in the store's responses."""
 
     key: str
     revision: int
@@ -23,7 +23,7 @@
 
 
 class Lease(NamedTuple):
-    """A lease: its life without renewal and when it ends."""
+    """A lease: its time to live and when it expires, in seconds."""
 
     ttl_s: float
     ends_s: float
@@ -33,8 +33,8 @@
     """Keys, leases and the history of changes.
 
     Attributes:
-      revision: counts changes; starts above 0.
-      items: keys in force.
+      revision: current revision; starts above 0.
+      items: current items by key.
       leases: leases by id.
     """
 
@@ -44,7 +44,7 @@
         self.items: dict[str, StoredItem] = {}
         self.leases: dict[int, Lease] = {}
         self._history: list[StoredItem | Removal] = []
-        self._dropped_to = 0
+        self._compacted_revision = 0
         self._next_lease = 100
 
     def put(self, key: str, value: str, lease: int = 0) -> None:
@@ -63,11 +63,11 @@
         self._history.append(item)
 
     def put_text(self, key: str, text: str, lease: int = 0) -> None:
-        """Writes a key with a value of text."""
+        """Writes a key with a text value."""
         self.put(key, base64.b64encode(text.encode()).decode(), lease)
 
     def remove(self, key: str) -> None:
-        """Removes a key if it is there."""
+        """Removes a key if it exists."""
         if self.items.pop(key, None) is None:
             return
         self.revision += 1
@@ -78,7 +78,7 @@
     def listing(
         self, prefix: str, after: str, limit: int
     ) -> tuple[list[StoredItem], bool]:
-        """Returns a page of keys and whether there are more."""
+        """Returns a page of items and whether there are more."""
         keys = []
         for key in sorted(self.items):
             if key.startswith(prefix) and key > after:
@@ -89,40 +89,40 @@
     def changes(
         self, prefix: str, after: int
     ) -> list[StoredItem | Removal] | None:
-        """Returns the changes since a revision, None when they are dropped."""
-        if after < self._dropped_to:
+        """Returns the changes after a revision, None if they were dropped."""
+        if after < self._compacted_revision:
             return None
-        found = []
+        changes = []
         for change in self._history:
             if change["revision"] <= after:
                 continue
             if change["key"].startswith(prefix):
-                found.append(change)
-        return found
+                changes.append(change)
+        return changes
 
     def drop_history(self) -> None:
-        """Forgets every change so far."""
-        self._dropped_to = self.revision
+        """Drops the history up to the current revision."""
+        self._compacted_revision = self.revision
         self._history.clear()
 
     # Leases.
 
     def grant(self, ttl_s: float, now_s: float) -> int:
-        """Makes a lease."""
+        """Grants a lease and returns its id."""
         self._next_lease += 1
         self.leases[self._next_lease] = Lease(ttl_s, now_s + ttl_s)
         return self._next_lease
 
-    def keep(self, lease: int, now_s: float) -> bool:
-        """Renews a lease; returns whether it was alive."""
+    def renew(self, lease: int, now_s: float) -> bool:
+        """Renews a lease; returns whether it exists."""
         found = self.leases.get(lease)
         if found is None:
             return False
         self.leases[lease] = Lease(found.ttl_s, now_s + found.ttl_s)
         return True
 
-    def end(self, lease: int) -> bool:
-        """Ends a lease and removes its keys."""
+    def revoke(self, lease: int) -> bool:
+        """Revokes a lease and removes its keys; returns whether it existed."""
         if self.leases.pop(lease, None) is None:
             return False
         for key in list(self.items):
@@ -131,18 +131,18 @@
         return True
 
     def expire(self, now_s: float) -> None:
-        """Ends the leases that were not renewed."""
+        """Revokes the leases that have expired."""
         for lease, found in list(self.leases.items()):
             if now_s >= found.ends_s:
-                self.end(lease)
+                self.revoke(lease)
 
     # Transactions.
 
     def transact(self, change: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        """Carries out a transaction, whole or not at all.
+        """Applies a transaction atomically.
 
         Returns:
-          The HTTP status and the answer.
+          The HTTP status and the body of the response.
         """
         current = []
         failed = False
--- a/emulator/upstream.py
+++ b/emulator/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream of the platform: slots, a queue, warm objects, faults."""
+"""An upstream of the platform: slots, a queue, cached objects and faults."""
 
 import asyncio
 from collections import OrderedDict
@@ -18,23 +18,24 @@
 from almondstair.platform import headers as names
 from emulator.handler_connection import connection_of
 
-KNOWN_SHARE = 0.3
-OWN_PREFIX = "/emulator"
+CACHED_RUN_TIME_FACTOR = 0.3
+CONTROL_PREFIX = "/emulator"
 
 
 class UpstreamPlan(msgspec.Struct, kw_only=True):
-    """How an upstream behaves.
+    """Behaviour of an upstream.
 
     Attributes:
-      service: the service that it runs.
+      service: name of its service.
       zone: its availability zone.
-      slots: requests that it runs at once.
-      queue: requests that it lets wait.
-      work_s: run time of a request for a new object, in seconds.
-      keeps: objects that it remembers.
-      cold_s: how long it is cold after its start, in seconds.
-      cold_rate_per_s: requests a second that it bears while cold.
-      keep_alive_s: idle time that it states for connections; 0 for none.
+      slots: number of concurrent requests.
+      queue: number of queued requests; it refuses more.
+      work_s: run time for an object that is not cached, in seconds.
+      keeps: capacity of the object cache.
+      cold_s: duration of the cold start, in seconds.
+      cold_rate_per_s: requests a second that it can handle while cold.
+      keep_alive_s: idle timeout in the Keep-Alive header, in seconds; 0 for no
+        header.
     """
 
     service: str = "service"
@@ -49,18 +50,20 @@
 
 
 class UpstreamFaults(msgspec.Struct, kw_only=True):
-    """What is wrong with an upstream, by order.
+    """Faults injected into an upstream.
 
     Attributes:
       slower: factor on run times.
-      every: faults strike every so many-th request; 0 for none.
-      how: `extra` (a second answer), `late_extra` (the same, later), `cut`
-        (half a body), `unframed` (no length), `lost` (run, and no answer),
-        `shed` (refused with room), `fail` (500), `trailing` (more bytes).
-      sick: whether the health page answers 503.
-      crash_path: requests of this path end it.
-      forget_idle_s: connections that were idle for longer are reset when
-        something comes on them; 0 for never.
+      every: n: every n-th request gets the fault; 0 for none.
+      how: `extra` (a second response), `late_extra` (the same, later), `cut`
+        (half a body), `unframed` (no length), `lost` (run without a response),
+        `shed` (refused despite free capacity), `fail` (500), `trailing` (extra
+        bytes after the response).
+      sick: whether the health check returns 503.
+      crash_path: requests whose path starts with this crash the upstream; empty
+        for none.
+      forget_idle_s: connections that were idle for longer, in seconds, are
+        closed on the next request; 0 for never.
     """
 
     slower: float = 1.0
@@ -72,7 +75,7 @@
 
 
 class Run(msgspec.Struct):
-    """One request that an upstream began to work on."""
+    """One request that an upstream started to run."""
 
     request: str
     method: str
@@ -87,16 +90,17 @@
     """One incarnation of an upstream."""
 
     def __init__(self, *, plan: UpstreamPlan, upstream_id: str = "") -> None:
-        """Makes an upstream that has not started.
+        """Creates an upstream that is not listening yet.
 
         Args:
-          plan: its behaviour.
-          upstream_id: the id of a start before it; empty for a new one.
+          plan: behaviour of the upstream.
+          upstream_id: id of an earlier incarnation to reuse; empty for a new
+            id.
         """
         self.plan = plan
         self.faults = UpstreamFaults()
         self.upstream_id = upstream_id or f"i-{uuid.uuid4().hex[:10]}"
-        self.born_ms = int(time.time() * 1000)
+        self.started_ms = int(time.time() * 1000)
         self.runs: list[Run] = []
         self.arrivals: list[float] = []
         self.draining = False
@@ -104,11 +108,11 @@
         self.crashed = asyncio.Event()
         self.running = 0
         self.waiting = 0
-        self._seen = 0
-        self._free = asyncio.Semaphore(plan.slots)
-        self._known: OrderedDict[str, None] = OrderedDict()
+        self._request_count = 0
+        self._slots = asyncio.Semaphore(plan.slots)
+        self._cached_keys: OrderedDict[str, None] = OrderedDict()
         self._server: httpserver.HTTPServer | None = None
-        self._answered_s: weakref.WeakKeyDictionary[
+        self._idle_since_s: weakref.WeakKeyDictionary[
             iostream.IOStream, float
         ] = weakref.WeakKeyDictionary()
         self.address = ""
@@ -118,7 +122,7 @@
         application = web.Application(
             [
                 (r"/health", _Health, {"upstream": self}),
-                (OWN_PREFIX + r"/.*", _Own, {"upstream": self}),
+                (CONTROL_PREFIX + r"/.*", _Control, {"upstream": self}),
                 (r".*", _Work, {"upstream": self}),
             ],
             log_function=lambda handler: None,
@@ -130,13 +134,13 @@
         return self.address
 
     async def close(self) -> None:
-        """Stops at once and resets every connection."""
+        """Stops listening and closes every connection at once."""
         if self._server is not None:
             self._server.stop()
             await self._server.close_all_connections()
 
-    def record(self) -> dict[str, Any]:
-        """Returns its registration."""
+    def registration(self) -> dict[str, Any]:
+        """Returns the upstream's registration."""
         return {
             "service": self.plan.service,
             "address": self.address,
@@ -146,57 +150,57 @@
             "state": "draining" if self.draining else "ready",
             "coldLeftS": max(0.0, self.cold_until_s - time.monotonic()),
             "seq": len(self.runs),
-            "born": self.born_ms,
+            "born": self.started_ms,
         }
 
-    def strikes(self) -> bool:
-        """Counts a request; returns whether the fault is due."""
-        self._seen += 1
+    def is_fault_due(self) -> bool:
+        """Counts a request; returns whether it gets the fault."""
+        self._request_count += 1
         every = self.faults.every
-        return every > 0 and self._seen % every == 0
+        return every > 0 and self._request_count % every == 0
 
-    def note_answered(self, stream: iostream.IOStream) -> None:
-        """Notes that a connection has become idle."""
-        self._answered_s[stream] = time.monotonic()
+    def record_response_sent(self, stream: iostream.IOStream) -> None:
+        """Records the time from which a connection is idle."""
+        self._idle_since_s[stream] = time.monotonic()
 
-    def has_forgotten(self, stream: iostream.IOStream) -> bool:
-        """Whether a connection was idle for too long, by the fault's order."""
+    def resets_idle_connection(self, stream: iostream.IOStream) -> bool:
+        """Whether a connection was idle for longer than `forget_idle_s`."""
         limit_s = self.faults.forget_idle_s
-        answered_s = self._answered_s.get(stream)
-        if not limit_s or answered_s is None:
+        idle_since_s = self._idle_since_s.get(stream)
+        if not limit_s or idle_since_s is None:
             return False
-        return time.monotonic() - answered_s > limit_s
+        return time.monotonic() - idle_since_s > limit_s
 
     def load(self) -> str:
-        """Returns what it says of its load."""
+        """Returns the value of the load header."""
         return f"{self.running},{self.waiting},{self.plan.slots}"
 
     async def work(self, key: str) -> None:
-        """Waits for a slot and runs for the time that an object takes."""
+        """Waits for a slot, then runs for the run time of an object."""
         self.waiting += 1
         try:
-            await self._free.acquire()
+            await self._slots.acquire()
         finally:
             self.waiting -= 1
         self.running += 1
         try:
-            await asyncio.sleep(self._work_s(key))
+            await asyncio.sleep(self._run_time_s(key))
         finally:
             self.running -= 1
-            self._free.release()
-        self._remember(key)
+            self._slots.release()
+        self._cache(key)
 
-    def _work_s(self, key: str) -> float:
+    def _run_time_s(self, key: str) -> float:
         work_s = self.plan.work_s * self.faults.slower
-        if key in self._known:
-            work_s *= KNOWN_SHARE
+        if key in self._cached_keys:
+            work_s *= CACHED_RUN_TIME_FACTOR
         return work_s * random.uniform(0.85, 1.15)
 
-    def _remember(self, key: str) -> None:
-        self._known[key] = None
-        self._known.move_to_end(key)
-        while len(self._known) > self.plan.keeps:
-            self._known.popitem(last=False)
+    def _cache(self, key: str) -> None:
+        self._cached_keys[key] = None
+        self._cached_keys.move_to_end(key)
+        while len(self._cached_keys) > self.plan.keeps:
+            self._cached_keys.popitem(last=False)
 
 
 class _Handler(web.RequestHandler):
@@ -216,7 +220,7 @@
         self.set_header(names.LOAD.decode(), upstream.load())
 
 
-class _Own(_Handler):
+class _Control(_Handler):
     def get(self) -> None:
         self.finish(msgspec.json.encode(self.upstream.runs))
 
@@ -238,19 +242,21 @@
         headers = self.request.headers
         self.request_id = headers.get(names.REQUEST_ID.decode(), "")
         expected = headers.get(names.EXPECTED_UPSTREAM.decode(), "")
-        if upstream.has_forgotten(self.stream()):
-            self.cut()
+        if upstream.resets_idle_connection(self.stream()):
+            self.drop_connection()
         upstream.arrivals.append(time.monotonic())
         if expected and expected != upstream.upstream_id:
             self.refuse(421)
             return
-        strikes = upstream.strikes()
-        full = upstream.running + upstream.waiting
-        limit = upstream.plan.slots + upstream.plan.queue
-        if full >= limit or (strikes and upstream.faults.how == "shed"):
+        fault_due = upstream.is_fault_due()
+        occupied = upstream.running + upstream.waiting
+        capacity = upstream.plan.slots + upstream.plan.queue
+        if occupied >= capacity or (
+            fault_due and upstream.faults.how == "shed"
+        ):
             self.refuse(503)
             return
-        await self.run(strikes)
+        await self.run(fault_due)
 
     post = put = delete = get
 
@@ -260,7 +266,7 @@
         self.set_header(names.REQUEST_ID.decode(), self.request_id)
         self.set_header(names.LOAD.decode(), self.upstream.load())
 
-    async def run(self, strikes: bool) -> None:
+    async def run(self, fault_due: bool) -> None:
         upstream = self.upstream
         request = self.request
         deadline = request.headers.get(names.DEADLINE.decode(), "0")
@@ -278,36 +284,36 @@
         ):
             run.ended = "crashed"
             upstream.crashed.set()
-            self.cut()
+            self.drop_connection()
         key = request.headers.get(names.AFFINITY_KEY.decode(), self.request_id)
         self.task = asyncio.ensure_future(upstream.work(key))
         try:
             await self.task
         except asyncio.CancelledError:
             run.ended = "dropped"
-            self.cut()
+            self.drop_connection()
         run.ended = "ok"
-        self.reply(upstream.faults.how if strikes else "")
+        self.respond(upstream.faults.how if fault_due else "")
 
     def on_connection_close(self) -> None:
         if self.task is not None:
             self.task.cancel()
 
-    def cut(self) -> None:
+    def drop_connection(self) -> None:
         self.stream().close()
         raise web.Finish
 
     def stream(self) -> iostream.IOStream:
         return connection_of(self).stream
 
-    def reply(self, fault: str) -> None:
+    def respond(self, fault: str) -> None:
         body = f"answer to {self.request_id}\n".encode() * 8
         if fault == "lost":
-            self.cut()
+            self.drop_connection()
         if fault == "fail":
             self.set_status(500)
         if fault in ("cut", "unframed", "extra", "late_extra", "trailing"):
-            self.reply_raw(fault, body)
+            self.respond_raw(fault, body)
             return
         self.set_header(names.REQUEST_ID.decode(), self.request_id)
         self.set_header(names.RESPONSE_SEAL.decode(), f"seal-{self.request_id}")
@@ -316,10 +322,10 @@
             limit_s = self.upstream.plan.keep_alive_s
             self.set_header("Keep-Alive", f"timeout={limit_s}")
         self.finish(body)
-        self.upstream.note_answered(self.stream())
+        self.upstream.record_response_sent(self.stream())
 
-    def reply_raw(self, fault: str, body: bytes) -> None:
-        """Writes an answer past the server's own framing."""
+    def respond_raw(self, fault: str, body: bytes) -> None:
+        """Writes a response around the HTTP server's framing."""
         stream = self.stream()
         head = (
             "HTTP/1.1 200 OK\r\n"
@@ -327,19 +333,19 @@
             f"X-Almondstair-Response-Seal: seal-{self.request_id}\r\n"
         ).encode()
         length = b"Content-Length: %d\r\n\r\n" % len(body)
-        whole = head + length + body
+        complete = head + length + body
         if fault == "cut":
-            stream.write(whole[: -len(body) // 2])
+            stream.write(complete[: -len(body) // 2])
         elif fault == "unframed":
             stream.write(head + b"\r\n" + body)
         elif fault == "trailing":
-            stream.write(whole + b"more")
+            stream.write(complete + b"more")
         elif fault == "extra":
-            stream.write(whole + whole)
+            stream.write(complete + complete)
         else:
-            stream.write(whole)
+            stream.write(complete)
             loop = asyncio.get_running_loop()
-            loop.call_later(0.02, _write_open, stream, whole)
+            loop.call_later(0.02, _write_if_open, stream, complete)
             connection_of(self).finish()
             raise web.Finish
         if fault != "extra":
@@ -349,6 +355,6 @@
         raise web.Finish
 
 
-def _write_open(stream: iostream.IOStream, data: bytes) -> None:
+def _write_if_open(stream: iostream.IOStream, data: bytes) -> None:
     if not stream.closed():
         stream.write(data)
--- a/emulator/upstream_process.py
+++ b/emulator/upstream_process.py
@@ -1,4 +1,4 @@
-"""An upstream as a process: registers, beats, drains, crashes by order."""
+"""An upstream as a process, with registration, draining and crash faults."""
 
 import asyncio
 import base64
@@ -12,14 +12,14 @@
 from emulator.upstream import Upstream
 from emulator.upstream import UpstreamPlan
 
-BEAT_S = 0.3
-# How long a draining upstream serves on.
+HEARTBEAT_INTERVAL_S = 0.3
+# Time that a draining upstream still serves requests.
 DRAIN_S = 2.5
 CRASH_CODE = 70
 
 
 class _Registrar:
-    """Writes an upstream's registration."""
+    """Writes and removes an upstream's registration in the store."""
 
     def __init__(self, *, store: str, upstream: Upstream) -> None:
         self._url = f"http://{store}/operator"
@@ -27,7 +27,7 @@
         self._client = httpclient.AsyncHTTPClient()
 
     async def write(self) -> None:
-        text = json.dumps(self._upstream.record())
+        text = json.dumps(self._upstream.registration())
         value = base64.b64encode(text.encode()).decode()
         await self._send({"puts": [{"key": self._key(), "value": value}]})
 
@@ -43,7 +43,7 @@
                 self._url, method="POST", body=json.dumps(change)
             )
         except OSError as error:
-            # The store is away; the next beat tells it.
+            # The store is unreachable; the next heartbeat writes it again.
             print(f"registration not written: {error}", flush=True)
 
 
@@ -68,7 +68,9 @@
         waits = (stopping.wait(), upstream.crashed.wait())
         tasks = [asyncio.ensure_future(wait) for wait in waits]
         await asyncio.wait(
-            tasks, timeout=BEAT_S, return_when=asyncio.FIRST_COMPLETED
+            tasks,
+            timeout=HEARTBEAT_INTERVAL_S,
+            return_when=asyncio.FIRST_COMPLETED,
         )
         for task in tasks:
             task.cancel()
@@ -95,9 +97,9 @@
     Args:
       address: `ip:port` to listen on.
       store: `ip:port` of the store.
-      plan: its behaviour; see `UpstreamPlan`.
-      announce: address to register, if it is reached through another one.
-      upstream_id: id of the start before it, which it takes again.
+      plan: behaviour, as JSON or decoded; see `UpstreamPlan`.
+      announce: address to register; the listening address by default.
+      upstream_id: id of an earlier incarnation to reuse; empty for a new id.
     """
     if isinstance(plan, str):
         plan = json.loads(plan)
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -1,7 +1,7 @@
 """The processes of a deployment: a store, upstreams and gateways.
 
-Distances are proxies in this process: from each zone to each upstream and to
-what each gateway serves other gateways, and from each gateway to the store.
+Proxies in this process emulate distances: from each zone to each upstream and
+to each gateway's peer port, and from each gateway to the store.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 from tornado import httpclient
 
 from emulator import documents
-from emulator.datagrams import DatagramWay
+from emulator.datagram_proxy import DatagramProxy
 from emulator.deployment import Deployment
 from emulator.deployment import Service
 from emulator.ports import free_address
@@ -29,48 +29,48 @@
 _ROOT = Path(__file__).resolve().parents[1]
 
 
-class Proc:
-    """One process, ended by its id."""
+class ChildProcess:
+    """A child process."""
 
     def __init__(self, *, name: str, process: asyncio.subprocess.Process):
-        """Keeps a process that was started here."""
+        """Wraps a started process."""
         self.name = name
         self._process = process
 
     @property
     def alive(self) -> bool:
-        """Whether it runs."""
+        """Whether the process is running."""
         return self._process.returncode is None
 
     @property
     def pid(self) -> int:
-        """Returns its id."""
+        """Returns the process id."""
         return self._process.pid
 
     @property
     def exit_code(self) -> int | None:
-        """Returns its exit code, None while it runs."""
+        """Returns the exit code, None while the process is running."""
         return self._process.returncode
 
     def signal(self, number: int) -> None:
-        """Sends it a signal if it runs."""
+        """Sends a signal if the process is running."""
         if self.alive:
             self._process.send_signal(number)
 
     async def wait(self) -> int:
-        """Waits for its end; returns its exit code."""
+        """Waits for the process to end and returns its exit code."""
         return await self._process.wait()
 
 
 class Ran(NamedTuple):
-    """One run as its upstream saw it.
+    """A run of a request as its upstream reports it.
 
     Attributes:
-      upstream: name of the upstream's place.
-      request: the request's id.
-      path: its path.
-      at_s: when it began, monotonic seconds of the machine.
-      ended: how it ended, empty while it runs.
+      upstream: name of the upstream in the deployment.
+      request: request id.
+      path: path of the request.
+      at_s: start time on the host's monotonic clock, in seconds.
+      ended: how the run ended, empty while it runs.
     """
 
     upstream: str
@@ -81,15 +81,14 @@
 
 
 class World:
-    """Starts and ends the processes of one deployment.
+    """Starts and stops the processes of one deployment.
 
     Attributes:
-      deployment: what is emulated.
-      callers: callers' address of each gateway.
-      upstream_ids: the id under which each upstream registered last.
-      ran: what upstreams told of their runs, over all incarnations.
-      ways: for each zone and gateway, the way of datagrams between them,
-        where places are apart.
+      deployment: the emulated deployment.
+      callers: address for callers by gateway.
+      upstream_ids: id of the latest incarnation by upstream.
+      ran: runs that upstreams reported, over all incarnations.
+      ways: datagram proxy by zone and gateway; empty without delays.
     """
 
     def __init__(
@@ -99,18 +98,18 @@
         directory: Path,
         source: Path = _ROOT,
     ) -> None:
-        """Chooses addresses; nothing is started yet.
+        """Names the upstreams and gateways; nothing is started yet.
 
         Args:
-          deployment: what is emulated.
-          directory: where settings and logs are written.
+          deployment: the emulated deployment.
+          directory: directory for settings and logs.
           source: root of the checkout whose gateways run.
         """
         self.deployment = deployment
         self.directory = directory
         self._source = source
         self.store = free_address()
-        self.procs: dict[str, Proc] = {}
+        self.procs: dict[str, ChildProcess] = {}
         self.upstreams: dict[str, str] = {}
         self.upstream_ids: dict[str, str] = {}
         self.proxies: dict[str, HarmfulProxy] = {}
@@ -119,78 +118,84 @@
         self.callers: dict[str, str] = {}
         self.ran: dict[tuple[str, str, float], Ran] = {}
         self.version = 0
-        self._places: dict[str, tuple[Service, str]] = {}
+        self._upstream_sites: dict[str, tuple[Service, str]] = {}
         self._zone_of: dict[str, str] = {}
-        self._entrances: dict[str, str] = {}
-        self.ways: dict[tuple[str, str], DatagramWay] = {}
-        self._way_addresses: dict[str, dict[str, str]] = {}
-        self._views: dict[str, str] = {}
+        self._proxy_addresses: dict[str, str] = {}
+        self.ways: dict[tuple[str, str], DatagramProxy] = {}
+        self._zone_addresses: dict[str, dict[str, str]] = {}
+        self._store_views: dict[str, str] = {}
         self._all_proxies: list[HarmfulProxy] = []
         self._client = httpclient.AsyncHTTPClient()
-        for number, place in enumerate(deployment.upstream_places()):
-            self._places[f"u{number}"] = place
+        for number, place in enumerate(deployment.upstream_locations()):
+            self._upstream_sites[f"u{number}"] = place
             self._zone_of[f"u{number}"] = place[1]
         for number, zone in enumerate(deployment.gateway_zones()):
             self._zone_of[f"g{number}"] = zone
 
     async def start(self) -> None:
-        """Starts everything; gateways may still be starting."""
+        """Starts all processes without waiting for the gateways' readiness."""
         await self._start_store()
-        for name in self._places:
-            await self._place_upstream(name)
+        for name in self._upstream_sites:
+            await self._set_up_upstream(name)
             await self.start_upstream(name)
         for name in self._zone_of:
-            if name not in self._places:
-                await self._place_gateway(name)
+            if name not in self._upstream_sites:
+                await self._set_up_gateway(name)
 
     async def _start_store(self) -> None:
         options = ["--address", self.store]
-        if self.deployment.delayed:
+        if self.deployment.has_delays:
             for zone in self.deployment.zones:
-                self._views[zone] = free_address()
-            by_address = {at: zone for zone, at in self._views.items()}
+                self._store_views[zone] = free_address()
+            by_address = {at: zone for zone, at in self._store_views.items()}
             options += ["--views", json.dumps(by_address)]
         await self._spawn("store", "store", *options)
-        await _until_open(self.store)
+        await _wait_until_open(self.store)
 
-    async def _proxy(self, target: str, distance_s: float) -> str:
-        proxy = HarmfulProxy(target=target, distance_s=distance_s)
+    async def _start_proxy(self, target: str, delay_s: float) -> str:
+        proxy = HarmfulProxy(target=target, distance_s=delay_s)
         self._all_proxies.append(proxy)
         address = free_address()
         await proxy.listen(address)
         return address
 
-    async def _place_upstream(self, name: str) -> None:
+    async def _set_up_upstream(self, name: str) -> None:
         self.upstreams[name] = free_address()
-        self._entrances[name] = await self._proxy(self.upstreams[name], 0.0)
+        self._proxy_addresses[name] = await self._start_proxy(
+            self.upstreams[name], 0.0
+        )
         self.proxies[name] = self._all_proxies[-1]
-        if not self.deployment.delayed:
+        if not self.deployment.has_delays:
             return
-        await self._make_ways(name, self._entrances[name])
+        await self._start_zone_proxies(name, self._proxy_addresses[name])
 
-    async def _make_ways(self, name: str, address: str) -> dict[str, str]:
-        """Makes a way from each zone to an address of a place."""
-        ways: dict[str, str] = {}
+    async def _start_zone_proxies(
+        self, name: str, address: str
+    ) -> dict[str, str]:
+        """Starts a proxy from each zone to an address of a process."""
+        by_zone: dict[str, str] = {}
         for zone in self.deployment.zones:
             distance_s = self.deployment.delay_s(zone, self.zone_of(name))
-            ways[zone] = await self._proxy(address, distance_s)
-        self._way_addresses[address] = ways
+            by_zone[zone] = await self._start_proxy(address, distance_s)
+        self._zone_addresses[address] = by_zone
         await self._client.fetch(
             f"http://{self.store}/ways",
             method="PUT",
-            body=json.dumps(self._way_addresses),
+            body=json.dumps(self._zone_addresses),
         )
-        return ways
-
-    async def _make_gateway_ways(self, name: str, address: str) -> None:
-        """Makes ways for connections and for datagrams to a gateway."""
-        for zone, way in (await self._make_ways(name, address)).items():
-            datagrams = DatagramWay(
+        return by_zone
+
+    async def _start_gateway_proxies(self, name: str, address: str) -> None:
+        """Starts TCP and datagram proxies from each zone to a gateway."""
+        for zone, way in (
+            await self._start_zone_proxies(name, address)
+        ).items():
+            proxy = DatagramProxy(
                 target=address,
-                distance_s=self.deployment.delay_s(zone, self.zone_of(name)),
+                delay_s=self.deployment.delay_s(zone, self.zone_of(name)),
             )
-            await datagrams.listen(way)
-            self.ways[zone, name] = datagrams
+            await proxy.listen(way)
+            self.ways[zone, name] = proxy
 
     async def _spawn(
         self,
@@ -217,25 +222,25 @@
             stderr=log,
         )
         log.close()
-        self.procs[name] = Proc(name=name, process=process)
+        self.procs[name] = ChildProcess(name=name, process=process)
 
     def _gateway_module(self) -> str:
-        """Returns how the checkout that is played starts its gateway."""
+        """Returns the gateway's main module in the checkout under test."""
         package = self._source / "almondstair" / "gateway"
         if (package / "__main__.py").exists():
             return "almondstair.gateway"
         return "almondstair.gateway.daemon"
 
     async def start_upstream(self, name: str, *, same_id: bool = False) -> None:
-        """Starts an upstream; a later start is another incarnation.
+        """Starts a new incarnation of an upstream.
 
         Args:
-          name: the upstream's name here.
-          same_id: whether it takes the id of its start before again.
+          name: name of the upstream in the deployment.
+          same_id: whether it reuses the id of its previous incarnation.
         """
         if not same_id or name not in self.upstream_ids:
             self.upstream_ids[name] = f"i-{uuid.uuid4().hex[:10]}"
-        service, zone = self._places[name]
+        service, zone = self._upstream_sites[name]
         plan = UpstreamPlan(
             service=service.name,
             zone=zone,
@@ -254,7 +259,7 @@
             "--store",
             self.store,
             "--announce",
-            self._entrances[name],
+            self._proxy_addresses[name],
             "--plan",
             msgspec.json.encode(plan).decode(),
             "--upstream_id",
@@ -265,17 +270,17 @@
         """Returns the zone of an upstream or gateway."""
         return self._zone_of[name]
 
-    async def _place_gateway(self, name: str) -> None:
+    async def _set_up_gateway(self, name: str) -> None:
         zone = self.zone_of(name)
         store_zone = self.deployment.store_zone or next(
             iter(self.deployment.zones)
         )
-        target = self._views.get(zone, self.store)
-        store = await self._proxy(
+        target = self._store_views.get(zone, self.store)
+        store = await self._start_proxy(
             target, self.deployment.delay_s(zone, store_zone)
         )
         self.store_proxies[name] = self._all_proxies[-1]
-        addresses = {part: free_address() for part in documents.PARTS}
+        addresses = {part: free_address() for part in documents.LISTENERS}
         self.gateways[name] = documents.GatewayPlace(
             name=name,
             zone=zone,
@@ -284,13 +289,13 @@
             zones=self.deployment.zones,
             bounds=documents.BOUNDS | self.deployment.bounds,
         )
-        if self.deployment.delayed:
-            await self._make_gateway_ways(name, addresses["peers"])
+        if self.deployment.has_delays:
+            await self._start_gateway_proxies(name, addresses["peers"])
         await self.start_gateway(name)
         self.callers[name] = addresses["callers"]
 
     async def start_gateway(self, name: str) -> None:
-        """Starts a gateway at its place."""
+        """Writes a gateway's settings and starts it."""
         place = self.gateways[name]
         path = self.directory / f"{name}.toml"
         path.write_text(documents.settings_text(place), encoding="utf-8")
@@ -304,10 +309,10 @@
         )
 
     async def until_ready(self) -> None:
-        """Waits until every gateway says that it takes callers.
+        """Waits until every gateway is ready for callers.
 
         Raises:
-          TimeoutError: one of them does not within `START_LIMIT_S`.
+          TimeoutError: a gateway is not ready within `START_LIMIT_S`.
         """
         until_s = time.monotonic() + START_LIMIT_S
         waiting = set(self.gateways)
@@ -320,17 +325,17 @@
             await asyncio.sleep(0.05)
 
     async def is_ready(self, name: str) -> bool:
-        """Whether a gateway says that it takes callers."""
+        """Whether a gateway reports that it is ready for callers."""
         address = self.gateways[name].addresses["ready"]
         try:
-            answer = await self._client.fetch(
+            response = await self._client.fetch(
                 f"http://{address}/ready", raise_error=False
             )
         except OSError:
             return False
-        return answer.code == 200
+        return response.code == 200
 
-    # What the operator does.
+    # Operator actions.
 
     async def operate(self, **change: Any) -> None:
         """Writes to the store as the operator."""
@@ -339,13 +344,13 @@
         await self._client.fetch(url, method="POST", body=body)
 
     async def configure_deployment(self) -> None:
-        """Writes the configuration of the deployment's own routes."""
+        """Writes the configuration of the deployment."""
         self.version += 3
         text = documents.deployment_text(self.version, self.deployment)
         await self.operate(puts={"op/config": text})
 
     async def configure(self, prefixes: list[str]) -> None:
-        """Writes the next configuration, of routes by their prefixes."""
+        """Writes a new configuration with one route per prefix."""
         self.version += 3
         rules = []
         for prefix in prefixes:
@@ -355,39 +360,39 @@
         await self.operate(puts={"op/config": text})
 
     async def forget_history(self) -> None:
-        """Has the store drop its history."""
+        """Makes the store drop its history."""
         await self._client.fetch(
             f"http://{self.store}/faults", method="POST", body=b""
         )
 
     async def faults(self, address: str, path: str, **faults: Any) -> None:
-        """Orders faults of the store or of an upstream."""
+        """Sets the faults of the store or of an upstream."""
         try:
             await self._client.fetch(
                 f"http://{address}{path}", method="PUT", body=json.dumps(faults)
             )
         except OSError:
-            # It was ended by another fault meanwhile.
+            # Another fault has ended the process in the meantime.
             return
 
     async def store_calls(self) -> dict[str, int]:
-        """Returns how often the store was called, by kind."""
-        answer = await self._client.fetch(f"http://{self.store}/faults")
-        calls: dict[str, int] = json.loads(answer.body)["calls"]
-        for own in ("operator", "faults"):
-            calls.pop(own, None)
+        """Returns the number of store calls by kind."""
+        response = await self._client.fetch(f"http://{self.store}/faults")
+        calls: dict[str, int] = json.loads(response.body)["calls"]
+        for excluded in ("operator", "faults"):
+            calls.pop(excluded, None)
         return calls
 
     async def collect(self, name: str) -> None:
-        """Asks an upstream for its runs, before it is ended."""
+        """Collects the runs of an upstream that has not ended yet."""
         try:
-            answer = await self._client.fetch(
+            response = await self._client.fetch(
                 f"http://{self.upstreams[name]}/emulator/runs",
                 request_timeout=2.0,
             )
         except (OSError, httpclient.HTTPError):
             return
-        for run in json.loads(answer.body):
+        for run in json.loads(response.body):
             row = Ran(
                 upstream=name,
                 request=run["request"],
@@ -398,7 +403,7 @@
             self.ran[(name, row.request, row.at_s)] = row
 
     async def end(self) -> None:
-        """Ends every process and proxy."""
+        """Kills every process and closes every proxy."""
         for proc in self.procs.values():
             proc.signal(signal.SIGCONT)
             proc.signal(signal.SIGKILL)
@@ -410,7 +415,7 @@
             way.close()
 
 
-async def _until_open(address: str) -> None:
+async def _wait_until_open(address: str) -> None:
     ip, _, port = address.rpartition(":")
     until_s = time.monotonic() + START_LIMIT_S
     while time.monotonic() < until_s:
