--- a/emulator/experiment.py
+++ b/emulator/experiment.py
@@ -190,11 +190,11 @@
 
 def _print_addresses(world: World) -> None:
     print(f"store {world.store}")
-    for name, place in world.gateways.items():
+    for name, gateway in world.gateways.items():
         print(
-            f"gateway {name} in {place.zone}: callers "
-            f"{place.addresses['callers']}, operators "
-            f"{place.addresses['operators']}",
+            f"gateway {name} in {gateway.zone}: callers "
+            f"{gateway.addresses['callers']}, operators "
+            f"{gateway.addresses['operators']}",
             flush=True,
         )
 
--- a/emulator/replay.py
+++ b/emulator/replay.py
@@ -89,9 +89,9 @@
         self._schedule(self._pattern.told_s, self._exchange_loads)
         self._schedule(0.0, self._update_disturbances)
         while self._events:
-            at_s, _, work = heapq.heappop(self._events)
+            at_s, _, action = heapq.heappop(self._events)
             self._now_s = at_s
-            work()
+            action()
         return self._tally.outcome()
 
     def _schedule(self, delay_s: float, action: Callable[[], None]) -> None:
--- a/emulator/store_state.py
+++ b/emulator/store_state.py
@@ -115,10 +115,10 @@
 
     def renew(self, lease: int, now_s: float) -> bool:
         """Renews a lease; returns whether it exists."""
-        found = self.leases.get(lease)
-        if found is None:
+        current = self.leases.get(lease)
+        if current is None:
             return False
-        self.leases[lease] = Lease(found.ttl_s, now_s + found.ttl_s)
+        self.leases[lease] = Lease(current.ttl_s, now_s + current.ttl_s)
         return True
 
     def revoke(self, lease: int) -> bool:
@@ -132,8 +132,8 @@
 
     def expire(self, now_s: float) -> None:
         """Revokes the leases that have expired."""
-        for lease, found in list(self.leases.items()):
-            if now_s >= found.ends_s:
+        for lease, held_lease in list(self.leases.items()):
+            if now_s >= held_lease.ends_s:
                 self.revoke(lease)
 
     # Transactions.
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -126,9 +126,9 @@
         self._store_views: dict[str, str] = {}
         self._all_proxies: list[HarmfulProxy] = []
         self._client = httpclient.AsyncHTTPClient()
-        for number, place in enumerate(deployment.upstream_locations()):
-            self._upstream_sites[f"u{number}"] = place
-            self._zone_of[f"u{number}"] = place[1]
+        for number, site in enumerate(deployment.upstream_locations()):
+            self._upstream_sites[f"u{number}"] = site
+            self._zone_of[f"u{number}"] = site[1]
         for number, zone in enumerate(deployment.gateway_zones()):
             self._zone_of[f"g{number}"] = zone
 
@@ -147,7 +147,9 @@
         if self.deployment.has_delays:
             for zone in self.deployment.zones:
                 self._store_views[zone] = free_address()
-            by_address = {at: zone for zone, at in self._store_views.items()}
+            by_address = {
+                address: zone for zone, address in self._store_views.items()
+            }
             options += ["--views", json.dumps(by_address)]
         await self._spawn("store", "store", *options)
         await _wait_until_open(self.store)
@@ -175,8 +177,8 @@
         """Starts a proxy from each zone to an address of a process."""
         by_zone: dict[str, str] = {}
         for zone in self.deployment.zones:
-            distance_s = self.deployment.delay_s(zone, self.zone_of(name))
-            by_zone[zone] = await self._start_proxy(address, distance_s)
+            delay_s = self.deployment.delay_s(zone, self.zone_of(name))
+            by_zone[zone] = await self._start_proxy(address, delay_s)
         self._zone_addresses[address] = by_zone
         await self._client.fetch(
             f"http://{self.store}/ways",
@@ -187,14 +189,14 @@
 
     async def _start_gateway_proxies(self, name: str, address: str) -> None:
         """Starts TCP and datagram proxies from each zone to a gateway."""
-        for zone, way in (
+        for zone, proxy_address in (
             await self._start_zone_proxies(name, address)
         ).items():
             proxy = DatagramProxy(
                 target=address,
                 delay_s=self.deployment.delay_s(zone, self.zone_of(name)),
             )
-            await proxy.listen(way)
+            await proxy.listen(proxy_address)
             self.ways[zone, name] = proxy
 
     async def _spawn(
@@ -296,10 +298,10 @@
 
     async def start_gateway(self, name: str) -> None:
         """Writes a gateway's settings and starts it."""
-        place = self.gateways[name]
+        gateway = self.gateways[name]
         path = self.directory / f"{name}.toml"
-        path.write_text(documents.settings_text(place), encoding="utf-8")
-        port = place.addresses["operators"].rpartition(":")[2]
+        path.write_text(documents.settings_text(gateway), encoding="utf-8")
+        port = gateway.addresses["operators"].rpartition(":")[2]
         await self._spawn(
             name,
             environment={
@@ -411,8 +413,8 @@
             await proc.wait()
         for proxy in self._all_proxies:
             await proxy.close()
-        for way in self.ways.values():
-            way.close()
+        for datagram_proxy in self.ways.values():
+            datagram_proxy.close()
 
 
 async def _wait_until_open(address: str) -> None:
