--- a/emulator/report.py
+++ b/emulator/report.py
@@ -256,7 +256,7 @@
 def _latency_chart(rounds: list[Round]) -> pygal.XY:
     """Plots the share of all requests that was served within each latency."""
     chart = pygal.XY(
-        title="served within (ms), part of all requests",
+        title="share of all requests served within (ms)",
         style=CleanStyle,
         dots_size=1,
         js=[],
@@ -291,7 +291,7 @@
 
 def _share_chart(found: list[Row]) -> pygal.Bar:
     chart = pygal.Bar(
-        title="part served within the aim",
+        title="share served within the target latency",
         style=CleanStyle,
         range=(0, 1),
         js=[],
@@ -306,7 +306,7 @@
 
 def _calls_chart(rounds: list[Round]) -> pygal.Bar:
     chart = pygal.Bar(
-        title="calls to the store by kind, a run", style=CleanStyle, js=[]
+        title="store calls by kind, mean per run", style=CleanStyle, js=[]
     )
     kinds = sorted({kind for each in rounds for kind in each.store_calls})
     chart.x_labels = kinds
