--- a/emulator/load.py
+++ b/emulator/load.py
@@ -186,7 +186,7 @@
         address = await self._pick_address()
         delay_s = self._one_way_delay_s(address)
         await asyncio.sleep(delay_s)
-        connection = await self._open_connection(
+        connection = await self._get_connection(
             address, new_connection=new_connection
         )
         try:
@@ -210,7 +210,7 @@
             delay_s += deployment.delay_s(self._zone, zone)
         return delay_s
 
-    async def _open_connection(
+    async def _get_connection(
         self, address: str, *, new_connection: bool
     ) -> _Connection:
         idle = self._idle.get(address)
