--- a/emulator/store.py
+++ b/emulator/store.py
@@ -287,7 +287,7 @@
     """Sets faults and counts calls; not affected by the faults itself."""
 
     kind = "faults"
-    faulty = False
+    applies_faults = False
 
     def put(self) -> None:
         self.store.faults = msgspec.json.decode(
@@ -307,7 +307,7 @@
     """Writes of the operator and of upstreams, to any key."""
 
     kind = "operator"
-    faulty = False
+    applies_faults = False
 
     async def post(self) -> None:
         status, body = self.store.state.transact(self.body())
@@ -319,7 +319,7 @@
     """Sets the proxy addresses that each zone uses."""
 
     kind = "ways"
-    faulty = False
+    applies_faults = False
 
     def put(self) -> None:
         self.store.ways = self.body()
