--- a/almondstair/configuration_keeper.py
+++ b/almondstair/configuration_manager.py
@@ -6,18 +6,19 @@
 import time
 import uuid
 
-from almondstair import documents
+from almondstair import configuration_edits
 from almondstair import log
+from almondstair.core.configuration import ApplyOutcome
 from almondstair.core.configuration import ConfigurationState
 from almondstair.core.configuration import Edit
-from almondstair.core.configuration import EditFate
-from almondstair.core.configuration import EditNote
+from almondstair.core.configuration import EditRecord
 from almondstair.core.configuration import EditResult
-from almondstair.core.configuration import Offer
+from almondstair.core.configuration import EditStatus
 from almondstair.core.configuration import StoredConfiguration
-from almondstair.core.configuration import applied_result
+from almondstair.core.configuration import result_of_stored_edit
 from almondstair.core.membership import Membership
 from almondstair.core.model import Configuration
+from almondstair.elected_watcher import ElectedWatcher
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 from almondstair.errors import Ran
@@ -25,7 +26,6 @@
 from almondstair.operators import EditRequest
 from almondstair.settings import read_configuration
 from almondstair.store import ConfigurationStore
-from almondstair.watch_turns import ElectedWatcher
 
 # Maximum wait for an edit to take effect before returning `edit_pending`.
 ACCEPT_WAIT_S = 5.0
@@ -33,14 +33,14 @@
 SEED_AUTHOR = "deployment file"
 
 _ERROR_KINDS = {
-    EditFate.PENDING: ErrorKind.EDIT_PENDING,
-    EditFate.CONFLICT: ErrorKind.EDIT_CONFLICT,
-    EditFate.UNKNOWN: ErrorKind.EDIT_UNKNOWN,
-    EditFate.NOT_FOUND: ErrorKind.NOT_FOUND,
+    EditStatus.PENDING: ErrorKind.EDIT_PENDING,
+    EditStatus.CONFLICT: ErrorKind.EDIT_CONFLICT,
+    EditStatus.UNKNOWN: ErrorKind.EDIT_UNKNOWN,
+    EditStatus.NOT_FOUND: ErrorKind.NOT_FOUND,
 }
 
 
-class ConfigurationKeeper:
+class ConfigurationManager:
     """Synchronizes this entry's configuration with the platform's.
 
     Attributes:
@@ -73,8 +73,8 @@
         self._on_configuration = on_configuration
         self._watcher = ElectedWatcher(
             membership=membership,
-            create_watcher=lambda: self._store.follower(
-                on_configuration=self.take
+            create_watcher=lambda: self._store.watcher(
+                on_configuration=self.apply
             ),
         )
         self._invalid_version = 0
@@ -92,16 +92,16 @@
         """Returns the stored configuration in force on this entry."""
         return self._state.in_force
 
-    def take(self, stored: StoredConfiguration) -> None:
+    def apply(self, stored: StoredConfiguration) -> None:
         """Applies a configuration from the platform or a peer, if newer."""
-        outcome = self._state.judge(stored)
-        if outcome in (Offer.OLDER, Offer.DIVERGED):
+        outcome = self._state.compare(stored)
+        if outcome in (ApplyOutcome.OLDER, ApplyOutcome.DIVERGED):
             log.event(
                 log.Event.CONFIGURATION_OLDER,
                 offered_version=stored.version,
                 in_force_version=self._state.version,
             )
-        if outcome is not Offer.APPLIED:
+        if outcome is not ApplyOutcome.APPLIED:
             return
         if stored.version == self._invalid_version:
             return
@@ -121,14 +121,14 @@
         # must already be in effect.
         self.configuration = configuration
         self._on_configuration(configuration)
-        self._state.offer(stored)
+        self._state.apply_if_newer(stored)
         log.event(
             log.Event.CONFIGURATION_IN_FORCE,
             version=stored.version,
             edit_id=stored.edit_id,
         )
 
-    def follow(self) -> None:
+    def update_watch(self) -> None:
         """Starts or stops the watch as this entry is elected."""
         self._watcher.update()
 
@@ -147,7 +147,7 @@
         """
         stored = await self._store.read()
         if stored is not None:
-            self.take(stored)
+            self.apply(stored)
         return stored is not None
 
     async def seed(self, text: str) -> None:
@@ -171,7 +171,7 @@
             edited_at=_timestamp(),
             text=text,
         )
-        self.take(await self._store.seed(edit=edit))
+        self.apply(await self._store.seed(edit=edit))
 
     async def edit(self, request: EditRequest) -> EditAnswer:
         """Applies an operator's edit and waits until it is in force.
@@ -200,16 +200,16 @@
             log.Event.EDIT,
             edit_id=edit.edit_id,
             author=edit.author,
-            fate=str(result.fate),
+            fate=str(result.status),
             version=result.version,
         )
-        if result.fate is EditFate.PENDING:
+        if result.status is EditStatus.PENDING:
             return await self._wait_until_accepted(result)
-        if result.fate is EditFate.UNKNOWN:
+        if result.status is EditStatus.UNKNOWN:
             self._unknown_edits[edit.edit_id] = edit.base_version
         return await self._edit_answer(result, request.base_version, before)
 
-    async def fate(self, edit_id: str) -> EditAnswer:
+    async def edit_status(self, edit_id: str) -> EditAnswer:
         """Returns the status of an edit.
 
         Raises:
@@ -219,7 +219,7 @@
         # platform may be unavailable.
         edit_record = self._record_in_force(edit_id)
         if edit_record is None and edit_id in self._unknown_edits:
-            result = await self._store.fate(
+            result = await self._store.edit_status(
                 edit_id=edit_id, base_version=self._unknown_edits[edit_id]
             )
             return await self._edit_answer(
@@ -228,10 +228,12 @@
         if edit_record is None:
             stored = await self._store.read()
             if stored is not None:
-                self.take(stored)
-                edit_record = stored.find(edit_id=edit_id)
+                self.apply(stored)
+                edit_record = stored.find_edit(edit_id=edit_id)
         if edit_record is not None:
-            result = EditResult(EditFate.PENDING, edit_id, edit_record.version)
+            result = EditResult(
+                EditStatus.PENDING, edit_id, edit_record.version
+            )
             return await self._edit_answer(
                 self._applied_status(result), 0, None
             )
@@ -242,10 +244,10 @@
             "is older than the edits kept, or its write is still in flight",
         )
 
-    def _record_in_force(self, edit_id: str) -> EditNote | None:
+    def _record_in_force(self, edit_id: str) -> EditRecord | None:
         if self._state.in_force is None:
             return None
-        return self._state.in_force.find(edit_id=edit_id)
+        return self._state.in_force.find_edit(edit_id=edit_id)
 
     async def history(self) -> list[dict[str, object]]:
         """Returns the latest edits, newest first."""
@@ -257,7 +259,9 @@
             versions.append(dict(edit_record._asdict()))
         return versions
 
-    def marked(self, *, name: str, leaving: bool) -> tuple[int, str]:
+    def text_with_leaving_mark(
+        self, *, name: str, leaving: bool
+    ) -> tuple[int, str]:
         """Returns the version in force, and its text with a mark changed.
 
         Raises:
@@ -275,16 +279,19 @@
                 kind=ErrorKind.NOT_FOUND,
                 detail=f"there is neither an upstream nor an entry {name!r}",
             )
-        text = documents.set_leaving(stored.text, name, leaving)
+        text = configuration_edits.set_leaving(stored.text, name, leaving)
         return stored.version, text
 
     async def _wait_until_accepted(self, result: EditResult) -> EditAnswer:
         stored = await self._read_or_none()
         if stored is not None:
-            self.take(stored)
+            self.apply(stored)
         deadline_s = time.monotonic() + ACCEPT_WAIT_S
         status = self._applied_status(result)
-        while status.fate is EditFate.PENDING and time.monotonic() < deadline_s:
+        while (
+            status.status is EditStatus.PENDING
+            and time.monotonic() < deadline_s
+        ):
             await asyncio.sleep(ACCEPT_POLL_S)
             status = self._applied_status(result)
         return await self._edit_answer(status, 0, None)
@@ -300,11 +307,11 @@
         stored = self._state.in_force
         edit_record = None
         if stored is not None:
-            edit_record = stored.find(edit_id=result.edit_id)
+            edit_record = stored.find_edit(edit_id=result.edit_id)
         if edit_record is None:
             return result
-        return applied_result(
-            note=edit_record,
+        return result_of_stored_edit(
+            edit_record=edit_record,
             reports=self._membership.version_reports(
                 own_version=self._state.version, now_s=time.monotonic()
             ),
@@ -317,23 +324,28 @@
         base_version: int,
         before: StoredConfiguration | None,
     ) -> EditAnswer:
-        kind = _ERROR_KINDS.get(result.fate)
+        kind = _ERROR_KINDS.get(result.status)
         if kind is None:
             return EditAnswer(
-                result.edit_id, str(result.fate), result.version, result.lacking
+                result.edit_id,
+                str(result.status),
+                result.version,
+                result.lagging_entries,
             )
         changed: tuple[str, ...] = ()
         detail = ""
-        if result.fate is EditFate.CONFLICT:
+        if result.status is EditStatus.CONFLICT:
             changed = await self._changed_keys(base_version, before)
             detail = _conflict_detail(result)
-        if result.lacking:
-            detail = "not known to be in force on: " + ", ".join(result.lacking)
+        if result.lagging_entries:
+            detail = "not known to be in force on: " + ", ".join(
+                result.lagging_entries
+            )
         return EditAnswer(
             result.edit_id,
-            str(result.fate),
+            str(result.status),
             result.version,
-            result.lacking,
+            result.lagging_entries,
             changed,
             AlmondstairError(kind=kind, detail=detail),
         )
@@ -344,12 +356,14 @@
         stored = await self._read_or_none()
         if stored is None:
             return ()
-        self.take(stored)
+        self.apply(stored)
         if before is None or before.version != base_version:
             before = await self._past_version_or_none(base_version)
         if before is None:
             return ()
-        return tuple(documents.describe_changes(before.text, stored.text))
+        return tuple(
+            configuration_edits.describe_changes(before.text, stored.text)
+        )
 
     async def _past_version_or_none(
         self, version: int
@@ -360,13 +374,13 @@
         already, so it no longer has the base.
         """
         try:
-            return await self._store.past(version=version)
+            return await self._store.past_version(version=version)
         except AlmondstairError:
             return None
 
 
 def _conflict_detail(result: EditResult) -> str:
-    winner = result.winner
+    winner = result.conflicting_edit
     if winner is None:
         return "the edited version is not the one in force; read it again"
     return (
--- a/almondstair/control.py
+++ b/almondstair/control.py
@@ -6,35 +6,35 @@
 from typing import Any, NamedTuple
 
 from almondstair import log
-from almondstair.admitting import SlotKeeper
-from almondstair.configuration_keeper import ConfigurationKeeper
+from almondstair.configuration_manager import ConfigurationManager
+from almondstair.core.entry_selection import EntrySelector
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.entry_table import EntryTable
-from almondstair.core.heartbeat_words import ServiceLoad
-from almondstair.core.heartbeat_words import StatusDetail
+from almondstair.core.heartbeat_payloads import ServiceLoad
+from almondstair.core.heartbeat_payloads import StatusDetail
 from almondstair.core.home_records import HomesReport
 from almondstair.core.homes import Homes
-from almondstair.core.hops import HopTable
+from almondstair.core.leaving_reports import LeavingReports
 from almondstair.core.loans import Loan
 from almondstair.core.loans import LoanRequest
 from almondstair.core.membership import Membership
 from almondstair.core.membership_records import incarnation_text
-from almondstair.core.message_delays import MessageDelays
+from almondstair.core.message_delays import MessageDelayEstimator
 from almondstair.core.model import Configuration
-from almondstair.core.peer_marks import PeerMarks
 from almondstair.core.quarantine import Quarantine
 from almondstair.core.steering import Steering
 from almondstair.document_exchange import DocumentExchange
+from almondstair.entry_table_manager import EntryTableManager
 from almondstair.errors import AlmondstairError
 from almondstair.heartbeats import Heartbeats
+from almondstair.link_pacers import LinkPacers
 from almondstair.link_shares import LinkShares
 from almondstair.messages import Heartbeat
 from almondstair.messages import LinkEpoch
 from almondstair.metrics import Metrics
-from almondstair.pacing import LinkPacers
-from almondstair.probing import Prober
+from almondstair.prober import Prober
+from almondstair.slot_allocator import SlotAllocator
 from almondstair.strike_words import StrikeWord
-from almondstair.table_keeper import TableKeeper
 from almondstair.zone_loads import ZoneLoads
 
 
@@ -44,9 +44,9 @@
     own: EntryRow
     membership: Membership
     homes: Homes
-    keeper: SlotKeeper
+    keeper: SlotAllocator
     steering: Steering
-    hops: HopTable
+    hops: EntrySelector
     quarantine: Quarantine
     shares: LinkShares
     pacers: LinkPacers
@@ -75,23 +75,23 @@
         self._lost_regions: frozenset[str] = frozenset()
         self._logged_homes: dict[str, str | None] = {}
         self._leaving_upstreams: frozenset[str] = frozenset()
-        self._peer_marks = PeerMarks()
-        self._delays = MessageDelays()
+        self._peer_marks = LeavingReports()
+        self._delays = MessageDelayEstimator()
         self._loads: tuple[ServiceLoad, ...] = ()
         self._loads_recorded_s = float("-inf")
         self._heartbeats: Heartbeats
         self._zone_loads: ZoneLoads
         self._document_exchange: DocumentExchange
-        self._table: TableKeeper
-        self._configuration: ConfigurationKeeper
+        self._table: EntryTableManager
+        self._configuration: ConfigurationManager
 
     def bind(
         self,
         *,
         heartbeats: Heartbeats,
         exchange: DocumentExchange,
-        table: TableKeeper,
-        configuration: ConfigurationKeeper,
+        table: EntryTableManager,
+        configuration: ConfigurationManager,
     ) -> None:
         """Sets the components that call back into this one."""
         self._heartbeats = heartbeats
@@ -138,19 +138,19 @@
         self._update_silent_entries(now_s)
         self._update_lost_regions(now_s)
         self._update_link_headroom(now_s)
-        self._parts.shares.ask()
-        self._parts.quarantine.expire(now_s=now_s)
-        self._parts.keeper.advance_all()
+        self._parts.shares.request_loans()
+        self._parts.quarantine.drop_expired(now_s=now_s)
+        self._parts.keeper.process_all_queues()
         configuration = self._configuration.configuration
         if configuration is not None:
-            self._parts.prober.start_due(configuration=configuration)
+            self._parts.prober.start_due_probes(configuration=configuration)
         self.set_leaving()
 
     async def _refresh(self) -> None:
-        await self._table.observe_vms()
-        self._table.follow()
-        self._configuration.follow()
-        await self._table.plan()
+        await self._table.refresh_vm_list()
+        self._table.update_watch()
+        self._configuration.update_watch()
+        await self._table.write_due_change()
 
     # Messages from peers.
 
@@ -163,16 +163,16 @@
         elif isinstance(message, LinkEpoch):
             self._on_link_epoch(name, incarnation, message)
         elif isinstance(message, LoanRequest):
-            self._parts.shares.lend(message)
+            self._parts.shares.handle_loan_request(message)
         elif isinstance(message, Loan):
-            self._parts.shares.accept(message)
+            self._parts.shares.accept_loan(message)
         else:
-            self._document_exchange.receive(message)
+            self._document_exchange.handle_message(message)
 
     def _on_heartbeat(
         self, name: str, incarnation: int, heartbeat: Heartbeat
     ) -> None:
-        self._document_exchange.follow_heartbeat(name=name, heartbeat=heartbeat)
+        self._document_exchange.on_heartbeat(name=name, heartbeat=heartbeat)
         self._record_peer_marks(name, incarnation, heartbeat)
         accepted = self._heartbeats.receive(
             name=name, incarnation=incarnation, heartbeat=heartbeat
@@ -183,13 +183,13 @@
         self._check_region_recovery(name, now_s)
         row = self._parts.membership.table.row(name=name)
         assert row is not None
-        expected_arrival_s = self._delays.usual_arrival_s(
+        expected_arrival_s = self._delays.undelayed_arrival_s(
             sender=name,
             incarnation=incarnation,
             sent_s=heartbeat.sent_s,
             now_s=now_s,
         )
-        self._parts.quarantine.merge(
+        self._parts.quarantine.merge_marks(
             marks=heartbeat.detail.marks, now_s=expected_arrival_s
         )
         for load in heartbeat.detail.loads:
@@ -199,13 +199,13 @@
         """Applies strikes that another entry reports outside of heartbeats."""
         if self._parts.membership.table.row(name=report.entry) is None:
             return
-        expected_arrival_s = self._delays.usual_arrival_s(
+        expected_arrival_s = self._delays.undelayed_arrival_s(
             sender=report.entry,
             incarnation=report.incarnation,
             sent_s=report.sent_s,
             now_s=time.monotonic(),
         )
-        self._parts.quarantine.merge(
+        self._parts.quarantine.merge_marks(
             marks=report.marks, now_s=expected_arrival_s
         )
 
@@ -223,20 +223,20 @@
         """
         if heartbeat.detail is None:
             return
-        self._peer_marks.heard(
+        self._peer_marks.record_report(
             peer=name,
             incarnation=incarnation,
             names=heartbeat.detail.leaving_upstreams,
             now_s=time.monotonic(),
         )
-        if self._table.list_is_out:
+        if self._table.vm_list_unavailable:
             # The homes report that follows may transfer a home role.
             self.set_leaving()
 
     def _record_load(
         self, row: EntryRow, load: ServiceLoad, now_s: float
     ) -> None:
-        self._parts.steering.regions.observe(
+        self._parts.steering.regions.record_load_report(
             region=row.region,
             service=load.service,
             source=row.name,
@@ -245,7 +245,7 @@
             age_s=load.age_ms / 1000,
             now_s=now_s,
         )
-        self._parts.hops.heard(
+        self._parts.hops.record_report(
             entry=row.name,
             service=load.service,
             free_slots=load.free_slots,
@@ -259,8 +259,8 @@
             return
         if report.incarnation != incarnation_text(incarnation):
             return
-        self._parts.homes.heard(report=report, now_s=time.monotonic())
-        self._parts.keeper.advance_all()
+        self._parts.homes.record_report(report=report, now_s=time.monotonic())
+        self._parts.keeper.process_all_queues()
 
     def _on_link_epoch(
         self, name: str, incarnation: int, message: LinkEpoch
@@ -270,7 +270,9 @@
             # Sent by an earlier process of that VM; the current one has not
             # acknowledged anything.
             return
-        self._parts.shares.heard_epoch(entry=name, epoch=message.epoch)
+        self._parts.shares.record_acknowledged_epoch(
+            entry=name, epoch=message.epoch
+        )
 
     # Messages to peers.
 
@@ -297,7 +299,7 @@
         return StatusDetail(
             loads=self._own_loads(now_s),
             leaving_upstreams=tuple(sorted(self._own_leaving_upstreams(now_s))),
-            marks=self._parts.quarantine.digest(now_s=now_s),
+            marks=self._parts.quarantine.next_marks(now_s=now_s),
         )
 
     def loads(self) -> tuple[ServiceLoad, ...]:
@@ -335,15 +337,15 @@
         )
         for name in tuple(self._heartbeats.details):
             if name not in known:
-                self._parts.hops.forget(entry=name)
+                self._parts.hops.remove(entry=name)
                 self._delays.forget(sender=name)
                 self._parts.steering.regions.forget_source(source=name)
         self._peer_marks.forget(
             known=_entry_incarnations(table),
-            since_s=self._table.list_described_s,
+            since_s=self._table.vm_list_as_of_s,
         )
         self._heartbeats.refresh_table(partners=self._partners(table))
-        self._parts.keeper.advance_all()
+        self._parts.keeper.process_all_queues()
         self._log_homes()
 
     def _partners(self, table: EntryTable) -> list[str]:
@@ -377,7 +379,7 @@
 
     def on_configuration(self, configuration: Configuration) -> None:
         """Updates leaving marks and heartbeat receivers."""
-        self._parts.membership.mark_leaving(
+        self._parts.membership.set_marked_leaving(
             names=frozenset(configuration.marks.leaving)
         )
         self._heartbeats.refresh_table(
@@ -411,10 +413,10 @@
         to be leaving. It relays these marks because the entry that read the
         list may be gone.
         """
-        names = set(self._table.vms_leaving)
-        if self._table.list_is_out:
-            since_s = self._table.list_described_s
-            names |= self._peer_marks.names(since_s=since_s)
+        names = set(self._table.leaving_vms)
+        if self._table.vm_list_unavailable:
+            since_s = self._table.vm_list_as_of_s
+            names |= self._peer_marks.leaving_names(since_s=since_s)
         return names
 
     def _record_own_loads(self, now_s: float) -> None:
@@ -428,7 +430,7 @@
             return
         loads = []
         for service in configuration.services:
-            capacity = self._parts.keeper.slots.room(
+            capacity = self._parts.keeper.slots.capacity(
                 service=service, now_s=now_s
             )
             load = ServiceLoad(service, capacity.usable, capacity.free, 0)
@@ -438,7 +440,7 @@
         self._loads_recorded_s = now_s
 
     def _update_silent_entries(self, now_s: float) -> None:
-        silent = frozenset(self._parts.membership.silent(now_s=now_s))
+        silent = frozenset(self._parts.membership.silent_names(now_s=now_s))
         for name in silent - self._silent:
             log.event(log.Event.ENTRY_SILENT, entry=name)
         for name in self._silent - silent:
@@ -460,18 +462,18 @@
         if configuration is None:
             return
         alive = set()
-        for row in self._parts.membership.live(now_s=now_s):
+        for row in self._parts.membership.live_entries(now_s=now_s):
             alive.add(row.region)
         lost = frozenset(configuration.regions) - alive
         for region in lost - self._lost_regions:
-            self._parts.steering.regions.region_lost(region=region)
+            self._parts.steering.regions.mark_lost(region=region)
         for region in self._lost_regions - lost:
-            self._parts.steering.regions.region_back(region=region)
+            self._parts.steering.regions.mark_recovered(region=region)
         self._lost_regions = lost
 
     def _update_link_headroom(self, now_s: float) -> None:
         for region in self._parts.pacers.regions():
-            self._parts.steering.regions.observe_link(
+            self._parts.steering.regions.record_link_headroom(
                 availability_zone=self._parts.own.availability_zone,
                 region=region,
                 headroom=self._parts.pacers.headroom(
--- a/almondstair/tools/commands.py
+++ b/almondstair/tools/commands.py
@@ -1,7 +1,7 @@
-"""The groups of commands of the command-line tool.
+"""Command groups of the command-line tool.
 
-A command does its work only after the whole command line was understood. If it
-ran at once, `vm leave a b` would mark `a` and then complain about `b`.
+A command runs only after the whole command line has been parsed. If it ran at
+once, `vm leave a b` would mark `a` and then reject `b`.
 """
 
 from collections.abc import Callable
@@ -12,9 +12,9 @@
 import time
 from typing import Any
 
-from almondstair import documents
+from almondstair import configuration_edits
+from almondstair import document_faults as faults_module
 from almondstair import errors
-from almondstair import faults as faults_module
 from almondstair import operator_api
 from almondstair import settings as settings_module
 from almondstair import validation
@@ -22,11 +22,11 @@
 from almondstair.tools import tables
 
 _IN_FORCE_SOURCE = "configuration in force"
-_MARK_TRIES = 4
+_MARK_ATTEMPTS = 4
 
 
-class Pending:
-    """A command that was understood and has not run yet."""
+class PreparedCommand:
+    """Holds a command that was parsed and has not run yet."""
 
     def __init__(self, *, action: Callable[[], None]) -> None:
         """Keeps the action."""
@@ -36,33 +36,35 @@
         self._action()
 
 
-def run_pending(result: Any) -> Any:
-    """Runs a command; returns any other result, such as a group, as it is."""
-    if not isinstance(result, Pending):
+def run_prepared(result: Any) -> Any:
+    """Runs a prepared command; returns other results, such as groups."""
+    if not isinstance(result, PreparedCommand):
         return result
     result._run()
     return None
 
 
-def command(method: Callable[..., None]) -> Callable[..., Pending]:
-    """Makes a method return its work instead of doing it."""
+def command(method: Callable[..., None]) -> Callable[..., PreparedCommand]:
+    """Makes a method return a prepared command instead of running."""
 
     @functools.wraps(method)
-    def prepare(*args: Any, **kwargs: Any) -> Pending:
+    def prepare(*args: Any, **kwargs: Any) -> PreparedCommand:
         bound = inspect.signature(method).bind(*args, **kwargs)
-        _refuse_numbers_for_text(method, arguments=bound.arguments)
-        return Pending(action=functools.partial(method, *args, **kwargs))
+        _reject_non_text(method, arguments=bound.arguments)
+        return PreparedCommand(
+            action=functools.partial(method, *args, **kwargs)
+        )
 
     return prepare
 
 
-def _refuse_numbers_for_text(
+def _reject_non_text(
     method: Callable[..., None], *, arguments: dict[str, Any]
 ) -> None:
-    """Refuses a name that `fire` took for a number.
+    """Rejects an argument of type str that `fire` parsed as a number.
 
-    `1_0` is the number 10 to `fire`, and so a command could reach another VM
-    than the one that was typed.
+    `fire` reads `1_0` as the number 10, so that a command could act on another
+    VM than the one that was typed.
     """
     for name, value in arguments.items():
         if inspect.get_annotations(method).get(name) is not str:
@@ -97,16 +99,18 @@
             self._session.show(body)
             return
         print(body["text"], end="")
-        self._session.note(f"version {body['version']} by {body['author']}")
+        self._session.print_note(
+            f"version {body['version']} by {body['author']}"
+        )
         for entry, version in body["in_force"].items():
             if version == body["version"]:
                 continue
             known = "unknown" if version is None else str(version)
-            self._session.note(f"in force on {entry}: {known}")
+            self._session.print_note(f"in force on {entry}: {known}")
 
     @command
     def check(self, file: str, *, remote: bool = False) -> None:
-        """Checks a configuration file and lists every fault.
+        """Checks a configuration file and lists every error.
 
         Examples:
           almondstairctl config check deployment.toml
@@ -114,7 +118,7 @@
 
         Args:
           file: the TOML file.
-          remote: have an entry check it too.
+          remote: whether an entry checks it too.
         """
         text = _read_file(file)
         settings_module.read_configuration(text, file)
@@ -135,7 +139,7 @@
         """
         text = _read_file(file)
         current = self._session.client.configuration()
-        changed = documents.describe_changes(current["text"], text)
+        changed = configuration_edits.describe_changes(current["text"], text)
         body = {"base_version": current["version"], "changed": changed}
         if self._session.json:
             self._session.show(body)
@@ -148,16 +152,16 @@
         ):
             print(line, end="")
         if not changed:
-            self._session.note("no setting differs")
+            self._session.print_note("no setting differs")
 
     @command
     def edit(
         self, file: str, *, base_version: int, wait_s: float = 10.0
     ) -> None:
-        """Puts a file in the place of the configuration.
+        """Replaces the configuration with a file.
 
-        Take the version and the text from `config show`. If somebody else
-        edited it since, nothing is stored and the changed keys are named.
+        Take the version and the text from `config show`. If the configuration
+        was edited since, nothing is stored and the changed keys are listed.
 
         Examples:
           almondstairctl config show > deployment.toml
@@ -165,7 +169,7 @@
 
         Args:
           file: the TOML file.
-          base_version: the version that the file was made from.
+          base_version: the version that the file is based on.
           wait_s: how long to wait for every entry, in seconds.
         """
         text = _read_file(file)
@@ -192,7 +196,7 @@
 
     @command
     def list(self) -> None:
-        """Lists the profiles and the services that run under them.
+        """Lists the profiles and the services that use them.
 
         Examples:
           almondstairctl profile list
@@ -219,7 +223,7 @@
         self,
         profile: str,
         key: str,
-        value: documents.Scalar,
+        value: configuration_edits.Scalar,
         *,
         wait_s: float = 10.0,
     ) -> None:
@@ -231,7 +235,7 @@
 
         Args:
           profile: name of the profile.
-          key: the field, with its unit suffix.
+          key: name of the field, with its unit suffix.
           value: the new value.
           wait_s: how long to wait for every entry, in seconds.
         """
@@ -241,7 +245,9 @@
                 detail=f"{value!r} is not a number, a string or a boolean",
             )
         current = self._session.client.configuration()
-        text = documents.set_profile_field(current["text"], profile, key, value)
+        text = configuration_edits.set_profile_field(
+            current["text"], profile, key, value
+        )
         self._session.edit(
             base_version=current["version"], text=text, wait_s=wait_s
         )
@@ -250,7 +256,7 @@
     def assign(
         self, service: str, profile: str, *, wait_s: float = 10.0
     ) -> None:
-        """Puts a service under a profile.
+        """Assigns a profile to a service.
 
         Examples:
           almondstairctl profile assign matching spread
@@ -261,14 +267,16 @@
           wait_s: how long to wait for every entry, in seconds.
         """
         current = self._session.client.configuration()
-        text = documents.assign_profile(current["text"], service, profile)
+        text = configuration_edits.assign_profile(
+            current["text"], service, profile
+        )
         self._session.edit(
             base_version=current["version"], text=text, wait_s=wait_s
         )
 
 
 class VmCommands:
-    """Mark VMs as leaving, and back."""
+    """Mark VMs as leaving, or remove the mark."""
 
     def __init__(self, session: session_module.Session) -> None:
         """Keeps the session."""
@@ -295,7 +303,7 @@
             done = drain["leaving"] and drain["in_flight"] == 0
             if done or time.monotonic() >= until_s:
                 break
-            self._note_drain(drain, elapsed_s=elapsed_s)
+            self._print_drain(drain, elapsed_s=elapsed_s)
             time.sleep(session_module.POLL_INTERVAL_S)
         if not done:
             left = _count(drain["in_flight"])
@@ -310,8 +318,8 @@
         )
 
     @command
-    def _take_back(self, name: str, *, wait_s: float = 10.0) -> None:
-        """Takes the mark off a VM, so that it gets work again.
+    def _return_vm(self, name: str, *, wait_s: float = 10.0) -> None:
+        """Removes the mark from a VM, so that it gets work again.
 
         Examples:
           almondstairctl vm return matching-se1-1
@@ -323,14 +331,14 @@
         until_s = time.monotonic() + wait_s
         self._mark(name, leaving=False, wait_s=wait_s)
         drain = self._session.client.drain(name=name)
-        # The other entries still say for a moment that it leaves.
+        # Other entries report for a moment longer that it is leaving.
         while drain["leaving"] and time.monotonic() < until_s:
             time.sleep(session_module.POLL_INTERVAL_S)
             drain = self._session.client.drain(name=name)
         line = f"{name} takes work again"
         if drain["leaving"]:
-            line = f"{name} is unmarked, but leaves by its own or the "
-            line += "platform's word"
+            line = f"{name} is unmarked, but still leaving, as it or the "
+            line += "platform reports"
         self._session.show(drain, line)
 
     def _mark(self, name: str, *, leaving: bool, wait_s: float) -> None:
@@ -338,17 +346,17 @@
         state = self._session.wait_accepted(state, wait_s=wait_s)
         if state["state"] != operator_api.ACCEPTED:
             self._session.show_edit(state)
-        self._session.note(f"the mark is in force everywhere: {name}")
+        self._session.print_note(f"the mark is in force everywhere: {name}")
 
     def _send_mark(self, name: str, *, leaving: bool) -> operator_api.EditState:
-        """Sends a mark again if another edit came first.
+        """Sends a mark, and again if it conflicts with another edit.
 
         A mark depends on no other setting, so the operator need not read the
-        configuration again, as after a conflict of two edits.
+        configuration again as after other conflicts.
         """
-        for _ in range(_MARK_TRIES):
+        for _ in range(_MARK_ATTEMPTS):
             edit_id = session_module.new_edit_id()
-            self._session.note(f"edit {edit_id}")
+            self._session.print_note(f"edit {edit_id}")
             mark = operator_api.MarkBody(
                 name=name,
                 leaving=leaving,
@@ -364,23 +372,23 @@
             time.sleep(session_module.POLL_INTERVAL_S)
         raise conflict
 
-    def _note_drain(
+    def _print_drain(
         self, drain: operator_api.DrainBody, *, elapsed_s: float
     ) -> None:
         age_s = drain["last_new_work_age_s"]
         age = "unknown" if age_s is None else f"{age_s:.1f} s ago"
-        self._session.note(
+        self._session.print_note(
             f"{elapsed_s:.1f} s: work left {_count(drain['in_flight'])}, "
             f"last new work {age}"
         )
 
 
-# `return` is a word of the language, so no method can be defined under it.
-setattr(VmCommands, "return", VmCommands._take_back)
+# `return` is a keyword, so no method can be defined with this name.
+setattr(VmCommands, "return", VmCommands._return_vm)
 
 
 class EditCommands:
-    """Ask for the fate of an edit."""
+    """Show the status of an edit."""
 
     def __init__(self, session: session_module.Session) -> None:
         """Keeps the session."""
@@ -388,7 +396,7 @@
 
     @command
     def status(self, edit_id: str) -> None:
-        """Says whether an edit is in force everywhere.
+        """Shows whether an edit is in force everywhere.
 
         Examples:
           almondstairctl edit status edit-5b0c0f6e
--- a/almondstair/tools/gateway_config_commands.py
+++ b/almondstair/tools/gateway_config_commands.py
@@ -1,4 +1,4 @@
-"""Commands for the configuration as gateways have it in force."""
+"""Commands for the configuration in force on gateways."""
 
 import difflib
 import json
@@ -11,7 +11,10 @@
 
 
 class GatewayConfigCommands:
-    """Shows and compares configurations; the operators' store has the next."""
+    """Shows and compares the configurations in force on gateways.
+
+    The operators' store has the next configuration.
+    """
 
     def __init__(self, session: session_module.Session) -> None:
         """Keeps the session."""
@@ -29,13 +32,13 @@
           almondstairctl gateway config show 10.1.0.35:9464 > configuration.json
           almondstairctl gateway config show 10.1.0.35:9464 --version=7
         """
-        body = gateway_client.configuration(address, version=version)
+        body = gateway_client.fetch_configuration(address, version=version)
         if self._session.json:
             self._session.show(body)
             return
         print(_lines_of(body["text"]))
-        self._session.note(
-            f"version {body['version']} on {body['entry']}, which heard of "
+        self._session.print_note(
+            f"version {body['version']} on {body['entry']}, which read "
             f"the store {body['store_age_s']:.1f} s ago"
         )
 
@@ -49,7 +52,7 @@
         Examples:
           almondstairctl gateway config history 10.1.0.35:9464
         """
-        body = gateway_client.configuration(address)
+        body = gateway_client.fetch_configuration(address)
         shown = {
             "entry": body["entry"],
             "store_age_s": body["store_age_s"],
@@ -63,8 +66,8 @@
 
         Args:
           address: `ip:port` of a gateway's metrics address.
-          other: the same of another one, to compare the two.
-          version: an earlier version of the first, to compare it with.
+          other: the address of another gateway to compare with.
+          version: an earlier version on the first gateway to compare with.
 
         Examples:
           almondstairctl gateway config diff 10.1.0.35:9464 10.2.0.28:9464
@@ -75,8 +78,10 @@
                 kind=errors.ErrorKind.USAGE,
                 detail="name either another gateway or a version",
             )
-        newer = gateway_client.configuration(address)
-        older = gateway_client.configuration(other or address, version=version)
+        newer = gateway_client.fetch_configuration(address)
+        older = gateway_client.fetch_configuration(
+            other or address, version=version
+        )
         lines = list(
             difflib.unified_diff(
                 _lines_of(older["text"]).splitlines(),
@@ -96,13 +101,13 @@
             return
         print("\n".join(lines))
         if not lines:
-            self._session.note("nothing differs")
+            self._session.print_note("nothing differs")
 
 
 def _lines_of(text: str) -> str:
-    """Returns a stored text with a line for each of its fields."""
+    """Returns a stored text as JSON with one field per line."""
     try:
         return json.dumps(json.loads(text), indent=2)
     except json.JSONDecodeError:
-        # Shown as it is stored: that it cannot be read is what is looked for.
+        # Shown as stored, so that the operator sees that it is invalid.
         return text
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -30,7 +30,7 @@
 from tornado.httpclient import AsyncHTTPClient
 
 from almondstair.claims import Claims
-from almondstair.core import ledger
+from almondstair.core import idempotency
 from almondstair.errors import AlmondstairError
 from almondstair.key_value.etcd import EtcdService
 
@@ -41,7 +41,7 @@
 DURATION_S = 4.0
 HOPS = 300
 WORK_S = 0.02
-ANSWER = ledger.keep_answer(status=201, headers=[], body=b"x" * 200)
+ANSWER = idempotency.recorded_response(status=201, headers=[], body=b"x" * 200)
 
 
 class WriteMode(NamedTuple):
@@ -49,8 +49,8 @@
 
     name: str
     max_batch: int
-    max_under_way: int
-    settle_delay_s: float
+    max_in_flight: int
+    batch_delay_s: float
 
 
 WRITE_MODES = (
@@ -87,8 +87,8 @@
         is_live=lambda entry, incarnation: True,
         retention_s=3600,
         max_batch=mode.max_batch,
-        max_under_way=mode.max_under_way,
-        settle_delay_s=mode.settle_delay_s,
+        max_in_flight=mode.max_in_flight,
+        batch_delay_s=mode.batch_delay_s,
     )
     latencies_us = HdrHistogram(1, 60_000_000, 3)
     refused = 0
@@ -107,11 +107,11 @@
             refused += 1
             return
         latencies_us.record_value(int((time.monotonic() - start_s) * 1e6))
-        if not isinstance(claim, ledger.Claim):
+        if not isinstance(claim, idempotency.Claim):
             raise TypeError("a key was used twice")
         claim.dispatch(now_s=time.monotonic())
         await asyncio.sleep(WORK_S)
-        await claims.record(claim, ANSWER)
+        await claims.record_response(claim, ANSWER)
 
     await request(-1)
     await claims.drain(timeout_s=10)
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -10,7 +10,7 @@
 from almondstair.control import Control
 from almondstair.control import ControlParts
 from almondstair.core.entry_table import EntryRow
-from almondstair.core.heartbeat_words import StatusDetail
+from almondstair.core.heartbeat_payloads import StatusDetail
 from almondstair.core.home_records import HomesReport
 from almondstair.core.membership import Membership
 from almondstair.core.membership_records import incarnation_text
@@ -38,9 +38,9 @@
 
 def _table(*, described_s, is_out):
     return mock.Mock(
-        vms_leaving=frozenset(),
-        list_described_s=described_s,
-        list_is_out=is_out,
+        leaving_vms=frozenset(),
+        vm_list_as_of_s=described_s,
+        vm_list_unavailable=is_out,
     )
 
 
@@ -70,7 +70,7 @@
         told = context.parts.keeper.slots.set_leaving.call_args
         context.marked_at_duty = told.kwargs["names"] if told else ()
 
-    context.parts.homes.heard.side_effect = take
+    context.parts.homes.record_report.side_effect = take
     context.control = Control(parts=context.parts, tick_s=1.0, refresh_s=1.0)
     configuration = mock.Mock(configuration=None)
     context.control.bind(
@@ -130,7 +130,7 @@
     context.control._configuration.configuration = mock.Mock(
         upstreams={_MARKED: mock.Mock()}, marks=mock.Mock(leaving=())
     )
-    context.parts.quarantine.digest.return_value = ()
+    context.parts.quarantine.next_marks.return_value = ()
     told = context.control.own_detail().leaving_upstreams
     assert told == (_MARKED,), told
 
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -40,7 +40,7 @@
 
 
 class RecordStatus(enum.IntEnum):
-    """State of a record, as in `almondstair.core.ledger.RecordState`."""
+    """State of a record, as in `almondstair.core.idempotency.RecordState`."""
 
     CLAIMED = 0
     DONE = 1
@@ -171,7 +171,7 @@
         return steps
 
     def send(self, state: State, number: int) -> Iterator[Step]:
-        """The caller sends; `Claiming` starts with a write."""
+        """The caller sends; `ClaimAttempt` starts with a write."""
         if state.attempts[number].phase is not Phase.NOT_SENT:
             return
         if number and state.attempts[number - 1].phase is Phase.NOT_SENT:
@@ -235,7 +235,7 @@
             return True
         if _revision(state) == write.base:
             return True
-        # `Settlement.on_write` retries on the revision of its own claim.
+        # `OutcomeRecording.on_write` retries on the revision of its own claim.
         if write.status is RecordStatus.CLAIMED or state.record is None:
             return False
         is_own = state.record.attempt == write.attempt
@@ -260,7 +260,7 @@
             yield f"give up {number}", self._give_up(state, number)
 
     def read_back(self, state: State, number: int) -> Iterator[Step]:
-        """`Claiming.on_read`: looks for the nonce of the own claim."""
+        """`ClaimAttempt.on_read`: looks for the nonce of the own claim."""
         attempt = state.attempts[number]
         if attempt.phase is not Phase.ANSWER_LOST:
             return
@@ -271,7 +271,7 @@
         yield f"read back {number}", self._classify_record(state, number)
 
     def _classify_record(self, state: State, number: int) -> State:
-        """`ledger.judge` and the steps that follow from its result."""
+        """`idempotency.classify_record` and the steps that follow from it."""
         attempt = state.attempts[number]
         record = state.record
         if record is None:
--- a/spec/homes.py
+++ b/spec/homes.py
@@ -232,7 +232,7 @@
 def usable_reports(
     state: State, number: int, sender: int, guards: Guards
 ) -> list[Report]:
-    """`Homes.heard`: reports that a process accepts under its epoch."""
+    """`Homes.record_report`: reports that a process accepts under its epoch."""
     epoch = state.nodes[number].epoch
     row = state.tables[epoch].rows[sender]
     reports = []
@@ -265,7 +265,7 @@
 
 
 def release_ended(state: State, number: int, guards: Guards) -> Iterator[Step]:
-    """`Homes._free_ended_work`: the former home reports less work running."""
+    """`Homes._free_finished_work`: the former home reports less work."""
     node = state.nodes[number]
     if not is_holder(state, number, guards) or node.source == NO_SOURCE:
         return
@@ -328,7 +328,7 @@
 
 
 def dispatch(state: State, number: int, guards: Guards) -> Iterator[Step]:
-    """`SlotTable.admit`: dispatches a request with the longest deadline."""
+    """`SlotTable.acquire_at`: a request with the longest deadline."""
     node = state.nodes[number]
     if not is_holder(state, number, guards):
         return
@@ -401,7 +401,7 @@
 
 
 def _is_idle(state: State, number: int) -> bool:
-    """`Homes.idle`: a leaving entry has no work left to hand over."""
+    """`Homes.has_released_all`: a leaving entry has no work to hand over."""
     node = state.nodes[number]
     row = state.tables[node.epoch].rows[number]
     if row is None or not row.leaving or not node.alive:
--- a/spec/reserve.py
+++ b/spec/reserve.py
@@ -213,7 +213,7 @@
         yield f"apply {number}", after
 
     def receive_heartbeat(self, state: State, number: int) -> Iterator[Step]:
-        """`Homes.heard`: receives a heartbeat of the home, as if just sent.
+        """`Homes.record_report`: a heartbeat of the home, as if just sent.
 
         A delayed heartbeat permits no more: it ends the silence in the same
         way, and the home counts from its sending, so the home may use the
@@ -245,7 +245,7 @@
         yield f"echo {number}", state._replace(echoes=frozenset(echoes))
 
     def receive_echo(self, state: State, number: int) -> Iterator[Step]:
-        """Receives an echo: `HomePeer.with_echo`, `Homes._reserve_is_mine`."""
+        """Receives an echo: `HomePeer.with_echo`, `Homes._may_use_reserve`."""
         node = state.nodes[number]
         roles = self._roles(node)
         for echo in state.echoes:
@@ -288,7 +288,7 @@
         yield f"take over {number}", _with_node(state, number, changed)
 
     def dispatch(self, state: State, number: int) -> Iterator[Step]:
-        """`SlotTable.admit` at the home, with a short or long deadline."""
+        """`SlotTable.acquire_at` at the home, with a short or long deadline."""
         node = state.nodes[number]
         if self._roles(node).home != number or node.held_epoch != node.epoch:
             return
@@ -315,7 +315,7 @@
             )
 
     def dispatch_in_reserve(self, state: State, number: int) -> Iterator[Step]:
-        """`SlotTable.admit` at the successor of a silent home."""
+        """`SlotTable.acquire_at` at the successor of a silent home."""
         node = state.nodes[number]
         if self._roles(node).successor != number or node.reserve:
             return
@@ -346,7 +346,7 @@
         return state._replace(nodes=tuple(nodes), echoes=frozenset(echoes))
 
     def _has_settled(self, state: State, sender: int) -> bool:
-        """`Homes._settled_itself`; once true it stays true.
+        """`Homes._is_settled`; once true it stays true.
 
         The report of it can be received at any later time, so it need not be
         part of the state.
