--- a/almondstair/call_router.py
+++ b/almondstair/call_router.py
@@ -34,7 +34,7 @@
 from almondstair.runner import Runner
 from almondstair.runner import RunnerJob
 from almondstair.runner import mark_outcome_unknown
-from almondstair.strike_words import StrikeWords
+from almondstair.strike_exchange import StrikeExchange
 from almondstair.tracing import Tracing
 
 MAX_ATTEMPTS = 3
@@ -93,7 +93,7 @@
       tracing: creates spans.
       metrics: counters and timings.
       loop_stall: time for which this process was stalled.
-      strike_words: other entries' reports of requests that crash upstreams.
+      strike_exchange: other entries' reports of requests that crash upstreams.
     """
 
     own: EntryRow
@@ -107,7 +107,7 @@
     tracing: Tracing
     metrics: Metrics
     loop_stall: LoopStall
-    strike_exchange: StrikeWords
+    strike_exchange: StrikeExchange
 
 
 class _AttemptStart(NamedTuple):
@@ -155,8 +155,8 @@
             span.set_attribute("service", call.head.service)
             span.set_attribute("request_class", call.head.request_class.name)
             call = call._replace(
-                traceparent=self._parts.tracing.header(
-                    span, otherwise=call.traceparent
+                traceparent=self._parts.tracing.outgoing_traceparent(
+                    span, fallback=call.traceparent
                 )
             )
             error = await self._answer_before_deadline(call)
@@ -228,7 +228,7 @@
         return await self._route_with_retries(call, fingerprint, verdict)
 
     def _verdict(self, fingerprint: int) -> DispatchVerdict:
-        self._parts.strike_exchange.read_waiting()
+        self._parts.strike_exchange.read_pending()
         now_s = time.monotonic()
         quarantine = self._parts.quarantine
         verdict = quarantine.verdict(fingerprint=fingerprint, now_s=now_s)
--- a/almondstair/configuration_manager.py
+++ b/almondstair/configuration_manager.py
@@ -22,8 +22,8 @@
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 from almondstair.errors import Ran
-from almondstair.operators import EditAnswer
-from almondstair.operators import EditRequest
+from almondstair.operator_server import EditRequest
+from almondstair.operator_server import EditResponse
 from almondstair.settings import read_configuration
 from almondstair.store import ConfigurationStore
 
@@ -173,7 +173,7 @@
         )
         self.apply(await self._store.seed(edit=edit))
 
-    async def edit(self, request: EditRequest) -> EditAnswer:
+    async def edit(self, request: EditRequest) -> EditResponse:
         """Applies an operator's edit and waits until it is in force.
 
         Raises:
@@ -209,7 +209,7 @@
             self._unknown_edits[edit.edit_id] = edit.base_version
         return await self._edit_answer(result, request.base_version, before)
 
-    async def edit_status(self, edit_id: str) -> EditAnswer:
+    async def edit_status(self, edit_id: str) -> EditResponse:
         """Returns the status of an edit.
 
         Raises:
@@ -282,7 +282,7 @@
         text = configuration_edits.set_leaving(stored.text, name, leaving)
         return stored.version, text
 
-    async def _wait_until_accepted(self, result: EditResult) -> EditAnswer:
+    async def _wait_until_accepted(self, result: EditResult) -> EditResponse:
         stored = await self._read_or_none()
         if stored is not None:
             self.apply(stored)
@@ -323,10 +323,10 @@
         result: EditResult,
         base_version: int,
         before: StoredConfiguration | None,
-    ) -> EditAnswer:
+    ) -> EditResponse:
         kind = _ERROR_KINDS.get(result.status)
         if kind is None:
-            return EditAnswer(
+            return EditResponse(
                 result.edit_id,
                 str(result.status),
                 result.version,
@@ -341,7 +341,7 @@
             detail = "not known to be in force on: " + ", ".join(
                 result.lagging_entries
             )
-        return EditAnswer(
+        return EditResponse(
             result.edit_id,
             str(result.status),
             result.version,
--- a/almondstair/control.py
+++ b/almondstair/control.py
@@ -26,16 +26,16 @@
 from almondstair.document_exchange import DocumentExchange
 from almondstair.entry_table_manager import EntryTableManager
 from almondstair.errors import AlmondstairError
+from almondstair.far_zone_loads import FarZoneLoads
 from almondstair.heartbeats import Heartbeats
 from almondstair.link_pacers import LinkPacers
 from almondstair.link_shares import LinkShares
+from almondstair.messages import EpochAcknowledgement
 from almondstair.messages import Heartbeat
-from almondstair.messages import LinkEpoch
 from almondstair.metrics import Metrics
 from almondstair.prober import Prober
 from almondstair.slot_allocator import SlotAllocator
-from almondstair.strike_words import StrikeWord
-from almondstair.zone_loads import ZoneLoads
+from almondstair.strike_exchange import StrikeReport
 
 
 class ControlParts(NamedTuple):
@@ -44,11 +44,11 @@
     own: EntryRow
     membership: Membership
     homes: Homes
-    keeper: SlotAllocator
+    slot_allocator: SlotAllocator
     steering: Steering
-    hops: EntrySelector
+    entry_selector: EntrySelector
     quarantine: Quarantine
-    shares: LinkShares
+    link_shares: LinkShares
     pacers: LinkPacers
     prober: Prober
     metrics: Metrics
@@ -80,7 +80,7 @@
         self._loads: tuple[ServiceLoad, ...] = ()
         self._loads_recorded_s = float("-inf")
         self._heartbeats: Heartbeats
-        self._zone_loads: ZoneLoads
+        self._far_zone_loads: FarZoneLoads
         self._document_exchange: DocumentExchange
         self._table: EntryTableManager
         self._configuration: ConfigurationManager
@@ -95,12 +95,12 @@
     ) -> None:
         """Sets the components that call back into this one."""
         self._heartbeats = heartbeats
-        self._zone_loads = ZoneLoads(
+        self._far_zone_loads = FarZoneLoads(
             own=self._parts.own,
             membership=self._parts.membership,
             heartbeats=heartbeats,
             steering=self._parts.steering,
-            hops=self._parts.hops,
+            entry_selector=self._parts.entry_selector,
         )
         self._document_exchange = exchange
         self._table = table
@@ -134,17 +134,17 @@
     async def _tick(self) -> None:
         now_s = time.monotonic()
         self._record_own_loads(now_s)
-        self._zone_loads.observe(now_s=now_s)
+        self._far_zone_loads.update(now_s=now_s)
         self._update_silent_entries(now_s)
         self._update_lost_regions(now_s)
         self._update_link_headroom(now_s)
-        self._parts.shares.request_loans()
+        self._parts.link_shares.request_loans()
         self._parts.quarantine.drop_expired(now_s=now_s)
-        self._parts.keeper.process_all_queues()
+        self._parts.slot_allocator.process_all_queues()
         configuration = self._configuration.configuration
         if configuration is not None:
             self._parts.prober.start_due_probes(configuration=configuration)
-        self.set_leaving()
+        self.update_leaving_upstreams()
 
     async def _refresh(self) -> None:
         await self._table.refresh_vm_list()
@@ -160,12 +160,12 @@
             self._on_heartbeat(name, incarnation, message)
         elif isinstance(message, HomesReport):
             self._on_homes_report(name, incarnation, message)
-        elif isinstance(message, LinkEpoch):
-            self._on_link_epoch(name, incarnation, message)
+        elif isinstance(message, EpochAcknowledgement):
+            self._on_epoch_acknowledgement(name, incarnation, message)
         elif isinstance(message, LoanRequest):
-            self._parts.shares.handle_loan_request(message)
+            self._parts.link_shares.handle_loan_request(message)
         elif isinstance(message, Loan):
-            self._parts.shares.accept_loan(message)
+            self._parts.link_shares.accept_loan(message)
         else:
             self._document_exchange.handle_message(message)
 
@@ -195,7 +195,7 @@
         for load in heartbeat.detail.loads:
             self._record_load(row, load, now_s)
 
-    def take_strikes(self, report: StrikeWord) -> None:
+    def apply_strikes(self, report: StrikeReport) -> None:
         """Applies strikes that another entry reports outside of heartbeats."""
         if self._parts.membership.table.row(name=report.entry) is None:
             return
@@ -231,7 +231,7 @@
         )
         if self._table.vm_list_unavailable:
             # The homes report that follows may transfer a home role.
-            self.set_leaving()
+            self.update_leaving_upstreams()
 
     def _record_load(
         self, row: EntryRow, load: ServiceLoad, now_s: float
@@ -245,7 +245,7 @@
             age_s=load.age_ms / 1000,
             now_s=now_s,
         )
-        self._parts.hops.record_report(
+        self._parts.entry_selector.record_report(
             entry=row.name,
             service=load.service,
             free_slots=load.free_slots,
@@ -260,23 +260,23 @@
         if report.incarnation != incarnation_text(incarnation):
             return
         self._parts.homes.record_report(report=report, now_s=time.monotonic())
-        self._parts.keeper.process_all_queues()
+        self._parts.slot_allocator.process_all_queues()
 
-    def _on_link_epoch(
-        self, name: str, incarnation: int, message: LinkEpoch
+    def _on_epoch_acknowledgement(
+        self, name: str, incarnation: int, message: EpochAcknowledgement
     ) -> None:
         row = self._parts.membership.table.row(name=name)
         if row is None or row.incarnation != incarnation_text(incarnation):
             # Sent by an earlier process of that VM; the current one has not
             # acknowledged anything.
             return
-        self._parts.shares.record_acknowledged_epoch(
+        self._parts.link_shares.record_acknowledged_epoch(
             entry=name, epoch=message.epoch
         )
 
     # Messages to peers.
 
-    def companions(self, name: str) -> Sequence[NamedTuple]:
+    def piggybacked_messages(self, name: str) -> Sequence[NamedTuple]:
         """Returns the messages that are sent along with a heartbeat."""
         row = self._parts.membership.table.row(name=name)
         if row is None:
@@ -288,7 +288,7 @@
             )
             messages.append(report)
         if row.availability_zone == self._parts.own.availability_zone:
-            acknowledgement = self._parts.shares.acknowledgement()
+            acknowledgement = self._parts.link_shares.acknowledgement()
             if acknowledgement is not None:
                 messages.append(acknowledgement)
         return messages
@@ -320,7 +320,7 @@
         configuration = self._configuration.configuration
         if configuration is not None:
             names &= set(configuration.upstreams)
-        for row in self._parts.keeper.slots.status(now_s=now_s):
+        for row in self._parts.slot_allocator.slots.status(now_s=now_s):
             if row.leaving:
                 names.add(row.name)
         return names
@@ -332,20 +332,20 @@
         now_s = time.monotonic()
         known = set(table.names())
         self._parts.homes.update_table(table=table, now_s=now_s)
-        self._parts.shares.update_table(
+        self._parts.link_shares.update_table(
             table=table, from_platform=from_platform
         )
         for name in tuple(self._heartbeats.details):
             if name not in known:
-                self._parts.hops.remove(entry=name)
+                self._parts.entry_selector.remove(entry=name)
                 self._delays.forget(sender=name)
                 self._parts.steering.regions.forget_source(source=name)
         self._peer_marks.forget(
             known=_entry_incarnations(table),
             since_s=self._table.vm_list_as_of_s,
         )
-        self._heartbeats.refresh_table(partners=self._partners(table))
-        self._parts.keeper.process_all_queues()
+        self._heartbeats.update_receivers(partners=self._partners(table))
+        self._parts.slot_allocator.process_all_queues()
         self._log_homes()
 
     def _partners(self, table: EntryTable) -> list[str]:
@@ -382,12 +382,12 @@
         self._parts.membership.set_marked_leaving(
             names=frozenset(configuration.marks.leaving)
         )
-        self._heartbeats.refresh_table(
+        self._heartbeats.update_receivers(
             partners=self._partners(self._parts.membership.table)
         )
         self._log_homes()
 
-    def set_leaving(self) -> None:
+    def update_leaving_upstreams(self) -> None:
         """Merges the sets of leaving upstreams of all sources.
 
         A mark holds until its own source removes it. Its absence in another
@@ -398,7 +398,7 @@
         if configuration is not None:
             names.update(configuration.marks.leaving)
         leaving = frozenset(names)
-        self._parts.keeper.slots.set_leaving(names=leaving)
+        self._parts.slot_allocator.slots.set_leaving(names=leaving)
         for name in leaving - self._leaving_upstreams:
             log.event(log.Event.UPSTREAM_LEAVING, upstream=name)
         for name in self._leaving_upstreams - leaving:
@@ -430,7 +430,7 @@
             return
         loads = []
         for service in configuration.services:
-            capacity = self._parts.keeper.slots.capacity(
+            capacity = self._parts.slot_allocator.slots.capacity(
                 service=service, now_s=now_s
             )
             load = ServiceLoad(service, capacity.usable, capacity.free, 0)
@@ -453,7 +453,7 @@
         if row is not None and row.region in self._lost_regions:
             self._update_lost_regions(now_s)
 
-    def note_live(self) -> None:
+    def refresh_lost_regions(self) -> None:
         """Updates the lost regions when this entry begins to accept work."""
         self._update_lost_regions(time.monotonic())
 
--- a/almondstair/dispatch.py
+++ b/almondstair/dispatch.py
@@ -105,8 +105,8 @@
                 address=upstream.address,
                 call=call,
                 path=call.head.path,
-                trace_header=self._tracing.header(
-                    span, otherwise=call.traceparent
+                trace_header=self._tracing.outgoing_traceparent(
+                    span, fallback=call.traceparent
                 ),
                 may_write=may_write,
                 pace=pace,
@@ -141,8 +141,8 @@
                 address=entry.forward_address,
                 call=call,
                 path=f"/{call.head.service}{call.head.path}",
-                trace_header=self._tracing.header(
-                    span, otherwise=call.traceparent
+                trace_header=self._tracing.outgoing_traceparent(
+                    span, fallback=call.traceparent
                 ),
                 may_write=lambda: True,
                 pace=pace,
--- a/almondstair/entry.py
+++ b/almondstair/entry.py
@@ -39,8 +39,6 @@
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 from almondstair.frontend import RequestListener
-from almondstair.gauges import GaugedParts
-from almondstair.gauges import Gauges
 from almondstair.heartbeats import Heartbeats
 from almondstair.key_value.etcd import EtcdService
 from almondstair.key_value.etcd import HttpVmList
@@ -48,12 +46,14 @@
 from almondstair.link_shares import LinkShares
 from almondstair.lookups import LookupBody
 from almondstair.lookups import Lookups
-from almondstair.loop_watch import LoopWatch
+from almondstair.loop_stall_monitor import LoopStallMonitor
 from almondstair.metrics import Metric
 from almondstair.metrics import Metrics
+from almondstair.metrics_sampler import MetricSources
+from almondstair.metrics_sampler import MetricsSampler
+from almondstair.operator_server import OperatorServer
 from almondstair.operator_views import OperatorViews
 from almondstair.operator_views import ViewParts
-from almondstair.operators import OperatorServer
 from almondstair.peers import Peers
 from almondstair.prober import Prober
 from almondstair.runner import Runner
@@ -67,7 +67,7 @@
 from almondstair.startup_sequence import StartupSequence
 from almondstair.store import ConfigurationStore
 from almondstair.store import EntryTableStore
-from almondstair.strike_words import StrikeWords
+from almondstair.strike_exchange import StrikeExchange
 from almondstair.tracing import Tracing
 
 # How long the home may use a reserve slot after the last report of its
@@ -231,11 +231,11 @@
             own=self.own,
             membership=self.membership,
             homes=self.homes,
-            keeper=self._slot_allocator,
+            slot_allocator=self._slot_allocator,
             steering=self.steering,
-            hops=self._entry_selector,
+            entry_selector=self._entry_selector,
             quarantine=self._quarantine,
-            shares=self._link_shares,
+            link_shares=self._link_shares,
             pacers=self.pacers,
             prober=self._prober,
             metrics=self.metrics,
@@ -252,15 +252,15 @@
             peers=self._peers,
             clock=time.monotonic,
             own_detail=self._control.own_detail,
-            companions=self._control.companions,
+            piggybacked_messages=self._control.piggybacked_messages,
             interval_ms=settings.timing.heartbeat_interval_ms,
             silence_limit_ms=settings.timing.silence_limit_ms,
         )
-        self._strike_exchange = StrikeWords(
+        self._strike_exchange = StrikeExchange(
             own=self.own,
             incarnation=self._incarnation,
             membership=self.membership,
-            on_word=self._control.take_strikes,
+            on_report=self._control.apply_strikes,
         )
         self._document_exchange = DocumentExchange(
             peer_address=self.own.peer_address,
@@ -273,11 +273,11 @@
             on_configuration=self.configuration_manager.apply,
             clock=time.monotonic,
         )
-        self._gauges = Gauges(
-            parts=GaugedParts(
+        self._metrics_sampler = MetricsSampler(
+            sources=MetricSources(
                 metrics=self.metrics,
                 peers=self._peers,
-                keeper=self._slot_allocator,
+                slot_allocator=self._slot_allocator,
                 pacers=self.pacers,
                 configuration=self.configuration_manager,
                 loads=self._control.loads,
@@ -297,8 +297,8 @@
         self._control.on_table(table, from_platform)
 
     def _make_call_router(self) -> None:
-        self._loop_stall_monitor = LoopWatch(
-            standstill=self._loop_stall, metrics=self.metrics
+        self._loop_stall_monitor = LoopStallMonitor(
+            loop_stall=self._loop_stall, metrics=self.metrics
         )
         core = RunnerState(
             configuration=self.configuration,
@@ -350,8 +350,8 @@
 
     def _send_strikes(self) -> None:
         marks = self._quarantine.next_marks(now_s=time.monotonic())
-        self._strike_exchange.tell(marks)
-        self.heartbeats.announce()
+        self._strike_exchange.send_strikes(marks)
+        self.heartbeats.send_now()
 
     def _make_listeners(self) -> None:
         zone = self.own.availability_zone
@@ -374,7 +374,7 @@
                 heartbeats=self.heartbeats,
                 configuration=self.configuration_manager,
                 table=self.table_manager,
-                running=self._leaving.requests_in_flight,
+                requests_in_flight=self._leaving.requests_in_flight,
             )
         )
         self._operators = OperatorServer(handler=views)
@@ -468,7 +468,7 @@
         self.heartbeats.start()
         self._control.start()
         self._timers.append(asyncio.ensure_future(self._joining.run()))
-        self._timers.append(asyncio.ensure_future(self._gauges.run()))
+        self._timers.append(asyncio.ensure_future(self._metrics_sampler.run()))
         self._timers.append(
             asyncio.ensure_future(self._loop_stall_monitor.run())
         )
--- a/almondstair/zone_loads.py
+++ b/almondstair/far_zone_loads.py
@@ -9,7 +9,7 @@
 from almondstair.heartbeats import Heartbeats
 
 
-class ZoneLoads:
+class FarZoneLoads:
     """Applies loads from digests of far zones to steering and entry choice."""
 
     def __init__(
@@ -19,7 +19,7 @@
         membership: Membership,
         heartbeats: Heartbeats,
         steering: Steering,
-        hops: EntrySelector,
+        entry_selector: EntrySelector,
     ) -> None:
         """Starts without any zone.
 
@@ -29,16 +29,16 @@
           heartbeats: source of the digests, and of the entries that send their
             own details.
           steering: receives the loads of regions.
-          hops: receives the loads of entries.
+          entry_selector: receives the loads of entries.
         """
         self._own = own
         self._membership = membership
         self._heartbeats = heartbeats
         self._steering = steering
-        self._entry_selector = hops
+        self._entry_selector = entry_selector
         self._reported_zones: set[str] = set()
 
-    def observe(self, *, now_s: float) -> None:
+    def update(self, *, now_s: float) -> None:
         """Applies the loads of far zones from their latest digests."""
         reported = set()
         for zone, rows in self._far_zones(now_s).items():
--- a/almondstair/gateway/daemon.py
+++ b/almondstair/gateway/daemon.py
@@ -392,9 +392,9 @@
     """Flushes buffered log lines and logs how many lines were dropped."""
     while True:
         await asyncio.sleep(LOG_FLUSH_INTERVAL_S)
-        untold = log.take_untold()
-        if untold:
-            log.event(log.Event.LINES_LEFT_OUT, lines=untold)
+        unreported = log.take_unreported_drops()
+        if unreported:
+            log.event(log.Event.LINES_LEFT_OUT, lines=unreported)
 
 
 async def _run(settings: boot.BootSettings, path: str) -> None:
@@ -414,7 +414,7 @@
 
 def main() -> None:
     """Loads the settings and serves until SIGTERM or SIGINT."""
-    log.setup_output(level="INFO")
+    log.setup_stdout(level="INFO")
     try:
         path = os.environ.get(boot.PATH_VARIABLE, "")
         settings = boot.load(path)
--- a/almondstair/gateway/operator_reports.py
+++ b/almondstair/gateway/operator_reports.py
@@ -65,7 +65,7 @@
             measures.upstreams.labels(service).set(len(eligible))
             use = self._fleet.utilisation(service, now_s=now)
             measures.slot_use.labels(service).set(use)
-        for event, count in log.left_out().items():
+        for event, count in log.dropped_lines().items():
             measures.dropped_log_lines.labels(event).set(count)
         return measures.render()
 
--- a/almondstair/heartbeats.py
+++ b/almondstair/heartbeats.py
@@ -59,7 +59,7 @@
         peers: Peers,
         clock: Callable[[], float],
         own_detail: Callable[[], StatusDetail],
-        companions: Callable[[str], Sequence[NamedTuple]],
+        piggybacked_messages: Callable[[str], Sequence[NamedTuple]],
         interval_ms: int,
         silence_limit_ms: int,
     ) -> None:
@@ -72,8 +72,8 @@
           peers: sockets to the other entries.
           clock: returns monotonic seconds.
           own_detail: returns the status of this entry's upstreams.
-          companions: returns messages of other protocols to piggyback on the
-            heartbeat to an entry, in the same packet.
+          piggybacked_messages: returns messages of other protocols to send
+            with the heartbeat to an entry, in the same packet.
           interval_ms: time between two rounds of heartbeats.
           silence_limit_ms: minimum age of the last heartbeat at which an entry
             counts as silent.
@@ -84,9 +84,9 @@
         self._peers = peers
         self._clock = clock
         self._own_detail = own_detail
-        self._piggybacked_messages = companions
+        self._piggybacked_messages = piggybacked_messages
         self._silence_limit_s = silence_limit_ms / 1000
-        self._fan_out = HeartbeatScheduler(
+        self._scheduler = HeartbeatScheduler(
             own=own, interval_s=interval_ms / 1000
         )
         self._timer = PeriodicCallback(self.send_round, interval_ms)
@@ -106,7 +106,7 @@
         """Stops the timer."""
         self._timer.stop()
 
-    def refresh_table(self, *, partners: Iterable[str] = ()) -> None:
+    def update_receivers(self, *, partners: Iterable[str] = ()) -> None:
         """Recomputes the receivers; called with each new entry table.
 
         Args:
@@ -115,18 +115,18 @@
         """
         membership = self._membership
         self._peers.set_rows(membership.table.entries)
-        self._fan_out.set_table(table=membership.table, partners=partners)
+        self._scheduler.set_table(table=membership.table, partners=partners)
         # The first send to a peer only opens the connection and is lost. In a
         # large group the next heartbeat would follow seconds later.
-        for name in self._fan_out.receiver_names:
+        for name in self._scheduler.receiver_names:
             self._peers.connect(name)
-        self._detail_names = self._fan_out.detail_names
+        self._detail_names = self._scheduler.detail_names
         self._names_by_zone = names_by_zone(table=membership.table)
         own_zone = self._own.availability_zone
         self._zone_names = self._names_by_zone.get(own_zone, [])
         membership.set_silence_limits(
-            near_names=self._fan_out.near_names,
-            near_s=self._fan_out.silence_limit_s(
+            near_names=self._scheduler.near_names,
+            near_s=self._scheduler.silence_limit_s(
                 min_limit_s=self._silence_limit_s
             ),
             far_s=FAR_SILENCE_S,
@@ -135,7 +135,7 @@
             if name not in self._detail_names:
                 del self.details[name]
 
-    def announce(self, *, finished: bool = False) -> None:
+    def send_now(self, *, finished: bool = False) -> None:
         """Sends a heartbeat to group and partners now, e.g. when leaving.
 
         Args:
@@ -152,7 +152,7 @@
         """Sends the heartbeats that are due in this round."""
         now_s = self._clock()
         self._sequence += 1
-        targets = self._fan_out.tick()
+        targets = self._scheduler.tick()
         detail = self._own_detail()
         view = None
         if targets.with_view:
--- a/almondstair/link_shares.py
+++ b/almondstair/link_shares.py
@@ -14,7 +14,7 @@
 from almondstair.link_pacers import LinkPacer
 from almondstair.link_pacers import LinkPacers
 from almondstair.link_pacers import window_bytes
-from almondstair.messages import LinkEpoch
+from almondstair.messages import EpochAcknowledgement
 
 OUTBOUND = ">"
 INBOUND = "<"
@@ -91,7 +91,7 @@
         for share in self._shares.values():
             share.record_acknowledgement(entry=entry, epoch=epoch, now_s=now_s)
 
-    def acknowledgement(self) -> LinkEpoch | None:
+    def acknowledgement(self) -> EpochAcknowledgement | None:
         """Returns the lowest epoch that all shares acknowledge, to be sent."""
         now_s = time.monotonic()
         lowest: int | None = None
@@ -100,8 +100,8 @@
             if lowest is None or epoch < lowest:
                 lowest = epoch
         if lowest is None:
-            return LinkEpoch(self._table.epoch)
-        return LinkEpoch(lowest)
+            return EpochAcknowledgement(self._table.epoch)
+        return EpochAcknowledgement(lowest)
 
     def request_loans(self) -> None:
         """Requests loans from peers for shares that are too small."""
--- a/almondstair/log.py
+++ b/almondstair/log.py
@@ -200,7 +200,7 @@
     _install(handler, level)
 
 
-def setup_output(*, level: str) -> None:
+def setup_stdout(*, level: str) -> None:
     """Sends the log as JSON lines to standard output without blocking.
 
     Args:
@@ -209,7 +209,7 @@
     _install(BoundedHandler(descriptor=sys.stdout.fileno()), level)
 
 
-def take_untold() -> dict[str, int]:
+def take_unreported_drops() -> dict[str, int]:
     """Flushes pending lines and returns the dropped lines not yet reported.
 
     Returns:
@@ -221,16 +221,16 @@
         if not isinstance(handler, BoundedHandler):
             continue
         handler.flush()
-        unreported.update(handler.take_untold())
+        unreported.update(handler.take_unreported_drops())
     return unreported
 
 
-def left_out() -> dict[str, int]:
+def dropped_lines() -> dict[str, int]:
     """Returns the number of dropped lines since start, by event name."""
     counts: dict[str, int] = {}
     for handler in logger.handlers:
         if isinstance(handler, BoundedHandler):
-            counts.update(handler.left_out)
+            counts.update(handler.dropped_lines)
     return counts
 
 
@@ -251,21 +251,21 @@
 
 
 def event(
-    what: Event, *, error: BaseException | None = None, **fields: object
+    event_type: Event, *, error: BaseException | None = None, **fields: object
 ) -> None:
     """Logs one event.
 
     Args:
-      what: the event.
+      event_type: the event.
       error: exception whose traceback is logged.
       **fields: details of the event; names end in their unit.
     """
-    rule = what.value
+    rule = event_type.value
     if not logger.isEnabledFor(rule.level):
         return
     extra: dict[str, object] = {
         "event": rule.number,
-        "event_name": what.name.lower(),
+        "event_name": event_type.name.lower(),
     }
     extra.update(fields)
     logger.log(rule.level, rule.text, exc_info=error, extra=extra)
--- a/almondstair/log_output.py
+++ b/almondstair/log_output.py
@@ -24,7 +24,7 @@
     buffer are dropped and counted instead.
 
     Attributes:
-      left_out: number of dropped lines since start, by event name.
+      dropped_lines: number of dropped lines since start, by event name.
     """
 
     def __init__(self, *, descriptor: int) -> None:
@@ -38,7 +38,7 @@
         self._lines_this_second: dict[str, int] = {}
         self._unreported: dict[str, int] = {}
         self._reported_at_s = time.monotonic()
-        self.left_out: dict[str, int] = {}
+        self.dropped_lines: dict[str, int] = {}
 
     def emit(self, record: logging.LogRecord) -> None:
         """Writes a line, or counts it as dropped."""
@@ -67,9 +67,9 @@
 
     def _drop(self, name: str) -> None:
         self._unreported[name] = self._unreported.get(name, 0) + 1
-        self.left_out[name] = self.left_out.get(name, 0) + 1
+        self.dropped_lines[name] = self.dropped_lines.get(name, 0) + 1
 
-    def take_untold(self) -> dict[str, int]:
+    def take_unreported_drops(self) -> dict[str, int]:
         """Returns the dropped lines not yet reported, by event name.
 
         Returns nothing if the last report is newer than `SUMMARY_INTERVAL_S`.
--- a/almondstair/loop_watch.py
+++ b/almondstair/loop_stall_monitor.py
@@ -9,17 +9,17 @@
 from almondstair.metrics import Metrics
 
 
-class LoopWatch:
+class LoopStallMonitor:
     """Runs periodically on the event loop and counts its stall time."""
 
-    def __init__(self, *, standstill: LoopStall, metrics: Metrics) -> None:
+    def __init__(self, *, loop_stall: LoopStall, metrics: Metrics) -> None:
         """Starts with no stall counted.
 
         Args:
-          standstill: receives the time of each tick.
+          loop_stall: receives the time of each tick.
           metrics: receives the stall time in whole milliseconds.
         """
-        self._loop_stall = standstill
+        self._loop_stall = loop_stall
         self._metrics = metrics
         self._counted_ms = 0
 
@@ -35,6 +35,6 @@
         # Also counted when 0, so that the counter is always sent and a missing
         # one means that it is not recorded.
         self._metrics.count(
-            Metric.STOOD_STILL_MS, by=total_ms - self._counted_ms
+            Metric.LOOP_STALL_MS, by=total_ms - self._counted_ms
         )
         self._counted_ms = total_ms
--- a/almondstair/messages.py
+++ b/almondstair/messages.py
@@ -44,7 +44,7 @@
     LOAN_REQUEST = 16
     LOAN = 17
     HOMES_REPORT = 18
-    LINK_EPOCH = 19
+    EPOCH_ACKNOWLEDGEMENT = 19
     STRIKE_REPORT = 20
 
 
@@ -122,7 +122,7 @@
     packed: bytes
 
 
-class LinkEpoch(NamedTuple):
+class EpochAcknowledgement(NamedTuple):
     """Acknowledges an epoch of the entry table for every link of the sender.
 
     Attributes:
@@ -214,4 +214,4 @@
 register(tag=Tag.LOAN_REQUEST, message_type=LoanRequest)
 register(tag=Tag.LOAN, message_type=Loan)
 register(tag=Tag.HOMES_REPORT, message_type=HomesReport)
-register(tag=Tag.LINK_EPOCH, message_type=LinkEpoch)
+register(tag=Tag.EPOCH_ACKNOWLEDGEMENT, message_type=EpochAcknowledgement)
--- a/almondstair/metrics.py
+++ b/almondstair/metrics.py
@@ -29,7 +29,7 @@
     PEER_BYTES = "peer_bytes.*"
     PEER_MESSAGES = "peer_messages.*"
     CONFIGURATION_VERSION = "configuration_version"
-    STOOD_STILL_MS = "stood_still_ms"
+    LOOP_STALL_MS = "stood_still_ms"
 
 
 class Metrics:
--- a/almondstair/gauges.py
+++ b/almondstair/metrics_sampler.py
@@ -18,13 +18,13 @@
 METRICS_INTERVAL_S = 1.0
 
 
-class GaugedParts(NamedTuple):
+class MetricSources(NamedTuple):
     """Holds the sources of the metrics and their destination.
 
     Attributes:
       metrics: receives the metrics.
       peers: source of the traffic with other entries.
-      keeper: source of the slots in use.
+      slot_allocator: source of the slots in use.
       pacers: source of the use of links.
       configuration: source of the version in force.
       loads: returns the latest loads of the entry's own services.
@@ -32,23 +32,23 @@
 
     metrics: Metrics
     peers: Peers
-    keeper: SlotAllocator
+    slot_allocator: SlotAllocator
     pacers: LinkPacers
     configuration: ConfigurationManager
     loads: Callable[[], Iterable[ServiceLoad]]
 
 
-class Gauges:
+class MetricsSampler:
     """Samples and sends the metrics once per interval."""
 
-    def __init__(self, *, parts: GaugedParts) -> None:
+    def __init__(self, *, sources: MetricSources) -> None:
         """Stores the sources; nothing is sent before `run`.
 
         Args:
-          parts: sources and destination of the metrics.
+          sources: sources and destination of the metrics.
         """
-        self._sources = parts
-        self._last_counts = parts.peers.counts
+        self._sources = sources
+        self._last_counts = sources.peers.counts
 
     async def run(self) -> None:
         """Samples and sends until it is cancelled."""
@@ -76,7 +76,9 @@
     def _sample_slots(self) -> None:
         metrics = self._sources.metrics
         busy = 0
-        for row in self._sources.keeper.slots.status(now_s=time.monotonic()):
+        for row in self._sources.slot_allocator.slots.status(
+            now_s=time.monotonic()
+        ):
             busy += row.in_flight
         metrics.gauge(Metric.SLOTS_BUSY, busy)
         for load in self._sources.loads():
--- a/almondstair/operators.py
+++ b/almondstair/operator_server.py
@@ -55,7 +55,7 @@
     text: str
 
 
-class EditAnswer(NamedTuple):
+class EditResponse(NamedTuple):
     """Holds the result of an edit.
 
     Attributes:
@@ -83,15 +83,15 @@
         """Returns the configuration and the version in force on each entry."""
 
     @abc.abstractmethod
-    async def edit(self, request: EditRequest) -> EditAnswer:
+    async def edit(self, request: EditRequest) -> EditResponse:
         """Edits the configuration."""
 
     @abc.abstractmethod
-    async def mark(self, request: MarkRequest) -> EditAnswer:
+    async def mark(self, request: MarkRequest) -> EditResponse:
         """Sets or clears the leaving mark of an upstream or entry."""
 
     @abc.abstractmethod
-    async def edit_fate(self, edit_id: str) -> EditAnswer:
+    async def edit_status(self, edit_id: str) -> EditResponse:
         """Returns the state of an edit."""
 
     @abc.abstractmethod
@@ -160,7 +160,7 @@
             self.set_problem_headers(error)
         self.finish(msgspec.json.encode(content))
 
-    def send_edit_result(self, edit: EditAnswer) -> None:
+    def send_edit_result(self, edit: EditResponse) -> None:
         content: dict[str, Any] = {}
         status = 200
         if edit.error is not None:
@@ -226,7 +226,7 @@
 
 class _Edit(_Handler):
     async def get(self, edit_id: str) -> None:
-        self.send_edit_result(await self.operators.edit_fate(edit_id))
+        self.send_edit_result(await self.operators.edit_status(edit_id))
 
 
 class _Marks(_Handler):
--- a/almondstair/operator_views.py
+++ b/almondstair/operator_views.py
@@ -17,11 +17,11 @@
 from almondstair.errors import ErrorKind
 from almondstair.heartbeats import Heartbeats
 from almondstair.link_pacers import LinkPacers
-from almondstair.operators import CheckRequest
-from almondstair.operators import EditAnswer
-from almondstair.operators import EditRequest
-from almondstair.operators import MarkRequest
-from almondstair.operators import OperatorHandler
+from almondstair.operator_server import CheckRequest
+from almondstair.operator_server import EditRequest
+from almondstair.operator_server import EditResponse
+from almondstair.operator_server import MarkRequest
+from almondstair.operator_server import OperatorHandler
 from almondstair.runner import Runner
 from almondstair.settings import read_configuration
 
@@ -30,7 +30,7 @@
     """Holds the components that the operators' API reads.
 
     Attributes:
-      running: returns the number of requests in flight on this entry.
+      requests_in_flight: returns the number of them on this entry.
     """
 
     own: EntryRow
@@ -43,7 +43,7 @@
     heartbeats: Heartbeats
     configuration: ConfigurationManager
     table: EntryTableManager
-    running: Callable[[], int]
+    requests_in_flight: Callable[[], int]
 
 
 class OperatorViews(OperatorHandler):
@@ -91,11 +91,11 @@
             versions[report.name] = None if silent else report.version
         return versions
 
-    async def edit(self, request: EditRequest) -> EditAnswer:
+    async def edit(self, request: EditRequest) -> EditResponse:
         """Edits the configuration."""
         return await self._parts.configuration.edit(request)
 
-    async def mark(self, request: MarkRequest) -> EditAnswer:
+    async def mark(self, request: MarkRequest) -> EditResponse:
         """Sets or clears the leaving mark of an upstream or entry."""
         version, text = self._parts.configuration.text_with_leaving_mark(
             name=request.name, leaving=request.leaving
@@ -108,7 +108,7 @@
         )
         return await self._parts.configuration.edit(edit)
 
-    async def edit_fate(self, edit_id: str) -> EditAnswer:
+    async def edit_status(self, edit_id: str) -> EditResponse:
         """Returns the state of an edit."""
         return await self._parts.configuration.edit_status(edit_id)
 
@@ -165,7 +165,7 @@
             )
         in_flight = None
         if name == self._parts.own.name:
-            in_flight = self._parts.running()
+            in_flight = self._parts.requests_in_flight()
         return {
             "name": name,
             "home": name,
--- a/almondstair/shutdown_sequence.py
+++ b/almondstair/shutdown_sequence.py
@@ -69,7 +69,7 @@
         components.membership.leaving = True
         components.caller_listener.end_keep_alive()
         components.forward_listener.end_keep_alive()
-        components.heartbeats.announce()
+        components.heartbeats.send_now()
         deadline_s = time.monotonic() + self._lookup_grace_s
         await self._mark_leaving(deadline_s)
         await asyncio.sleep(max(0.0, deadline_s - time.monotonic()))
@@ -130,4 +130,4 @@
         await table_manager.change(
             lambda table: table_manager.plans.plan_release(table=table)
         )
-        components.heartbeats.announce(finished=True)
+        components.heartbeats.send_now(finished=True)
--- a/almondstair/startup_sequence.py
+++ b/almondstair/startup_sequence.py
@@ -69,8 +69,8 @@
         await components.table_manager.register()
         await self._wait_for_link_shares()
         components.membership.joining = False
-        components.control.note_live()
-        components.heartbeats.announce()
+        components.control.refresh_lost_regions()
+        components.heartbeats.send_now()
         log.event(log.Event.STARTED, entry=components.membership.own.name)
 
     async def _wait_for_link_shares(self) -> None:
--- a/almondstair/strike_words.py
+++ b/almondstair/strike_exchange.py
@@ -31,7 +31,7 @@
 UNREADABLE_LOG_INTERVAL_S = 60.0
 
 
-class StrikeWord(NamedTuple):
+class StrikeReport(NamedTuple):
     """Reports strikes of an entry outside of its heartbeats.
 
     Attributes:
@@ -48,10 +48,10 @@
     marks: tuple[StrikeMark, ...]
 
 
-messages.register(tag=messages.Tag.STRIKE_REPORT, message_type=StrikeWord)
+messages.register(tag=messages.Tag.STRIKE_REPORT, message_type=StrikeReport)
 
 
-class StrikeWords:
+class StrikeExchange:
     """Sends strikes to every entry of the table and receives theirs."""
 
     def __init__(
@@ -60,7 +60,7 @@
         own: EntryRow,
         incarnation: int,
         membership: Membership,
-        on_word: Callable[[StrikeWord], None],
+        on_report: Callable[[StrikeReport], None],
     ) -> None:
         """Stores the parameters; nothing is bound before `start`.
 
@@ -68,12 +68,12 @@
           own: row of this entry; its peer address is bound for datagrams too.
           incarnation: incarnation of this process.
           membership: the entry table, whose other entries are the receivers.
-          on_word: called with each report of another entry.
+          on_report: called with each report of another entry.
         """
         self._own = own
         self._incarnation = incarnation
         self._membership = membership
-        self._on_report = on_word
+        self._on_report = on_report
         self._socket: socket.socket | None = None
         self._unreadable_logged_s = -math.inf
 
@@ -98,12 +98,12 @@
         self._socket.close()
         self._socket = None
 
-    def tell(self, marks: tuple[StrikeMark, ...]) -> None:
+    def send_strikes(self, marks: tuple[StrikeMark, ...]) -> None:
         """Sends strikes to all other entries before it returns."""
         if self._socket is None:
             return
         frame = messages.encode(
-            StrikeWord(
+            StrikeReport(
                 self._own.name, self._incarnation, time.monotonic(), marks
             )
         )
@@ -111,7 +111,7 @@
             if row.name != self._own.name:
                 self._send(frame, row)
 
-    def read_waiting(self) -> None:
+    def read_pending(self) -> None:
         """Reads the reports that have arrived."""
         if self._socket is None:
             return
@@ -141,7 +141,7 @@
         except AlmondstairError as error:
             self._log_unreadable(error)
             return
-        if isinstance(report, StrikeWord) and report.entry != self._own.name:
+        if isinstance(report, StrikeReport) and report.entry != self._own.name:
             self._on_report(report)
 
     def _log_unreadable(self, error: AlmondstairError) -> None:
@@ -152,7 +152,7 @@
 
     def _on_readable(self, descriptor: Any, events: int) -> None:
         del descriptor, events
-        self.read_waiting()
+        self.read_pending()
 
 
 def _address(row: EntryRow) -> tuple[str, int]:
--- a/almondstair/tracing.py
+++ b/almondstair/tracing.py
@@ -127,18 +127,18 @@
         finally:
             span.end()
 
-    def header(self, span: trace.Span, *, otherwise: str) -> str:
+    def outgoing_traceparent(self, span: trace.Span, *, fallback: str) -> str:
         """Returns the `traceparent` header to forward.
 
         Args:
           span: span of the sending hop.
-          otherwise: the received header, forwarded if tracing is off.
+          fallback: the received header, forwarded if tracing is off.
         """
         if not self.enabled:
-            return otherwise
+            return fallback
         carrier: dict[str, str] = {}
         self._propagator.inject(carrier, trace.set_span_in_context(span))
-        return carrier.get(_TRACEPARENT, otherwise)
+        return carrier.get(_TRACEPARENT, fallback)
 
     def close(self) -> None:
         """Flushes and closes the exporter's file."""
--- a/benchmarks/heartbeats.py
+++ b/benchmarks/heartbeats.py
@@ -192,7 +192,7 @@
     for _ in range(samples):
         steps.run(1.0)
         for entry in list(steps.entries.values())[:20]:
-            near = entry.heartbeats._fan_out.near_names
+            near = entry.heartbeats._scheduler.near_names
             for row in entry.membership.table.entries:
                 age_s = entry.membership.age_s(name=row.name, now_s=steps.now_s)
                 if row.name in near:
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -57,7 +57,7 @@
         peers=mock.Mock(),
         clock=lambda: context.now_s,
         own_detail=StatusDetail,
-        companions=lambda name: (),
+        piggybacked_messages=lambda name: (),
         interval_ms=100,
         silence_limit_ms=2000,
     )
@@ -67,7 +67,7 @@
     context.parts = ControlParts(**parts)
 
     def take(**_):
-        told = context.parts.keeper.slots.set_leaving.call_args
+        told = context.parts.slot_allocator.slots.set_leaving.call_args
         context.marked_at_duty = told.kwargs["names"] if told else ()
 
     context.parts.homes.record_report.side_effect = take
@@ -112,7 +112,7 @@
 def step_taken(context):
     # An entry that has just left the table hands its duties over by such a
     # report, so it is taken; but not before the word on who leaves.
-    assert context.parts.homes.heard.called
+    assert context.parts.homes.record_report.called
     told = context.marked_at_duty
     assert _MARKED in told, told
 
@@ -121,12 +121,12 @@
 def step_peer_leaves(context):
     context.control._table = _table(described_s=0.0, is_out=True)
     context.control.on_table(context.membership.table, True)
-    context.control.set_leaving()
+    context.control.update_leaving_upstreams()
 
 
 @then("the entry tells others that it leaves")
 def step_tells(context):
-    context.parts.keeper.slots.status.return_value = ()
+    context.parts.slot_allocator.slots.status.return_value = ()
     context.control._configuration.configuration = mock.Mock(
         upstreams={_MARKED: mock.Mock()}, marks=mock.Mock(leaving=())
     )
@@ -154,10 +154,10 @@
 def step_read_after(context):
     after_s = time.monotonic() + 1.0
     context.control._table = _table(described_s=after_s, is_out=True)
-    context.control.set_leaving()
+    context.control.update_leaving_upstreams()
 
 
 @then("the upstream takes {what} work here")
 def step_takes(context, what):
-    told = context.parts.keeper.slots.set_leaving.call_args
+    told = context.parts.slot_allocator.slots.set_leaving.call_args
     assert (_MARKED in told.kwargs["names"]) == (what == "no new"), told
--- a/features/steps/heartbeat_steps.py
+++ b/features/steps/heartbeat_steps.py
@@ -125,11 +125,11 @@
         peers=context.peers,
         clock=lambda: context.now_s,
         own_detail=StatusDetail,
-        companions=lambda name: (),
+        piggybacked_messages=lambda name: (),
         interval_ms=250,
         silence_limit_ms=1500,
     )
-    reading.refresh_table()
+    reading.update_receivers()
     return membership, reading
 
 
@@ -217,11 +217,11 @@
         peers=context.peers,
         clock=lambda: context.now_s,
         own_detail=lambda: StatusDetail((load,), (), (context.mark,)),
-        companions=lambda name: (),
+        piggybacked_messages=lambda name: (),
         interval_ms=int(INTERVAL_S * 1000),
         silence_limit_ms=int(SILENCE_LIMIT_S * 1000),
     )
-    sending.refresh_table()
+    sending.update_receivers()
     for _ in range(int(seconds / INTERVAL_S)):
         context.now_s += INTERVAL_S
         sending.send_round()
@@ -264,7 +264,7 @@
             peers=self.peers,
             clock=time.monotonic,
             own_detail=StatusDetail,
-            companions=lambda name: (),
+            piggybacked_messages=lambda name: (),
             interval_ms=50,
             silence_limit_ms=1500,
         )
@@ -272,7 +272,7 @@
     def start(self):
         """Binds and sends."""
         self.peers.start()
-        self.heartbeats.refresh_table()
+        self.heartbeats.update_receivers()
         self.heartbeats.start()
 
     def stop(self):
--- a/features/support/cut_daemon.py
+++ b/features/support/cut_daemon.py
@@ -10,12 +10,12 @@
 from almondstair import daemon
 from almondstair.http_client import HttpClient
 from almondstair.peers import Peers
-from almondstair.strike_words import StrikeWords
+from almondstair.strike_exchange import StrikeExchange
 
 _CUT = Path(sys.argv[-1] + ".cut")
 _send_frames = Peers._send_frames
 _connect = HttpClient.connect
-_send_word = StrikeWords._send
+_send_word = StrikeExchange._send
 
 
 def _is_cut(address: str) -> bool:
@@ -39,12 +39,12 @@
     return await _connect(self, address, **options)
 
 
-def _send_word_unless_cut(self: StrikeWords, frame: bytes, row) -> None:
+def _send_word_unless_cut(self: StrikeExchange, frame: bytes, row) -> None:
     if not _is_cut(row.peer_address):
         _send_word(self, frame, row)
 
 
 Peers._send_frames = _send_frames_unless_cut
-StrikeWords._send = _send_word_unless_cut
+StrikeExchange._send = _send_word_unless_cut
 HttpClient.connect = _connect_unless_cut
 daemon.main()
--- a/features/support/heartbeat_entries.py
+++ b/features/support/heartbeat_entries.py
@@ -79,11 +79,11 @@
             peers=self.peers,
             clock=clock,
             own_detail=two_services,
-            companions=lambda name: (),
+            piggybacked_messages=lambda name: (),
             interval_ms=INTERVAL_MS,
             silence_limit_ms=SILENCE_LIMIT_MS,
         )
-        self.heartbeats.refresh_table()
+        self.heartbeats.update_receivers()
 
     def receive(self, name, incarnation, message):
         """Takes a message in."""
