--- a/benchmarks/choices.py
+++ b/benchmarks/choices.py
@@ -73,7 +73,7 @@
         deadline_s=102.0,
         tried=(),
     )
-    placed = entry.placing.place(asked, now_s=100.0)
+    placed = entry.placer.place(asked, now_s=100.0)
     assert placed.choice is not None
 
 
@@ -85,7 +85,7 @@
         if before:
             percent = 90 + number
             loads: dict[str, int] = {}
-            entry.hear(loads, loads, Plan(weights={number: percent}))
+            entry.update_loads(loads, loads, Plan(weights={number: percent}))
             _load(entry)
         asked = keys(number)
         began_s = time.perf_counter()
@@ -96,12 +96,12 @@
 
 
 def _load(entry: ModelledEntry) -> None:
-    [upstreams] = entry.takers().values()
+    [upstreams] = entry.eligible_upstreams().values()
     loads = {}
     for number, upstream in enumerate(upstreams):
         held = round(USE * upstream.record.slots) + number % 3
         loads[upstream.name_hash] = held
-    entry.hear(loads, {}, Plan(weights={}))
+    entry.update_loads(loads, {}, Plan(weights={}))
 
 
 def measure(upstreams: int) -> Cost:
--- a/emulator/caller_wire.py
+++ b/emulator/caller_wire.py
@@ -6,7 +6,7 @@
 from emulator.documents import HOST
 
 
-class Ask(NamedTuple):
+class EmulatedRequest(NamedTuple):
     """A request as its caller sends it.
 
     Attributes:
@@ -24,7 +24,7 @@
     body: bytes = b""
 
 
-class Reply(NamedTuple):
+class EmulatedResponse(NamedTuple):
     """A response as its caller reads it.
 
     Attributes:
@@ -43,30 +43,30 @@
         return self.headers.get("x-almondstair-response-seal", "")
 
     @property
-    def goes_on(self) -> bool:
+    def keeps_alive(self) -> bool:
         """Whether the connection accepts another request."""
         return self.headers.get("connection", "") != "close"
 
-    def whole(self, request: str) -> bool:
+    def is_complete(self, request: str) -> bool:
         """Whether the body is complete, as an emulated upstream sends it."""
         return self.body == f"answer to {request}\n".encode() * 8
 
 
-def write_ask(ask: Ask) -> bytes:
+def encode_request(request: EmulatedRequest) -> bytes:
     """Returns a request as HTTP/1.1 bytes."""
-    method = "POST" if ask.body else "GET"
+    method = "POST" if request.body else "GET"
     head = (
-        f"{method} {ask.path} HTTP/1.1\r\nHost: {HOST}\r\n"
-        f"X-Almondstair-Request-Id: {ask.request}\r\n"
-        f"X-Almondstair-Affinity-Key: {ask.key}\r\n"
-        f"X-Almondstair-Deadline-Ms: {ask.deadline_ms}\r\n"
+        f"{method} {request.path} HTTP/1.1\r\nHost: {HOST}\r\n"
+        f"X-Almondstair-Request-Id: {request.request}\r\n"
+        f"X-Almondstair-Affinity-Key: {request.key}\r\n"
+        f"X-Almondstair-Deadline-Ms: {request.deadline_ms}\r\n"
     )
-    if ask.body:
-        head += f"Content-Length: {len(ask.body)}\r\n"
-    return head.encode() + b"\r\n" + ask.body
+    if request.body:
+        head += f"Content-Length: {len(request.body)}\r\n"
+    return head.encode() + b"\r\n" + request.body
 
 
-async def read_reply(reader: asyncio.StreamReader) -> Reply:
+async def read_response(reader: asyncio.StreamReader) -> EmulatedResponse:
     """Reads a response.
 
     Raises:
@@ -80,7 +80,9 @@
         name, _, value = line.partition(":")
         headers[name.lower()] = value.strip()
     body = await _read_body(reader, headers)
-    return Reply(status=int(lines[0].split()[1]), headers=headers, body=body)
+    return EmulatedResponse(
+        status=int(lines[0].split()[1]), headers=headers, body=body
+    )
 
 
 async def _read_body(
--- a/emulator/comparing.py
+++ b/emulator/comparing.py
@@ -50,7 +50,11 @@
     cost_rows = report.costs(results, seconds=seconds)
     title = f"{Path(deployment).stem}, seed {seed}, {rounds} rounds"
     report.write_page(
-        page, title=title, rounds=results, found=summary_rows, cost=cost_rows
+        page,
+        title=title,
+        rounds=results,
+        summary_rows=summary_rows,
+        cost_rows=cost_rows,
     )
     print(report.text(summary_rows, cost_rows))
     print(f"written: {page}")
--- a/emulator/datagram_proxy.py
+++ b/emulator/datagram_proxy.py
@@ -8,7 +8,7 @@
     """Forwards datagrams to a target after a delay.
 
     Attributes:
-      passed: number of datagrams received so far.
+      received_count: number of datagrams received so far.
     """
 
     def __init__(self, *, target: str, delay_s: float) -> None:
@@ -22,7 +22,7 @@
         self._target = (ip, int(port))
         self._delay_s = delay_s
         self._transport: asyncio.DatagramTransport | None = None
-        self.passed = 0
+        self.received_count = 0
 
     async def listen(self, address: str) -> None:
         """Binds `ip:port`."""
@@ -43,7 +43,7 @@
     def datagram_received(self, data: bytes, addr: Any) -> None:
         """Schedules a datagram to be forwarded after the delay."""
         del addr
-        self.passed += 1
+        self.received_count += 1
         loop = asyncio.get_running_loop()
         loop.call_later(self._delay_s, self._send, data)
 
--- a/emulator/documents.py
+++ b/emulator/documents.py
@@ -22,7 +22,7 @@
 }
 
 
-class GatewayPlace(NamedTuple):
+class GatewayDescription(NamedTuple):
     """Identity and addresses of a gateway.
 
     Attributes:
@@ -44,20 +44,20 @@
     bounds: dict[str, float] = BOUNDS
 
 
-def settings_text(place: GatewayPlace) -> str:
+def settings_text(gateway: GatewayDescription) -> str:
     """Returns the settings file of a gateway."""
-    addresses = place.addresses
+    addresses = gateway.addresses
     peers = addresses["peers"].rpartition(":")[2]
     lines = [
         "[local]",
-        f'nodeName = "{place.name}"',
+        f'nodeName = "{gateway.name}"',
         'ip = "127.0.0.1"',
-        f'zone = "{place.zone}"',
-        f'region = "{place.zones[place.zone]}"',
+        f'zone = "{gateway.zone}"',
+        f'region = "{gateway.zones[gateway.zone]}"',
         "somethingNew = 1",
         "[network]",
         f"internalPorts = [{peers}, {peers}]",
-        f'seeds = ["{place.seed or addresses["control"]}"]',
+        f'seeds = ["{gateway.seed or addresses["control"]}"]',
         "[network.listen]",
         f'front = "{addresses["callers"]}"',
         f'ready = "{addresses["ready"]}"',
@@ -65,17 +65,17 @@
         f'control = "{addresses["control"]}"',
         "[network.zones]",
     ]
-    for zone, region in place.zones.items():
+    for zone, region in gateway.zones.items():
         lines.append(f'{zone} = "{region}"')
     lines += [
         "[platform]",
         "heartbeatS = 0.3",
         "[platform.platform]",
-        f'address = "{place.store}"',
+        f'address = "{gateway.store}"',
         "ttlMinS = 1",
         "[terms.bounds]",
     ]
-    for key, value in place.bounds.items():
+    for key, value in gateway.bounds.items():
         lines.append(f"{key} = {value}")
     return "\n".join(lines) + "\n"
 
--- a/emulator/experiment.py
+++ b/emulator/experiment.py
@@ -135,21 +135,21 @@
 ) -> Round:
     calls_before = await world.store_calls()
     cpu_before_s = _gateway_cpu_s(world)
-    outcomes = await load.play(world, arrivals, seed=seed)
+    outcomes = await load.send_all(world, arrivals, seed=seed)
     cpu_s = _gateway_cpu_s(world) - cpu_before_s
     peak_bytes = _gateway_memory_bytes(world)
     calls = {}
     for kind, count in (await world.store_calls()).items():
         calls[kind] = count - calls_before.get(kind, 0)
     for name in world.upstreams:
-        await world.collect(name)
+        await world.collect_runs(name)
     return Round(
         side=side.name,
         outcomes=outcomes,
         store_calls=calls,
         gateway_cpu_s=cpu_s,
         gateway_peak_bytes=peak_bytes,
-        runs=len(world.ran),
+        runs=len(world.upstream_runs),
     )
 
 
@@ -207,6 +207,6 @@
         seed=seed,
         seconds=seconds,
     )
-    outcomes = await load.play(world, arrivals, seed=seed)
+    outcomes = await load.send_all(world, arrivals, seed=seed)
     served = sum(1 for each in outcomes if each.served)
     print(f"seed {seed}: {served} of {len(outcomes)} served", flush=True)
--- a/emulator/load.py
+++ b/emulator/load.py
@@ -17,10 +17,10 @@
 
 from tornado import httpclient
 
-from emulator.caller_wire import Ask
-from emulator.caller_wire import Reply
-from emulator.caller_wire import read_reply
-from emulator.caller_wire import write_ask
+from emulator.caller_wire import EmulatedRequest
+from emulator.caller_wire import EmulatedResponse
+from emulator.caller_wire import encode_request
+from emulator.caller_wire import read_response
 from emulator.deployment import RouteRule
 from emulator.documents import HOST
 from emulator.world import World
@@ -63,14 +63,14 @@
       status: status of the last response, 0 if there was none.
       served: whether the last response was an upstream's complete one.
       latency_s: from the first attempt to the last response, in seconds.
-      tries: number of attempts.
+      attempts: number of attempts.
     """
 
     arrival: Arrival
     status: int
     served: bool
     latency_s: float
-    tries: int
+    attempts: int
 
 
 def plan(
@@ -134,7 +134,7 @@
         began_s = time.monotonic()
         until_s = began_s + arrival.route.deadline_ms / 1000
         attempts = 0
-        response: Reply | None = None
+        response: EmulatedResponse | None = None
         request = ""
         while attempts < MAX_ATTEMPTS and time.monotonic() < until_s:
             attempts += 1
@@ -143,7 +143,7 @@
                 arrival, request, until_s, new_connection=attempts > 1
             )
             left_s = until_s - time.monotonic()
-            wait_s = pause_s(arrival.route, response, left_s)
+            wait_s = retry_delay_s(arrival.route, response, left_s)
             if wait_s is None:
                 break
             if attempts < MAX_ATTEMPTS:
@@ -152,9 +152,11 @@
         return Outcome(
             arrival=arrival,
             status=response.status if response else 0,
-            served=served and response is not None and response.whole(request),
+            served=served
+            and response is not None
+            and response.is_complete(request),
             latency_s=time.monotonic() - began_s,
-            tries=attempts,
+            attempts=attempts,
         )
 
     async def _send_attempt(
@@ -164,10 +166,10 @@
         until_s: float,
         *,
         new_connection: bool,
-    ) -> Reply | None:
+    ) -> EmulatedResponse | None:
         route = arrival.route
         left_s = max(0.001, until_s - time.monotonic())
-        message = Ask(
+        message = EmulatedRequest(
             request=request,
             path=f"{route.prefix}{arrival.key}",
             key=arrival.key,
@@ -182,7 +184,9 @@
         except (OSError, EOFError, ValueError, TimeoutError):
             return None
 
-    async def _exchange(self, message: Ask, *, new_connection: bool) -> Reply:
+    async def _exchange(
+        self, message: EmulatedRequest, *, new_connection: bool
+    ) -> EmulatedResponse:
         address = await self._pick_address()
         delay_s = self._one_way_delay_s(address)
         await asyncio.sleep(delay_s)
@@ -190,13 +194,13 @@
             address, new_connection=new_connection
         )
         try:
-            connection.writer.write(write_ask(message))
-            response = await read_reply(connection.reader)
+            connection.writer.write(encode_request(message))
+            response = await read_response(connection.reader)
         except BaseException:
             connection.writer.close()
             raise
         await asyncio.sleep(delay_s)
-        if response.goes_on:
+        if response.keeps_alive:
             self._idle.setdefault(address, deque()).append(connection)
         else:
             connection.writer.close()
@@ -271,29 +275,29 @@
                 connection.writer.close()
 
 
-def pause_s(
-    route: RouteRule, reply: Reply | None, left_s: float
+def retry_delay_s(
+    route: RouteRule, response: EmulatedResponse | None, left_s: float
 ) -> float | None:
     """Returns the delay before a retry in seconds, None for no retry.
 
     Args:
       route: the request's route.
-      reply: the response; None if there was none.
+      response: the response; None if there was none.
       left_s: time left until the caller's deadline, in seconds.
     """
     if left_s <= 0:
         return None
-    if reply is None:
+    if response is None:
         return 0.0 if route.kind == "safe" else None
-    if reply.status < 300 or reply.status in FINAL_STATUSES:
+    if response.status < 300 or response.status in FINAL_STATUSES:
         return None
-    if reply.status in NOT_RUN_STATUSES:
-        retry_after_s = float(reply.headers.get("retry-after", 0) or 0)
+    if response.status in NOT_RUN_STATUSES:
+        retry_after_s = float(response.headers.get("retry-after", 0) or 0)
         return min(retry_after_s, MAX_RETRY_AFTER_SHARE * left_s)
     return 0.0 if route.kind == "safe" else None
 
 
-async def play(
+async def send_all(
     world: World, arrivals: list[Arrival], *, seed: int
 ) -> list[Outcome]:
     """Sends the planned requests and returns the outcome of each."""
--- a/emulator/modelled_entry.py
+++ b/emulator/modelled_entry.py
@@ -61,7 +61,7 @@
       name: name of the entry.
       region: its region.
       routes: route by kind of request.
-      placing: chooses upstreams for requests.
+      placer: chooses upstreams for requests.
       cached_locations: upstreams that have each object cached.
       queue: requests that wait at the entry.
     """
@@ -104,7 +104,7 @@
             if region != self.region:
                 round_trips_s[region] = self._pattern.round_trip_s
         self.cached_locations = CachedLocations()
-        self.placing = RequestPlacer(
+        self.placer = RequestPlacer(
             fleet=self._fleet,
             run_times=RunTimes(),
             cached_locations=self.cached_locations,
@@ -128,7 +128,7 @@
                 in_flight[state.name_hash] = state.in_flight
         return in_flight
 
-    def hear(
+    def update_loads(
         self, total: Mapping[int, int], own: Mapping[int, int], plan: Plan
     ) -> None:
         """Applies the plan and the loads of all entries, less its own."""
@@ -136,7 +136,7 @@
         self._fleet.peer_loads.update(total, own=own)
         self._fleet.set_plan(plan)
 
-    def takers(self) -> dict[str, list[UpstreamState]]:
+    def eligible_upstreams(self) -> dict[str, list[UpstreamState]]:
         """Returns the eligible upstreams by service."""
         eligible = {}
         for service in self._fleet.services():
--- a/emulator/proxy.py
+++ b/emulator/proxy.py
@@ -11,7 +11,7 @@
 CLOSE_LIMIT_S = 1.0
 
 
-class Harm(enum.StrEnum):
+class ProxyFault(enum.StrEnum):
     """Faults that the proxy applies to its connections."""
 
     NONE = "none"
@@ -21,11 +21,11 @@
     ONE_WAY = "one_way"
 
 
-class HarmfulProxy:
+class FaultProxy:
     """Forwards TCP connections to a target, with delays and faults.
 
     Attributes:
-      harm: the current fault.
+      fault: the current fault.
       delay_s: additional one-way delay under `DELAY`, in seconds.
     """
 
@@ -38,7 +38,7 @@
         """
         self._target = target
         self._distance_s = distance_s
-        self.harm = Harm.NONE
+        self.fault = ProxyFault.NONE
         self.delay_s = 0.0
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
@@ -62,17 +62,17 @@
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def set_harm(self, harm: Harm, delay_s: float = 0.0) -> None:
+    def set_fault(self, fault: ProxyFault, delay_s: float = 0.0) -> None:
         """Sets the fault; `RESET` also resets open connections."""
-        self.harm = harm
+        self.fault = fault
         self.delay_s = delay_s
-        if harm is Harm.RESET:
+        if fault is ProxyFault.RESET:
             self.reset_all()
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self.harm is Harm.RESET:
+        if self.fault is ProxyFault.RESET:
             writer.transport.abort()
             return
         ip, _, port = self._target.rpartition(":")
@@ -101,9 +101,9 @@
         delayed_writer = _DelayedWriter(writer=writer)
         try:
             while data := await reader.read(CHUNK_BYTES):
-                if self.harm is Harm.SILENCE:
+                if self.fault is ProxyFault.SILENCE:
                     continue
-                if self.harm is Harm.ONE_WAY and from_target:
+                if self.fault is ProxyFault.ONE_WAY and from_target:
                     continue
                 await delayed_writer.write(
                     data, delay_s=self._current_delay_s()
@@ -113,7 +113,7 @@
             writer.transport.abort()
 
     def _current_delay_s(self) -> float:
-        if self.harm is Harm.DELAY:
+        if self.fault is ProxyFault.DELAY:
             return self._distance_s + self.delay_s
         return self._distance_s
 
--- a/emulator/replay.py
+++ b/emulator/replay.py
@@ -82,7 +82,7 @@
         self._key_generation = 0
         self._active_disturbances: set[int] = set()
 
-    def play(self) -> Outcome:
+    def run(self) -> Outcome:
         """Runs the replay to its end and returns the outcome."""
         for kind in self._pattern.kinds:
             self._schedule(0.0, self._arrival_process(kind))
@@ -223,7 +223,7 @@
 
     def _place(self, call: _Call) -> None:
         entry = call.entry
-        placed = entry.placing.place(call.placement_request, now_s=self._now_s)
+        placed = entry.placer.place(call.placement_request, now_s=self._now_s)
         if placed.choice is not None:
             self._send(call, placed.choice)
             return
@@ -236,9 +236,7 @@
 
     def _wait_at_entry(self, call: _Call) -> None:
         entry = call.entry
-        if not entry.placing.may_wait(
-            call.placement_request, now_s=self._now_s
-        ):
+        if not entry.placer.may_wait(call.placement_request, now_s=self._now_s):
             self._refuse(call)
             return
         queue = entry.queue
@@ -260,7 +258,7 @@
         state = choice.upstream
         upstream = self._upstreams[state.record.upstream_id]
         sent_s = self._now_s
-        entry.placing.record_sent(placement_request, choice, now_s=sent_s)
+        entry.placer.record_sent(placement_request, choice, now_s=sent_s)
         state.record_sent()
         assert isinstance(placement_request.tried, list)
         placement_request.tried.append(upstream.name)
@@ -272,7 +270,7 @@
         def receive_response(new: bool) -> None:
             state.record_ended()
             state.record_response(good=True, now_s=self._now_s)
-            entry.placing.record_run(
+            entry.placer.record_run(
                 placement_request,
                 choice,
                 took_s=self._now_s - sent_s,
@@ -316,7 +314,7 @@
                 FIRST_PROBE_PAUSE_S, lambda: self._probe(upstream, choice)
             )
         state.record_unreachable()
-        call.entry.placing.record_disruption(now_s=self._now_s)
+        call.entry.placer.record_disruption(now_s=self._now_s)
         self._retry_elsewhere(call)
 
     def _probe(self, upstream: ModelledUpstream, choice: Choice) -> None:
@@ -342,7 +340,7 @@
             for name, count in loads.items():
                 total[name] = total.get(name, 0) + count
         self._planner.update(
-            services=self._entries[0].takers(), now_s=self._now_s
+            services=self._entries[0].eligible_upstreams(), now_s=self._now_s
         )
         plan = self._planner.plan
         locations = []
@@ -353,7 +351,7 @@
 
         def apply() -> None:
             for entry in self._entries:
-                entry.hear(total, loads_by_entry[entry.name], plan)
+                entry.update_loads(total, loads_by_entry[entry.name], plan)
                 entry.cached_locations.apply_reported(
                     locations, now_s=self._now_s
                 )
--- a/emulator/replay_outcome.py
+++ b/emulator/replay_outcome.py
@@ -25,7 +25,7 @@
     """Outcomes of the requests of one kind.
 
     Attributes:
-      asked: number of requests.
+      total: number of requests.
       in_aim: number with a response within the target latency.
       late: number with a later response.
       refused: number that were refused and not run.
@@ -34,7 +34,7 @@
       p99_ms: 99th percentile of the latency, in milliseconds.
     """
 
-    asked: int
+    total: int
     in_aim: int
     late: int
     refused: int
@@ -45,9 +45,9 @@
     @property
     def credit(self) -> float:
         """Returns the share of the possible credit that was earned."""
-        if not self.asked:
+        if not self.total:
             return 1.0
-        return (self.in_aim + LATE_CREDIT * self.late) / self.asked
+        return (self.in_aim + LATE_CREDIT * self.late) / self.total
 
 
 class Outcome(NamedTuple):
@@ -58,20 +58,20 @@
       windows: credit of each window of `WINDOW_S`, by start time in seconds.
       runs: number of runs at upstreams.
       new_runs: number of runs whose object was not cached.
-      places: mean number of upstreams that ran a key.
+      upstreams_per_key: mean number of upstreams that ran a key.
     """
 
     kinds: dict[str, KindOutcome]
     windows: dict[float, float]
     runs: int
     new_runs: int
-    places: float
+    upstreams_per_key: float
 
     @property
     def credit(self) -> float:
         """Returns the credit over all requests."""
-        asked = sum(kind.asked for kind in self.kinds.values())
-        earned = sum(kind.asked * kind.credit for kind in self.kinds.values())
+        asked = sum(kind.total for kind in self.kinds.values())
+        earned = sum(kind.total * kind.credit for kind in self.kinds.values())
         return earned / asked if asked else 1.0
 
     @property
@@ -138,7 +138,7 @@
         for kind, endings in self._endings.items():
             latencies = self._latencies.get(kind)
             kinds[kind] = KindOutcome(
-                asked=endings.total(),
+                total=endings.total(),
                 in_aim=endings[Ending.ANSWERED],
                 late=endings[Ending.LATE],
                 refused=endings[Ending.REFUSED],
@@ -159,7 +159,7 @@
             windows=windows,
             runs=self._runs,
             new_runs=self._new_runs,
-            places=sum(upstream_counts) / len(upstream_counts)
+            upstreams_per_key=sum(upstream_counts) / len(upstream_counts)
             if upstream_counts
             else 0.0,
         )
--- a/emulator/replay_switches.py
+++ b/emulator/replay_switches.py
@@ -80,7 +80,7 @@
 
 
 @contextlib.contextmanager
-def using(constants: tuple[Constant, ...]) -> Iterator[None]:
+def override(constants: tuple[Constant, ...]) -> Iterator[None]:
     """Overrides constants within the context and restores them after it."""
     before = []
     for constant in constants:
--- a/emulator/replaying.py
+++ b/emulator/replaying.py
@@ -38,7 +38,7 @@
     error: float
 
 
-def play(
+def run_replays(
     pattern: Pattern, *, seeds: int, constants: tuple[Constant, ...], jobs: int
 ) -> list[Outcome]:
     """Replays a pattern with seeds from 1, in parallel processes."""
@@ -55,8 +55,8 @@
 def _run_one(
     pattern: Pattern, seed: int, constants: tuple[Constant, ...]
 ) -> Outcome:
-    with replay_switches.using(constants):
-        return Replay(pattern, seed=seed).play()
+    with replay_switches.override(constants):
+        return Replay(pattern, seed=seed).run()
 
 
 def compare(
@@ -72,8 +72,10 @@
         changed_figures.append([one.kinds[kind].credit for one in changed])
     figures.append(("new runs", [one.new_runs / one.runs for one in outcomes]))
     changed_figures.append([one.new_runs / one.runs for one in changed])
-    figures.append(("places a key", [one.places for one in outcomes]))
-    changed_figures.append([one.places for one in changed])
+    figures.append(
+        ("places a key", [one.upstreams_per_key for one in outcomes])
+    )
+    changed_figures.append([one.upstreams_per_key for one in changed])
     rows = []
     for (name, values), after in zip(figures, changed_figures, strict=True):
         rows.append(_comparison(name, values, after))
@@ -111,10 +113,10 @@
         print(f"emulator: {error.detail}", file=sys.stderr)
         sys.exit(USAGE_CODE)
     for path, pattern in loaded:
-        outcomes = play(pattern, seeds=seeds, constants=(), jobs=jobs)
+        outcomes = run_replays(pattern, seeds=seeds, constants=(), jobs=jobs)
         changed_outcomes = outcomes
         if changed:
-            changed_outcomes = play(
+            changed_outcomes = run_replays(
                 pattern, seeds=seeds, constants=changed, jobs=jobs
             )
         title = f"{Path(path).stem}, {seeds} seeds: {pattern.shows}"
--- a/emulator/report.py
+++ b/emulator/report.py
@@ -207,10 +207,12 @@
     return "\n".join(shown)
 
 
-def text(found: list[Row], cost: list[Cost]) -> str:
+def text(summary_rows: list[Row], cost_rows: list[Cost]) -> str:
     """Returns both tables as plain text."""
-    summary_table = _table(_ROW_TITLES, [_row_cells(row) for row in found])
-    cost_table = _table(_COST_TITLES, [_cost_cells(each) for each in cost])
+    summary_table = _table(
+        _ROW_TITLES, [_row_cells(row) for row in summary_rows]
+    )
+    cost_table = _table(_COST_TITLES, [_cost_cells(each) for each in cost_rows])
     return f"{summary_table}\n\n{cost_table}"
 
 
@@ -219,8 +221,8 @@
     *,
     title: str,
     rounds: list[Round],
-    found: list[Row],
-    cost: list[Cost],
+    summary_rows: list[Row],
+    cost_rows: list[Cost],
 ) -> None:
     """Writes a self-contained HTML page with both tables and the plots."""
     parts = [
@@ -231,12 +233,12 @@
         "border-bottom:1px solid #ccc}figure{max-width:60em;margin:1em 0}"
         "</style>",
         f"<h1>{html.escape(title)}</h1>",
-        _html_table(_ROW_TITLES, [_row_cells(row) for row in found]),
-        _html_table(_COST_TITLES, [_cost_cells(each) for each in cost]),
+        _html_table(_ROW_TITLES, [_row_cells(row) for row in summary_rows]),
+        _html_table(_COST_TITLES, [_cost_cells(each) for each in cost_rows]),
     ]
     for chart in (
         _latency_chart(rounds),
-        _share_chart(found),
+        _share_chart(summary_rows),
         _calls_chart(rounds),
     ):
         svg = chart.render(is_unicode=True, disable_xml_declaration=True)
@@ -289,17 +291,17 @@
     return points
 
 
-def _share_chart(found: list[Row]) -> pygal.Bar:
+def _share_chart(summary_rows: list[Row]) -> pygal.Bar:
     chart = pygal.Bar(
         title="share served within the target latency",
         style=CleanStyle,
         range=(0, 1),
         js=[],
     )
-    groups = list(dict.fromkeys(row.group for row in found))
+    groups = list(dict.fromkeys(row.group for row in summary_rows))
     chart.x_labels = groups
-    for side in dict.fromkeys(row.side for row in found):
-        by_group = {row.group: row for row in found if row.side == side}
+    for side in dict.fromkeys(row.side for row in summary_rows):
+        by_group = {row.group: row for row in summary_rows if row.side == side}
         chart.add(side, [by_group[group].in_aim_share for group in groups])
     return chart
 
--- a/emulator/store.py
+++ b/emulator/store.py
@@ -48,7 +48,7 @@
         self.state = StoreState()
         self.faults = StoreFaults()
         self.calls: dict[str, int] = {}
-        self.ways: dict[str, dict[str, str]] = {}
+        self.zone_addresses: dict[str, dict[str, str]] = {}
         self.changed = asyncio.Condition()
         self._writes = 0
         self._servers: list[httpserver.HTTPServer] = []
@@ -169,7 +169,9 @@
         self.finish(msgspec.json.encode(body))
 
     def as_seen_from_zone(self, item: Mapping[str, Any]) -> dict[str, Any]:
-        return _rewrite_addresses(self.zone, dict(item), self.store.ways)
+        return _rewrite_addresses(
+            self.zone, dict(item), self.store.zone_addresses
+        )
 
     def body(self) -> dict[str, Any]:
         return msgspec.json.decode(self.request.body or b"{}")
@@ -322,7 +324,7 @@
     applies_faults = False
 
     def put(self) -> None:
-        self.store.ways = self.body()
+        self.store.zone_addresses = self.body()
         self.respond({})
 
 
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -22,7 +22,7 @@
 from emulator.deployment import Deployment
 from emulator.deployment import Service
 from emulator.ports import free_address
-from emulator.proxy import HarmfulProxy
+from emulator.proxy import FaultProxy
 from emulator.upstream import UpstreamPlan
 
 START_LIMIT_S = 15.0
@@ -62,7 +62,7 @@
         return await self._process.wait()
 
 
-class Ran(NamedTuple):
+class UpstreamRun(NamedTuple):
     """A run of a request as its upstream reports it.
 
     Attributes:
@@ -87,8 +87,8 @@
       deployment: the emulated deployment.
       callers: address for callers by gateway.
       upstream_ids: id of the latest incarnation by upstream.
-      ran: runs that upstreams reported, over all incarnations.
-      ways: datagram proxy by zone and gateway; empty without delays.
+      upstream_runs: runs that upstreams reported, over all incarnations.
+      datagram_proxies: proxy by zone and gateway; empty without delays.
     """
 
     def __init__(
@@ -112,19 +112,19 @@
         self.procs: dict[str, ChildProcess] = {}
         self.upstreams: dict[str, str] = {}
         self.upstream_ids: dict[str, str] = {}
-        self.proxies: dict[str, HarmfulProxy] = {}
-        self.store_proxies: dict[str, HarmfulProxy] = {}
-        self.gateways: dict[str, documents.GatewayPlace] = {}
+        self.proxies: dict[str, FaultProxy] = {}
+        self.store_proxies: dict[str, FaultProxy] = {}
+        self.gateways: dict[str, documents.GatewayDescription] = {}
         self.callers: dict[str, str] = {}
-        self.ran: dict[tuple[str, str, float], Ran] = {}
+        self.upstream_runs: dict[tuple[str, str, float], UpstreamRun] = {}
         self.version = 0
         self._upstream_sites: dict[str, tuple[Service, str]] = {}
         self._zone_of: dict[str, str] = {}
         self._proxy_addresses: dict[str, str] = {}
-        self.ways: dict[tuple[str, str], DatagramProxy] = {}
+        self.datagram_proxies: dict[tuple[str, str], DatagramProxy] = {}
         self._zone_addresses: dict[str, dict[str, str]] = {}
         self._store_views: dict[str, str] = {}
-        self._all_proxies: list[HarmfulProxy] = []
+        self._all_proxies: list[FaultProxy] = []
         self._client = httpclient.AsyncHTTPClient()
         for number, site in enumerate(deployment.upstream_locations()):
             self._upstream_sites[f"u{number}"] = site
@@ -155,7 +155,7 @@
         await _wait_until_open(self.store)
 
     async def _start_proxy(self, target: str, delay_s: float) -> str:
-        proxy = HarmfulProxy(target=target, distance_s=delay_s)
+        proxy = FaultProxy(target=target, distance_s=delay_s)
         self._all_proxies.append(proxy)
         address = free_address()
         await proxy.listen(address)
@@ -197,7 +197,7 @@
                 delay_s=self.deployment.delay_s(zone, self.zone_of(name)),
             )
             await proxy.listen(proxy_address)
-            self.ways[zone, name] = proxy
+            self.datagram_proxies[zone, name] = proxy
 
     async def _spawn(
         self,
@@ -283,7 +283,7 @@
         )
         self.store_proxies[name] = self._all_proxies[-1]
         addresses = {part: free_address() for part in documents.LISTENERS}
-        self.gateways[name] = documents.GatewayPlace(
+        self.gateways[name] = documents.GatewayDescription(
             name=name,
             zone=zone,
             addresses=addresses,
@@ -361,13 +361,13 @@
         text = documents.configuration_text(self.version, rules)
         await self.operate(puts={"op/config": text})
 
-    async def forget_history(self) -> None:
+    async def drop_store_history(self) -> None:
         """Makes the store drop its history."""
         await self._client.fetch(
             f"http://{self.store}/faults", method="POST", body=b""
         )
 
-    async def faults(self, address: str, path: str, **faults: Any) -> None:
+    async def set_faults(self, address: str, path: str, **faults: Any) -> None:
         """Sets the faults of the store or of an upstream."""
         try:
             await self._client.fetch(
@@ -385,7 +385,7 @@
             calls.pop(excluded, None)
         return calls
 
-    async def collect(self, name: str) -> None:
+    async def collect_runs(self, name: str) -> None:
         """Collects the runs of an upstream that has not ended yet."""
         try:
             response = await self._client.fetch(
@@ -395,14 +395,14 @@
         except (OSError, httpclient.HTTPError):
             return
         for run in json.loads(response.body):
-            row = Ran(
+            row = UpstreamRun(
                 upstream=name,
                 request=run["request"],
                 path=run["path"],
                 at_s=run["at_s"],
                 ended=run["ended"],
             )
-            self.ran[(name, row.request, row.at_s)] = row
+            self.upstream_runs[(name, row.request, row.at_s)] = row
 
     async def end(self) -> None:
         """Kills every process and closes every proxy."""
@@ -413,7 +413,7 @@
             await proc.wait()
         for proxy in self._all_proxies:
             await proxy.close()
-        for datagram_proxy in self.ways.values():
+        for datagram_proxy in self.datagram_proxies.values():
             datagram_proxy.close()
 
 
--- a/features/steps/emulator_steps.py
+++ b/features/steps/emulator_steps.py
@@ -18,7 +18,7 @@
 from emulator import experiment
 from emulator import load
 from emulator import report
-from emulator.caller_wire import Reply
+from emulator.caller_wire import EmulatedResponse
 from emulator.deployment import Deployment
 from emulator.deployment import RouteRule
 from emulator.deployment import Service
@@ -27,7 +27,7 @@
 from emulator.load import Arrival
 from emulator.load import Outcome
 from emulator.ports import free_address
-from emulator.proxy import HarmfulProxy
+from emulator.proxy import FaultProxy
 from emulator.store import Store
 from emulator.world import World
 from features.support import control
@@ -124,12 +124,12 @@
         return None
     status, _, back = text.partition(" back in ")
     headers = {"retry-after": back.split()[0]} if back else {}
-    return Reply(status=int(status), headers=headers, body=b"")
+    return EmulatedResponse(status=int(status), headers=headers, body=b"")
 
 
 @then("after {status} a caller of a {kind} route with 0.9 s left waits {pause}")
 def step_pause(context, status, kind, pause):
-    found = load.pause_s(_route(kind=kind), _reply(status), 0.9)
+    found = load.retry_delay_s(_route(kind=kind), _reply(status), 0.9)
     if pause == "never":
         assert found is None, found
         return
@@ -154,7 +154,7 @@
     target = free_address()
     ip, _, port = target.rpartition(":")
     server = await asyncio.start_server(echo, ip, int(port))
-    proxy = HarmfulProxy(target=target, distance_s=distance_s)
+    proxy = FaultProxy(target=target, distance_s=distance_s)
     address = free_address()
     await proxy.listen(address)
     ip, _, port = address.rpartition(":")
@@ -194,7 +194,9 @@
     store = Store()
     whole = store.listen("127.0.0.1", 0)
     view = store.listen("127.0.0.1", 0, zone)
-    store.ways = {"127.0.0.1:1": {zone: "127.0.0.1:2", "c1": "127.0.0.1:3"}}
+    store.zone_addresses = {
+        "127.0.0.1:1": {zone: "127.0.0.1:2", "c1": "127.0.0.1:3"}
+    }
     record = {field: "127.0.0.1:1", "zone": "a1"}
     await store.put_text(key, json.dumps(record))
     client = httpclient.AsyncHTTPClient()
@@ -294,7 +296,10 @@
             await asyncio.sleep(seconds)
         finally:
             await world.end()
-        return {way: datagrams.passed for way, datagrams in world.ways.items()}
+        return {
+            way: datagrams.received_count
+            for way, datagrams in world.datagram_proxies.items()
+        }
 
 
 @when("its gateways have taken callers for {seconds:d} s")
@@ -348,8 +353,8 @@
         path,
         title="a < b",
         rounds=context.rounds,
-        found=report.rows(context.rounds, zones=["a1", "b1"]),
-        cost=report.costs(context.rounds, seconds=context.seconds),
+        summary_rows=report.rows(context.rounds, zones=["a1", "b1"]),
+        cost_rows=report.costs(context.rounds, seconds=context.seconds),
     )
     text = path.read_text(encoding="utf-8")
     assert text.count("<table>") == 2, text[:500]
--- a/features/steps/gateway_turned_away_steps.py
+++ b/features/steps/gateway_turned_away_steps.py
@@ -9,13 +9,13 @@
 from behave import when
 from tornado import httpclient
 
-from emulator.caller_wire import Ask
-from emulator.caller_wire import read_reply
-from emulator.caller_wire import write_ask
+from emulator.caller_wire import EmulatedRequest
+from emulator.caller_wire import encode_request
+from emulator.caller_wire import read_response
 from emulator.deployment import Deployment
 from emulator.deployment import RouteRule
 from emulator.deployment import Service
-from emulator.proxy import Harm
+from emulator.proxy import ProxyFault
 from emulator.world import World
 from features.support import control
 
@@ -41,11 +41,11 @@
 async def _status(address, path):
     ip, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(ip, int(port))
-    ask = Ask(
+    ask = EmulatedRequest(
         request=f"{time.monotonic_ns():x}", path=path, key="1", deadline_ms=2000
     )
-    writer.write(write_ask(ask))
-    reply = await read_reply(reader)
+    writer.write(encode_request(ask))
+    reply = await read_response(reader)
     writer.close()
     return reply.status
 
@@ -71,7 +71,7 @@
         await asyncio.sleep(_SETTLE_S)
         for name in world.gateways:
             if world.zone_of(name) == "a1":
-                world.store_proxies[name].set_harm(Harm(harm))
+                world.store_proxies[name].set_fault(ProxyFault(harm))
         await asyncio.sleep(_SETTLE_S)
         for number in range(count):
             prefix = f"/more{number}/"
--- a/features/steps/replay_steps.py
+++ b/features/steps/replay_steps.py
@@ -61,7 +61,7 @@
     context.pattern = _load(name)
     context.plays = []
     for seed in (one, one, other):
-        context.plays.append(Replay(context.pattern, seed=seed).play())
+        context.plays.append(Replay(context.pattern, seed=seed).run())
 
 
 @then("the first two plays are equal, and the third is another")
@@ -85,7 +85,7 @@
     for play in context.plays:
         for kind in context.pattern.kinds:
             expected = _expected(context.pattern, kind)
-            asked = play.kinds[kind.name].asked
+            asked = play.kinds[kind.name].total
             assert 0.9 * expected < asked < 1.1 * expected, (asked, expected)
 
 
@@ -94,13 +94,13 @@
     for play in context.plays:
         for kind in play.kinds.values():
             ended = kind.in_aim + kind.late + kind.refused + kind.failed
-            assert ended == kind.asked, kind
+            assert ended == kind.total, kind
 
 
 @when('"{name}" is replayed with seeds 1 to {last:d}')
 def step_seeds(context, name, last):
     context.pattern = _load(name)
-    context.plays = replaying.play(
+    context.plays = replaying.run_replays(
         context.pattern, seeds=last, constants=(), jobs=1
     )
 
@@ -127,7 +127,7 @@
 @then("at least as many runs were new as objects ran")
 def step_new_runs(context):
     for play in context.plays:
-        assert play.new_runs >= play.places, play
+        assert play.new_runs >= play.upstreams_per_key, play
         assert play.new_runs > 0.01 * play.runs, play
 
 
@@ -135,7 +135,7 @@
 def step_off(context, name):
     constants = replay_switches.without([name])
     context.before = choosing.CROWDED_USE
-    with replay_switches.using(constants):
+    with replay_switches.override(constants):
         context.meanwhile = choosing.CROWDED_USE
 
 
@@ -185,7 +185,9 @@
     played = []
     for changed in ((), constants):
         played.append(
-            replaying.play(pattern, seeds=last, constants=changed, jobs=2)
+            replaying.run_replays(
+                pattern, seeds=last, constants=changed, jobs=2
+            )
         )
     context.rows = {}
     for row in replaying.compare(*played):
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -15,9 +15,9 @@
 from scripts import run_features
 from soak import checks
 from soak import plan
-from soak.checks import Ran
 from soak.checks import Sent
 from soak.checks import Span
+from soak.checks import UpstreamRun
 from soak.loop_watch import TURN_S
 from soak.loop_watch import LoopWatch
 
@@ -27,8 +27,8 @@
     Sent("c", "/unsafe/1", False, 3.0, 3.1, 503, "", False),
 ]
 _CALM_RAN = [
-    Ran("u1", "a", "/safe/1", 1.05, "ok"),
-    Ran("u1", "b", "/unsafe/1", 2.05, "ok"),
+    UpstreamRun("u1", "a", "/safe/1", 1.05, "ok"),
+    UpstreamRun("u1", "b", "/unsafe/1", 2.05, "ok"),
 ]
 _LEFT = [Span("u1", 5.0, 9.0)]
 _COLD = [Span("u1", 1.0, 2.0)]
@@ -60,16 +60,17 @@
     elif fault == "half a body":
         sent.append(one._replace(whole=False))
     elif fault == "a payment that ran twice":
-        ran.append(Ran("u2", "b", "/unsafe/1", 2.5, "ok"))
+        ran.append(UpstreamRun("u2", "b", "/unsafe/1", 2.5, "ok"))
     elif fault == "a run that nobody sent":
-        ran.append(Ran("u2", "x", "/unsafe/1", 2.5, "ok"))
+        ran.append(UpstreamRun("u2", "x", "/unsafe/1", 2.5, "ok"))
     elif fault == "a refused payment that ran":
-        ran.append(Ran("u2", "c", "/unsafe/1", 3.05, "ok"))
+        ran.append(UpstreamRun("u2", "c", "/unsafe/1", 3.05, "ok"))
     elif fault == "a run after an upstream left":
-        ran.append(Ran("u1", "a", "/safe/1", 6.0, "ok"))
+        ran.append(UpstreamRun("u1", "a", "/safe/1", 6.0, "ok"))
     elif fault == "14 runs in a cold second":
         ran += [
-            Ran("u1", "a", "/safe/1", 1.0 + n / 20, "ok") for n in range(14)
+            UpstreamRun("u1", "a", "/safe/1", 1.0 + n / 20, "ok")
+            for n in range(14)
         ]
     elif fault == "a request cut during a stop":
         sent.append(one._replace(status=0))
--- a/features/support/gateway_world.py
+++ b/features/support/gateway_world.py
@@ -197,7 +197,7 @@
         addresses: dict[str, str] | None = None,
     ) -> str:
         return documents.settings_text(
-            documents.GatewayPlace(
+            documents.GatewayDescription(
                 name=name,
                 zone=self._zones_of[name],
                 addresses=self.gateways[name] | (addresses or {}),
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -5,9 +5,9 @@
 import time
 import uuid
 
-from emulator.caller_wire import Ask
-from emulator.caller_wire import read_reply
-from emulator.caller_wire import write_ask
+from emulator.caller_wire import EmulatedRequest
+from emulator.caller_wire import encode_request
+from emulator.caller_wire import read_response
 from soak.checks import Sent
 
 RESPONSE_TIMEOUT_S = 4.0
@@ -85,7 +85,7 @@
         prefix = self._rng.choice(prefixes)
         key = str(self._rng.randrange(KEY_COUNT))
         repeatable = not prefix.startswith("/unsafe")
-        outgoing = Ask(
+        outgoing = EmulatedRequest(
             request=uuid.uuid4().hex[:16],
             path=f"{prefix}{key}",
             key=key,
@@ -95,9 +95,9 @@
         sent_s = time.monotonic()
         response = None
         try:
-            writer.write(write_ask(outgoing))
+            writer.write(encode_request(outgoing))
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                response = await read_reply(reader)
+                response = await read_response(reader)
         except (OSError, EOFError, ValueError, TimeoutError):
             response = None
         self.gateway_by_request[outgoing.request] = name
@@ -110,7 +110,8 @@
                 ended_s=time.monotonic(),
                 status=response.status if response else 0,
                 seal=response.seal if response else "",
-                whole=response is not None and response.whole(outgoing.request),
+                whole=response is not None
+                and response.is_complete(outgoing.request),
             )
         )
-        return response is not None and response.goes_on
+        return response is not None and response.keeps_alive
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from emulator.world import Ran
+from emulator.world import UpstreamRun
 
 # Tolerance for clock reads in two processes and for packets in transit.
 SLACK_S = 0.5
@@ -64,7 +64,9 @@
     return violations
 
 
-def check_once(sent: Iterable[Sent], ran: Iterable[Ran]) -> list[Violation]:
+def check_once(
+    sent: Iterable[Sent], ran: Iterable[UpstreamRun]
+) -> list[Violation]:
     """Finds non-idempotent requests that ran twice, and runs nobody sent."""
     counts: dict[str, int] = {}
     for run in ran:
@@ -80,7 +82,9 @@
     return violations
 
 
-def check_refusals(sent: Iterable[Sent], ran: Iterable[Ran]) -> list[Violation]:
+def check_refusals(
+    sent: Iterable[Sent], ran: Iterable[UpstreamRun]
+) -> list[Violation]:
     """Finds requests that ran although a 429, 503 or the like denies it."""
     ran_ids = {run.request for run in ran}
     violations = []
@@ -94,7 +98,9 @@
     return violations
 
 
-def check_silent(ran: Iterable[Ran], spans: Iterable[Span]) -> list[Violation]:
+def check_silent(
+    ran: Iterable[UpstreamRun], spans: Iterable[Span]
+) -> list[Violation]:
     """Finds runs at upstreams in spans after they left or were evacuated."""
     closed: dict[str, list[Span]] = {}
     for span in spans:
@@ -109,7 +115,9 @@
     return violations
 
 
-def check_cold(ran: Iterable[Ran], cold: Iterable[Span]) -> list[Violation]:
+def check_cold(
+    ran: Iterable[UpstreamRun], cold: Iterable[Span]
+) -> list[Violation]:
     """Finds cold upstreams that got more than their bound in a second."""
     violations = []
     runs = sorted(ran, key=lambda run: run.at_s)
--- a/soak/run.py
+++ b/soak/run.py
@@ -11,9 +11,9 @@
 
 from emulator.deployment import Deployment
 from emulator.deployment import Service
-from emulator.proxy import Harm
-from emulator.proxy import HarmfulProxy
-from emulator.world import Ran
+from emulator.proxy import FaultProxy
+from emulator.proxy import ProxyFault
+from emulator.world import UpstreamRun
 from emulator.world import World
 from soak import checks
 from soak import plan
@@ -188,7 +188,7 @@
             work.append(self._run_steps(began_s))
             await asyncio.gather(*work)
             for name in self._world.upstreams:
-                await self._world.collect(name)
+                await self._world.collect_runs(name)
         finally:
             watching.cancel()
             await self._world.end()
@@ -204,7 +204,7 @@
             await asyncio.sleep(0.5)
             for name in list(self._world.upstreams):
                 if name not in self._claimed:
-                    await self._world.collect(name)
+                    await self._world.collect_runs(name)
             self._check_alive()
 
     def _check_alive(self) -> None:
@@ -271,9 +271,9 @@
             faults.update(lose_writes=2, late_s=0.8)
         else:
             faults["mode"] = step.variant
-        await self._world.faults(self._world.store, "/faults", **faults)
+        await self._world.set_faults(self._world.store, "/faults", **faults)
         await asyncio.sleep(step.duration_s)
-        await self._world.faults(self._world.store, "/faults")
+        await self._world.set_faults(self._world.store, "/faults")
 
     async def _store_proxy(self, step: Step) -> None:
         proxy = self._world.store_proxies[self._gateway(step)]
@@ -284,10 +284,10 @@
             self._world.proxies[self._upstream(step)], step
         )
 
-    async def _apply_proxy_fault(self, proxy: HarmfulProxy, step: Step) -> None:
-        proxy.set_harm(Harm(step.variant), delay_s=0.2)
+    async def _apply_proxy_fault(self, proxy: FaultProxy, step: Step) -> None:
+        proxy.set_fault(ProxyFault(step.variant), delay_s=0.2)
         await asyncio.sleep(step.duration_s)
-        proxy.set_harm(Harm.NONE)
+        proxy.set_fault(ProxyFault.NONE)
         if step.variant in ("silence", "one_way"):
             # Bytes were dropped, so the connections are unusable.
             proxy.reset_all()
@@ -297,9 +297,9 @@
         faults: dict[str, object] = {"every": 4, "how": step.variant}
         if step.variant == "slow":
             faults = {"slower": 8.0}
-        await self._world.faults(address, "/emulator/faults", **faults)
+        await self._world.set_faults(address, "/emulator/faults", **faults)
         await asyncio.sleep(step.duration_s)
-        await self._world.faults(address, "/emulator/faults")
+        await self._world.set_faults(address, "/emulator/faults")
 
     async def _claim(self, name: str) -> bool:
         """Claims a process, so that two faults do not both restart it."""
@@ -331,7 +331,7 @@
         name = self._upstream(step)
         if not await self._claim(name):
             return
-        await self._world.collect(name)
+        await self._world.collect_runs(name)
         proc = self._world.procs[name]
         proc.signal(signal.SIGKILL)
         await proc.wait()
@@ -354,7 +354,7 @@
         proc.signal(signal.SIGTERM)
         signalled_s = time.monotonic()
         await asyncio.sleep(DRAIN_EXIT_S - 1.0)
-        await self._world.collect(name)
+        await self._world.collect_runs(name)
         await proc.wait()
         self._no_traffic_spans.append(
             Span(name, signalled_s + DRAIN_S, time.monotonic())
@@ -449,7 +449,7 @@
         self._claimed.discard(zone)
 
     async def _history(self, step: Step) -> None:
-        await self._world.forget_history()
+        await self._world.drop_store_history()
 
     # Checks.
 
@@ -468,7 +468,7 @@
         gateway_of: dict[str, str] = {}
         for caller in self._callers:
             gateway_of.update(caller.gateway_by_request)
-        ran = list(self._world.ran.values())
+        ran = list(self._world.upstream_runs.values())
         self._violations += checks.check_answers(sent)
         self._violations += checks.check_once(sent, ran)
         self._violations += checks.check_refusals(sent, ran)
@@ -497,7 +497,7 @@
             sent, [final_span], least_share=MIN_SERVED_SHARE
         )
 
-    def _is_excused(self, run: Ran) -> bool:
+    def _is_excused(self, run: UpstreamRun) -> bool:
         """Returns whether a disturbance near a run suspends the time bounds."""
         for span in self._disturbance_spans:
             if span.name in (Kind.UPSTREAM_DRAIN, Kind.EVACUATE):
@@ -512,7 +512,7 @@
 
     @staticmethod
     def _keep_executed(
-        sent: list[checks.Sent], ran: list[Ran]
+        sent: list[checks.Sent], ran: list[UpstreamRun]
     ) -> list[checks.Sent]:
         """Keeps requests that an upstream ran, since those were surely read."""
         ran_ids = {run.request for run in ran}
