--- a/almondstair/tools/gateway_client.py
+++ b/almondstair/tools/gateway_client.py
@@ -12,7 +12,7 @@
 PAGE_TIMEOUT_S = 3.0
 
 
-def statuses(addresses: Sequence[str]) -> list[dict[str, Any]]:
+def fetch_statuses(addresses: Sequence[str]) -> list[dict[str, Any]]:
     """Returns the status of each gateway, or the error if it is unreachable.
 
     Raises:
--- a/almondstair/tools/gateway_commands.py
+++ b/almondstair/tools/gateway_commands.py
@@ -38,7 +38,7 @@
           almondstairctl gateway status 10.1.0.35:9464 10.2.0.28:9464
           almondstairctl gateway status 10.1.0.35:9464 --json
         """
-        bodies = gateway_client.statuses(addresses)
+        bodies = gateway_client.fetch_statuses(addresses)
         parts: list[Any] = [gateway_tables.gateways(bodies)]
         for body in bodies:
             if body.get("upstreams") is not None:
@@ -56,7 +56,7 @@
         Examples:
           almondstairctl gateway vm 10.1.0.35:9464 10.2.0.28:9464
         """
-        bodies = gateway_client.statuses(addresses)
+        bodies = gateway_client.fetch_statuses(addresses)
         rows = gateway_views.vms(bodies)
         self._show(bodies, "vms", rows, gateway_tables.vms(rows))
 
@@ -71,7 +71,7 @@
         Examples:
           almondstairctl gateway drain 10.1.0.35:9464 10.2.0.28:9464
         """
-        bodies = gateway_client.statuses(addresses)
+        bodies = gateway_client.fetch_statuses(addresses)
         rows = gateway_views.draining(bodies)
         self._show(bodies, "draining", rows, gateway_tables.draining(rows))
 
@@ -85,7 +85,7 @@
         Examples:
           almondstairctl gateway evacuations 10.1.0.35:9464 10.2.0.28:9464
         """
-        bodies = gateway_client.statuses(addresses)
+        bodies = gateway_client.fetch_statuses(addresses)
         rows = gateway_views.evacuations(bodies)
         table = gateway_tables.evacuations(rows)
         self._show(bodies, "evacuations", rows, table)
--- a/features/steps/gateway_views_steps.py
+++ b/features/steps/gateway_views_steps.py
@@ -88,7 +88,7 @@
     address = context.world.operator_address("g1")
 
     def check():
-        rows = gateway_views.draining(gateway_client.statuses([address]))
+        rows = gateway_views.draining(gateway_client.fetch_statuses([address]))
         return [row for row in rows if row.in_flight == 1]
 
     rows = harness.wait_until(check, limit_s=4.0, what="the drain")
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -15,16 +15,16 @@
 from scripts import run_features
 from soak import checks
 from soak import plan
-from soak.checks import Sent
+from soak.checks import SentRequest
 from soak.checks import Span
 from soak.checks import UpstreamRun
-from soak.loop_watch import TURN_S
+from soak.loop_watch import TICK_S
 from soak.loop_watch import LoopWatch
 
 _CALM_SENT = [
-    Sent("a", "/safe/1", True, 1.0, 1.1, 200, "seal-a", True),
-    Sent("b", "/unsafe/1", False, 2.0, 2.1, 200, "seal-b", True),
-    Sent("c", "/unsafe/1", False, 3.0, 3.1, 503, "", False),
+    SentRequest("a", "/safe/1", True, 1.0, 1.1, 200, "seal-a", True),
+    SentRequest("b", "/unsafe/1", False, 2.0, 2.1, 200, "seal-b", True),
+    SentRequest("c", "/unsafe/1", False, 3.0, 3.1, 503, "", False),
 ]
 _CALM_RAN = [
     UpstreamRun("u1", "a", "/safe/1", 1.05, "ok"),
@@ -40,13 +40,13 @@
 def _faults(check, sent, ran):
     found = {
         "answers": lambda: checks.check_answers(sent),
-        "once": lambda: checks.check_once(sent, ran),
+        "once": lambda: checks.check_at_most_once(sent, ran),
         "refusals": lambda: checks.check_refusals(sent, ran),
-        "silent": lambda: checks.check_silent(ran, _LEFT),
+        "silent": lambda: checks.check_no_traffic(ran, _LEFT),
         "cold": lambda: checks.check_cold(ran, _COLD),
-        "stops": lambda: checks.check_stops(sent, _STOP),
+        "stops": lambda: checks.check_graceful_stops(sent, _STOP),
         "configuration": lambda: checks.check_configuration(sent, _KNOWN),
-        "recovery": lambda: checks.check_recovery(sent, _END, least_share=0.5),
+        "recovery": lambda: checks.check_recovery(sent, _END, min_share=0.5),
     }
     return found[check]()
 
@@ -54,11 +54,11 @@
 def _planted(fault):
     sent = list(_CALM_SENT)
     ran = list(_CALM_RAN)
-    one = Sent("d", "/safe/1", True, 4.0, 4.1, 200, "seal-d", True)
+    one = SentRequest("d", "/safe/1", True, 4.0, 4.1, 200, "seal-d", True)
     if fault == "another request's signature":
         sent.append(one._replace(seal="seal-a"))
     elif fault == "half a body":
-        sent.append(one._replace(whole=False))
+        sent.append(one._replace(complete=False))
     elif fault == "a payment that ran twice":
         ran.append(UpstreamRun("u2", "b", "/unsafe/1", 2.5, "ok"))
     elif fault == "a run that nobody sent":
@@ -111,9 +111,9 @@
 
 @then("two plans of seed 7 are equal, and seed 8's differs")
 def step_plans(context):
-    first = plan.make(7, seconds=30)
-    assert first == plan.make(7, seconds=30)
-    assert first != plan.make(8, seconds=30)
+    first = plan.make_plan(7, seconds=30)
+    assert first == plan.make_plan(7, seconds=30)
+    assert first != plan.make_plan(8, seconds=30)
 
 
 @when("the soak's own loop stands still for {length_s:g} s")
@@ -122,9 +122,9 @@
 
     async def stand_still():
         watching = asyncio.ensure_future(context.watch.run())
-        await asyncio.sleep(2 * TURN_S)
+        await asyncio.sleep(2 * TICK_S)
         time.sleep(length_s)
-        await asyncio.sleep(2 * TURN_S)
+        await asyncio.sleep(2 * TICK_S)
         watching.cancel()
 
     asyncio.run(stand_still())
@@ -132,8 +132,8 @@
 
 @then("a pause of at least {length_s:g} s was noted")
 def step_noted(context, length_s):
-    longest_s = max(pause.length_s for pause in context.watch.pauses)
-    assert longest_s >= length_s, context.watch.pauses
+    longest_s = max(stall.duration_s for stall in context.watch.stalls)
+    assert longest_s >= length_s, context.watch.stalls
 
 
 def _soak(context, seed, seconds, *options):
@@ -155,8 +155,11 @@
 
 @when("the soak plays seed {seed:d} with all kinds for {seconds:d} s")
 def step_soak_all(context, seed, seconds):
-    kinds = {step.kind for step in plan.make(seed, seconds=seconds)}
-    for kind in (plan.Kind.UPSTREAM_RESTART, plan.Kind.FOREIGN_WRITER):
+    kinds = {step.kind for step in plan.make_plan(seed, seconds=seconds)}
+    for kind in (
+        plan.FaultKind.UPSTREAM_RESTART,
+        plan.FaultKind.FOREIGN_WRITER,
+    ):
         assert kind in kinds, kinds
     _soak(context, seed, seconds)
 
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -11,7 +11,7 @@
 import fire
 
 from soak.plan import FIRST_KINDS
-from soak.plan import Kind
+from soak.plan import FaultKind
 from soak.run import Report
 from soak.run import Size
 from soak.run import Soak
@@ -27,7 +27,7 @@
     seconds: float,
     size: Size,
     logs: str = "",
-    kinds: Sequence[Kind] = tuple(Kind),
+    kinds: Sequence[FaultKind] = tuple(FaultKind),
 ) -> Report:
     """Runs one seed; keeps the processes' logs if `logs` names a folder."""
     with tempfile.TemporaryDirectory(prefix="almondstair-soak-") as folder:
@@ -66,7 +66,7 @@
     )
     for stall in report.stalls:
         print(
-            f"  own event loop stalled for {stall.length_s:.2f} s until "
+            f"  own event loop stalled for {stall.duration_s:.2f} s until "
             f"{stall.at_s:.2f} s"
         )
     if not report.violations:
@@ -108,7 +108,7 @@
           first_kinds: whether to draw faults only from the kinds that the kept
             seeds were found with; with all kinds a seed gives another plan.
         """
-        kinds = FIRST_KINDS if first_kinds else tuple(Kind)
+        kinds = FIRST_KINDS if first_kinds else tuple(FaultKind)
         report = run_seed(seed, seconds, Size(*size), logs, kinds)
         print_report(report)
         sys.exit(1 if report.violations else 0)
@@ -132,7 +132,7 @@
         seeds = tomllib.loads(SEEDS_FILE.read_text(encoding="utf-8"))["seeds"]
         failed = []
         for row in seeds:
-            kinds = tuple(Kind) if row.get("all_kinds") else FIRST_KINDS
+            kinds = tuple(FaultKind) if row.get("all_kinds") else FIRST_KINDS
             report = run_seed(row["seed"], row["seconds"], Size(), kinds=kinds)
             print_report(report)
             if report.violations:
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -8,7 +8,7 @@
 from emulator.caller_wire import EmulatedRequest
 from emulator.caller_wire import encode_request
 from emulator.caller_wire import read_response
-from soak.checks import Sent
+from soak.checks import SentRequest
 
 RESPONSE_TIMEOUT_S = 4.0
 DEADLINE_MS = 3000
@@ -31,7 +31,7 @@
           rng: random numbers of this caller.
         """
         self._rng = rng
-        self.sent: list[Sent] = []
+        self.sent: list[SentRequest] = []
         self.gateway_by_request: dict[str, str] = {}
 
     async def run(
@@ -84,13 +84,13 @@
         """Sends one outgoing; returns whether the connection stays usable."""
         prefix = self._rng.choice(prefixes)
         key = str(self._rng.randrange(KEY_COUNT))
-        repeatable = not prefix.startswith("/unsafe")
+        idempotent = not prefix.startswith("/unsafe")
         outgoing = EmulatedRequest(
             request=uuid.uuid4().hex[:16],
             path=f"{prefix}{key}",
             key=key,
             deadline_ms=DEADLINE_MS,
-            body=b"" if repeatable else b"x" * self._rng.randrange(1, 3000),
+            body=b"" if idempotent else b"x" * self._rng.randrange(1, 3000),
         )
         sent_s = time.monotonic()
         response = None
@@ -102,15 +102,15 @@
             response = None
         self.gateway_by_request[outgoing.request] = name
         self.sent.append(
-            Sent(
+            SentRequest(
                 request=outgoing.request,
                 path=outgoing.path,
-                repeatable=repeatable,
+                idempotent=idempotent,
                 sent_s=sent_s,
                 ended_s=time.monotonic(),
                 status=response.status if response else 0,
                 seal=response.seal if response else "",
-                whole=response is not None
+                complete=response is not None
                 and response.is_complete(outgoing.request),
             )
         )
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -10,29 +10,29 @@
 COLD_BOUND_PER_S = 5 * 1.5 + 5
 
 
-class Sent(NamedTuple):
+class SentRequest(NamedTuple):
     """Describes one request and its result at the caller.
 
     Attributes:
       request: id of the request.
       path: path of the request.
-      repeatable: whether it may run more than once.
+      idempotent: whether it may run more than once.
       sent_s: when it was sent, in seconds of the host's monotonic clock.
       ended_s: when its response arrived or its connection ended.
       status: status of the response, 0 if there was none.
       seal: signature of the response.
-      whole: whether the upstream's complete body arrived.
+      complete: whether the upstream's complete body arrived.
       read: whether the gateway is known to have read it.
     """
 
     request: str
     path: str
-    repeatable: bool
+    idempotent: bool
     sent_s: float
     ended_s: float
     status: int
     seal: str
-    whole: bool
+    complete: bool
     read: bool = True
 
 
@@ -51,21 +51,21 @@
     detail: str
 
 
-def check_answers(sent: Iterable[Sent]) -> list[Violation]:
+def check_answers(sent: Iterable[SentRequest]) -> list[Violation]:
     """Finds successes without the complete response to their own request."""
     violations = []
     for request in sent:
         if request.status != 200:
             continue
-        if request.seal != f"seal-{request.request}" or not request.whole:
+        if request.seal != f"seal-{request.request}" or not request.complete:
             violations.append(
                 Violation("complete responses to own request", str(request))
             )
     return violations
 
 
-def check_once(
-    sent: Iterable[Sent], ran: Iterable[UpstreamRun]
+def check_at_most_once(
+    sent: Iterable[SentRequest], ran: Iterable[UpstreamRun]
 ) -> list[Violation]:
     """Finds non-idempotent requests that ran twice, and runs nobody sent."""
     counts: dict[str, int] = {}
@@ -75,7 +75,7 @@
     known = set()
     for request in sent:
         known.add(request.request)
-        if not request.repeatable and counts.get(request.request, 0) > 1:
+        if not request.idempotent and counts.get(request.request, 0) > 1:
             violations.append(Violation("runs at most once", str(request)))
     for request_id in counts.keys() - known:
         violations.append(Violation("only sent requests run", request_id))
@@ -83,7 +83,7 @@
 
 
 def check_refusals(
-    sent: Iterable[Sent], ran: Iterable[UpstreamRun]
+    sent: Iterable[SentRequest], ran: Iterable[UpstreamRun]
 ) -> list[Violation]:
     """Finds requests that ran although a 429, 503 or the like denies it."""
     ran_ids = {run.request for run in ran}
@@ -91,14 +91,14 @@
     for request in sent:
         if request.status not in (408, 421, 429, 503):
             continue
-        if not request.repeatable and request.request in ran_ids:
+        if not request.idempotent and request.request in ran_ids:
             violations.append(
                 Violation("refused requests do not run", str(request))
             )
     return violations
 
 
-def check_silent(
+def check_no_traffic(
     ran: Iterable[UpstreamRun], spans: Iterable[Span]
 ) -> list[Violation]:
     """Finds runs at upstreams in spans after they left or were evacuated."""
@@ -140,7 +140,9 @@
     return violations
 
 
-def check_stops(sent: Iterable[Sent], stops: Iterable[Span]) -> list[Violation]:
+def check_graceful_stops(
+    sent: Iterable[SentRequest], stops: Iterable[Span]
+) -> list[Violation]:
     """Finds requests that were read and then cut by a planned stop alone.
 
     Args:
@@ -161,7 +163,7 @@
 
 
 def check_configuration(
-    sent: Iterable[Sent], routes: Iterable[Span]
+    sent: Iterable[SentRequest], routes: Iterable[Span]
 ) -> list[Violation]:
     """Finds requests answered 404 on a route that must be known.
 
@@ -187,7 +189,7 @@
 
 
 def check_recovery(
-    sent: Iterable[Sent], spans: Iterable[Span], *, least_share: float
+    sent: Iterable[SentRequest], spans: Iterable[Span], *, min_share: float
 ) -> list[Violation]:
     """Finds spans without faults in which too few requests succeed."""
     violations = []
@@ -199,7 +201,7 @@
             if span.from_s <= request.sent_s < span.to_s
         ]
         served = sum(1 for request in within if request.status == 200)
-        if within and served < least_share * len(within):
+        if within and served < min_share * len(within):
             detail = f"{span} served {served} of {len(within)}"
             violations.append(Violation("service recovers", detail))
     return violations
--- a/soak/loop_watch.py
+++ b/soak/loop_watch.py
@@ -9,7 +9,7 @@
 import time
 from typing import NamedTuple
 
-TURN_S = 0.02
+TICK_S = 0.02
 # A gateway's call through a proxy takes about five iterations of the loop and
 # times out after one second.
 MIN_STALL_S = 0.2
@@ -20,31 +20,31 @@
 
     Attributes:
       at_s: when it ended, in seconds since the watch started.
-      length_s: its duration in seconds.
+      duration_s: its duration in seconds.
     """
 
     at_s: float
-    length_s: float
+    duration_s: float
 
 
 class LoopWatch:
     """Records stalls of the event loop that it runs in.
 
     Attributes:
-      pauses: stalls of `MIN_STALL_S` or more, in order of time.
+      stalls: stalls of `MIN_STALL_S` or more, in order of time.
     """
 
     def __init__(self) -> None:
         """Starts without recorded stalls."""
-        self.pauses: list[Stall] = []
+        self.stalls: list[Stall] = []
 
     async def run(self) -> None:
         """Records stalls until it is cancelled."""
         began_s = time.monotonic()
         while True:
             before_s = time.monotonic()
-            await asyncio.sleep(TURN_S)
+            await asyncio.sleep(TICK_S)
             now_s = time.monotonic()
-            length_s = now_s - before_s - TURN_S
-            if length_s >= MIN_STALL_S:
-                self.pauses.append(Stall(now_s - began_s, length_s))
+            duration_s = now_s - before_s - TICK_S
+            if duration_s >= MIN_STALL_S:
+                self.stalls.append(Stall(now_s - began_s, duration_s))
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -10,7 +10,7 @@
 FINAL_CALM_S = 8.0
 
 
-class Kind(enum.StrEnum):
+class FaultKind(enum.StrEnum):
     """Names the kinds of faults."""
 
     STORE = "store"
@@ -34,7 +34,9 @@
 
 # Kinds that the kept seeds were found with; drawing from more kinds would give
 # a seed another plan.
-FIRST_KINDS = tuple(Kind)[: tuple(Kind).index(Kind.UPSTREAM_RESTART)]
+FIRST_KINDS = tuple(FaultKind)[
+    : tuple(FaultKind).index(FaultKind.UPSTREAM_RESTART)
+]
 
 
 class Step(NamedTuple):
@@ -49,7 +51,7 @@
     """
 
     at_s: float
-    kind: Kind
+    kind: FaultKind
     target: int
     duration_s: float
     variant: str
@@ -72,20 +74,20 @@
 # `own_key`, else under a key of the writer's own.
 FOREIGN_RECORDS = ("own_key", "no_text", "no_slots", "no_address", "no_state")
 _VARIANTS = {
-    Kind.STORE: STORE_MODES,
-    Kind.STORE_PROXY: PROXY_FAULTS,
-    Kind.UPSTREAM_PROXY: PROXY_FAULTS,
-    Kind.UPSTREAM_FAULT: UPSTREAM_FAULTS,
-    Kind.FOREIGN_WRITER: FOREIGN_RECORDS,
+    FaultKind.STORE: STORE_MODES,
+    FaultKind.STORE_PROXY: PROXY_FAULTS,
+    FaultKind.UPSTREAM_PROXY: PROXY_FAULTS,
+    FaultKind.UPSTREAM_FAULT: UPSTREAM_FAULTS,
+    FaultKind.FOREIGN_WRITER: FOREIGN_RECORDS,
 }
 
 
-def make(
+def make_plan(
     seed: int,
     *,
     seconds: float,
     count: int = 0,
-    kinds: Sequence[Kind] = tuple(Kind),
+    kinds: Sequence[FaultKind] = tuple(FaultKind),
 ) -> list[Step]:
     """Returns the steps of a seed in order of time; they may overlap.
 
--- a/soak/run.py
+++ b/soak/run.py
@@ -22,7 +22,7 @@
 from soak.checks import Violation
 from soak.loop_watch import LoopWatch
 from soak.loop_watch import Stall
-from soak.plan import Kind
+from soak.plan import FaultKind
 from soak.plan import Step
 
 # Longest time from the acknowledgement of a change until it takes effect, with
@@ -148,12 +148,12 @@
         seconds: float,
         directory: Path,
         size: Size,
-        kinds: Sequence[Kind] = tuple(Kind),
+        kinds: Sequence[FaultKind] = tuple(FaultKind),
     ) -> None:
         """Makes the plan and starts nothing."""
         self._seed = seed
         self._seconds = seconds
-        self._steps = plan.make(seed, seconds=seconds, kinds=kinds)
+        self._steps = plan.make_plan(seed, seconds=seconds, kinds=kinds)
         self._world = World(deployment=size.deployment(), directory=directory)
         self._callers = [
             Caller(rng=random.Random(seed * 1000 + number))
@@ -226,28 +226,32 @@
         await asyncio.gather(*tasks)
 
     async def _apply_step(self, step: Step) -> None:
-        actions: dict[Kind, Callable[[Step], Awaitable[None]]] = {
-            Kind.STORE: self._store,
-            Kind.STORE_PROXY: self._store_proxy,
-            Kind.UPSTREAM_PROXY: self._upstream_proxy,
-            Kind.UPSTREAM_FAULT: self._upstream_fault,
-            Kind.UPSTREAM_KILL: self._upstream_kill,
-            Kind.UPSTREAM_DRAIN: self._upstream_drain,
-            Kind.UPSTREAM_FREEZE: self._upstream_freeze,
-            Kind.GATEWAY_KILL: self._gateway_kill,
-            Kind.GATEWAY_STOP: self._gateway_stop,
-            Kind.GATEWAY_FREEZE: self._gateway_freeze,
-            Kind.GATEWAY_HANGUP: self._gateway_hangup,
-            Kind.KILL_ALL: self._kill_all,
-            Kind.CONFIGURE: self._configure,
-            Kind.EVACUATE: self._evacuate,
-            Kind.HISTORY: self._history,
-            Kind.UPSTREAM_RESTART: self._upstream_restart,
-            Kind.FOREIGN_WRITER: self._foreign_writer,
+        actions: dict[FaultKind, Callable[[Step], Awaitable[None]]] = {
+            FaultKind.STORE: self._store,
+            FaultKind.STORE_PROXY: self._store_proxy,
+            FaultKind.UPSTREAM_PROXY: self._upstream_proxy,
+            FaultKind.UPSTREAM_FAULT: self._upstream_fault,
+            FaultKind.UPSTREAM_KILL: self._upstream_kill,
+            FaultKind.UPSTREAM_DRAIN: self._upstream_drain,
+            FaultKind.UPSTREAM_FREEZE: self._upstream_freeze,
+            FaultKind.GATEWAY_KILL: self._gateway_kill,
+            FaultKind.GATEWAY_STOP: self._gateway_stop,
+            FaultKind.GATEWAY_FREEZE: self._gateway_freeze,
+            FaultKind.GATEWAY_HANGUP: self._gateway_hangup,
+            FaultKind.KILL_ALL: self._kill_all,
+            FaultKind.CONFIGURE: self._configure,
+            FaultKind.EVACUATE: self._evacuate,
+            FaultKind.HISTORY: self._history,
+            FaultKind.UPSTREAM_RESTART: self._upstream_restart,
+            FaultKind.FOREIGN_WRITER: self._foreign_writer,
         }
         began_s = time.monotonic()
         await actions[step.kind](step)
-        planned = (Kind.GATEWAY_STOP, Kind.CONFIGURE, Kind.GATEWAY_HANGUP)
+        planned = (
+            FaultKind.GATEWAY_STOP,
+            FaultKind.CONFIGURE,
+            FaultKind.GATEWAY_HANGUP,
+        )
         if step.kind not in planned:
             self._disturbance_spans.append(
                 Span(str(step.kind), began_s, time.monotonic())
@@ -470,10 +474,10 @@
             gateway_of.update(caller.gateway_by_request)
         ran = list(self._world.upstream_runs.values())
         self._violations += checks.check_answers(sent)
-        self._violations += checks.check_once(sent, ran)
+        self._violations += checks.check_at_most_once(sent, ran)
         self._violations += checks.check_refusals(sent, ran)
         self._violations += checks.check_cold(ran, self._cold_spans)
-        self._violations += checks.check_silent(
+        self._violations += checks.check_no_traffic(
             [run for run in ran if not self._is_excused(run)],
             self._no_traffic_spans,
         )
@@ -485,7 +489,7 @@
             at_gateway = [
                 each for each in sent if gateway_of[each.request] == span.name
             ]
-            self._violations += checks.check_stops(
+            self._violations += checks.check_graceful_stops(
                 self._keep_executed(at_gateway, ran), [span]
             )
         calm = [each for each in sent if not self._is_disturbed_at(each.sent_s)]
@@ -494,13 +498,13 @@
             "the end", self._end_s - FINAL_SPAN_S, self._end_s - FINAL_MARGIN_S
         )
         self._violations += checks.check_recovery(
-            sent, [final_span], least_share=MIN_SERVED_SHARE
+            sent, [final_span], min_share=MIN_SERVED_SHARE
         )
 
     def _is_excused(self, run: UpstreamRun) -> bool:
         """Returns whether a disturbance near a run suspends the time bounds."""
         for span in self._disturbance_spans:
-            if span.name in (Kind.UPSTREAM_DRAIN, Kind.EVACUATE):
+            if span.name in (FaultKind.UPSTREAM_DRAIN, FaultKind.EVACUATE):
                 continue
             if (
                 span.from_s - DISTURBANCE_MARGIN_S
@@ -512,8 +516,8 @@
 
     @staticmethod
     def _keep_executed(
-        sent: list[checks.Sent], ran: list[UpstreamRun]
-    ) -> list[checks.Sent]:
+        sent: list[checks.SentRequest], ran: list[UpstreamRun]
+    ) -> list[checks.SentRequest]:
         """Keeps requests that an upstream ran, since those were surely read."""
         ran_ids = {run.request for run in ran}
         return [each for each in sent if each.request in ran_ids]
@@ -538,5 +542,5 @@
             steps=self._steps,
             violations=self._violations,
             outcomes=outcomes,
-            stalls=self._loop_watch.pauses,
+            stalls=self._loop_watch.stalls,
         )
