--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Hooks of behave: no process outlives the scenario that started it."""
+"""Behave hooks that end the processes of each scenario after it."""
 
 from features.support.harness import Processes
 
--- a/features/support/bounded.py
+++ b/features/support/bounded.py
@@ -1,4 +1,4 @@
-"""Deployments whose stand-ins would show an overrun of slots or links."""
+"""Deployments whose stand-ins record load above the configured limits."""
 
 from typing import Any
 
@@ -8,18 +8,25 @@
 from features.support.harness import Child
 from features.support.harness import Processes
 
-# An upstream that refuses what is over its slots hides an overrun in part.
+# Upstreams get extra slots: one that refuses excess requests would hide part
+# of an overrun.
 SPARE_SLOTS = 5
 WINDOW_BINS = 10
 
 
 class BoundedDeployment(Deployment):
-    """Upstreams with more slots than the configuration says."""
+    """Runs upstreams with more slots than the configuration says."""
 
     def __init__(
         self, *, processes: Processes, shape: Shape, long_ms: int
     ) -> None:
-        """Prepares; `long_ms` is the deadline of uploads and statements."""
+        """Prepares the deployment without starting it.
+
+        Args:
+          processes: starts the processes of the deployment.
+          shape: size and settings of the deployment.
+          long_ms: deadline of uploads and statements, in milliseconds.
+        """
         super().__init__(processes=processes, shape=shape)
         self._long_ms = long_ms
         self._removed: dict[str, dict[str, str]] = {}
@@ -37,7 +44,7 @@
         )
 
     def start_entry(self, name: str, *, wait: bool = True) -> Child:
-        """Starts an entry whose network can be cut."""
+        """Starts an entry whose network `cut` can partition."""
         return self.processes.start(
             name,
             str(SUPPORT / "cut_daemon.py"),
@@ -47,21 +54,21 @@
         )
 
     def cut(self, name: str, others: list[str]) -> None:
-        """Loses all that an entry sends to others from now on."""
-        lost = []
+        """Drops everything that an entry sends to `others` from now on."""
+        blocked_addresses = []
         for other in others:
-            lost.append(self.entries[other]["peer"])
-            lost.append(self.entries[other]["forward"])
+            blocked_addresses.append(self.entries[other]["peer"])
+            blocked_addresses.append(self.entries[other]["forward"])
         path = self.processes.directory / f"{name}.toml.cut"
-        path.write_text(" ".join(lost), encoding="utf-8")
+        path.write_text(" ".join(blocked_addresses), encoding="utf-8")
 
     def remove(self, name: str) -> None:
-        """Has the VM list drop an entry whose process has ended."""
+        """Removes an entry whose process has ended from the VM list."""
         self._removed[name] = self.entries.pop(name)
         self.publish_vms()
 
     def restore(self) -> None:
-        """Starts again what was removed."""
+        """Lists and restarts the removed entries."""
         if not self._removed:
             return
         self.entries.update(self._removed)
@@ -72,31 +79,31 @@
         self.wait_ready()
 
     def successors_of(self, home: str) -> list[str]:
-        """Returns the entries other than a home."""
+        """Returns all entries except the home."""
         return [name for name in self.entries if name != home]
 
 
 def most_at_once(runs: list[dict[str, Any]]) -> int:
-    """Returns the largest number of runs that overlap."""
-    steps = []
+    """Returns the largest number of overlapping runs."""
+    changes = []
     for run in runs:
-        steps.append((run["start"], 1))
-        # An end and a start at one time are no overlap.
-        steps.append((run.get("end", float("inf")), -1))
-    steps.sort()
-    now = most = 0
-    for _, step in steps:
-        now += step
-        most = max(most, now)
-    return most
+        changes.append((run["start"], 1))
+        # An end and a start at the same time do not overlap.
+        changes.append((run.get("end", float("inf")), -1))
+    changes.sort()
+    concurrent = max_concurrent = 0
+    for _, change in changes:
+        concurrent += change
+        max_concurrent = max(max_concurrent, concurrent)
+    return max_concurrent
 
 
 def largest_window(bins: dict[int, int]) -> int:
-    """Returns the most bytes of any ten adjacent bins."""
+    """Returns the largest number of bytes in ten adjacent bins."""
     largest = 0
-    for first in bins:
+    for first_bin in bins:
         total = 0
-        for place in range(first, first + WINDOW_BINS):
-            total += bins.get(place, 0)
+        for bin_number in range(first_bin, first_bin + WINDOW_BINS):
+            total += bins.get(bin_number, 0)
         largest = max(largest, total)
     return largest
--- a/features/support/closed_loop.py
+++ b/features/support/closed_loop.py
@@ -1,7 +1,7 @@
-"""Callers that each send the next request when the last one has ended.
+"""Closed-loop callers that send the next request when the last one has ended.
 
-They keep more requests under way than there are slots or link, whatever the
-system answers, which an open load of a given rate does not.
+They keep more requests in flight than the slots or the link can carry,
+whatever the responses are. An open load at a given rate does not.
 """
 
 from collections import Counter
@@ -20,7 +20,7 @@
 
 
 class LoadRequest(NamedTuple):
-    """What one caller sends again and again."""
+    """A request that a caller sends repeatedly."""
 
     path: str
     method: str = "GET"
@@ -30,7 +30,7 @@
 
 
 class Record(NamedTuple):
-    """How one request ended; `status` is 0 where no whole answer came."""
+    """The outcome of a request; `status` is 0 without a complete response."""
 
     entry: str
     path: str
@@ -42,10 +42,10 @@
 
 
 class ClosedLoop:
-    """The callers of one scenario, each a thread."""
+    """Runs the callers of a scenario, each on a thread."""
 
     def __init__(self, *, zone: str) -> None:
-        """Starts without callers; `zone` is told to the upstreams."""
+        """Starts without callers; upstreams receive `zone` as the edge zone."""
         self._zone = zone
         self._stopping = threading.Event()
         self._threads: list[threading.Thread] = []
@@ -56,7 +56,7 @@
     def add(
         self, *, entry: str, address: str, request: LoadRequest, callers: int
     ) -> None:
-        """Starts callers of one entry."""
+        """Starts callers that send to one entry."""
         for _ in range(callers):
             thread = threading.Thread(
                 target=self._run, args=(entry, address, request), daemon=True
@@ -65,15 +65,15 @@
             thread.start()
 
     def stop(self, *, limit_s: float = 15.0) -> None:
-        """Ends the callers after their present requests."""
+        """Stops the callers after their current requests."""
         self._stopping.set()
-        until_s = time.monotonic() + limit_s
+        limit_end_s = time.monotonic() + limit_s
         for thread in self._threads:
-            thread.join(max(0.0, until_s - time.monotonic()))
-            assert not thread.is_alive(), "a caller has no end"
+            thread.join(max(0.0, limit_end_s - time.monotonic()))
+            assert not thread.is_alive(), "a caller did not stop in time"
 
     def answered(self, *, since_s: float = 0.0) -> list[Record]:
-        """Returns what ended well since a time."""
+        """Returns the requests answered with 200 since `since_s`."""
         found = []
         for record in tuple(self.records):
             if record.status == 200 and record.end_s >= since_s:
@@ -81,7 +81,7 @@
         return found
 
     def refused(self, *, kind: str) -> list[Record]:
-        """Returns the refusals of a kind."""
+        """Returns the requests refused with an error kind."""
         found = []
         for record in tuple(self.records):
             if record.problem.get("kind") == kind:
@@ -110,28 +110,28 @@
         connection = connect(address, timeout_s=request.timeout_s)
         try:
             connection.request(request.method, request.path, body, headers)
-            answer = connection.getresponse()
-            return answer.status, self._read(answer)
+            response = connection.getresponse()
+            return response.status, self._read(response)
         finally:
             connection.close()
 
-    def _read(self, answer: http.client.HTTPResponse) -> bytes:
-        kept = b""
+    def _read(self, response: http.client.HTTPResponse) -> bytes:
+        buffered = b""
         size_bytes = 0
         with self._lock:
             bins = self.read_bytes.setdefault(
-                answer.getheader("Served-By", ""), Counter()
+                response.getheader("Served-By", ""), Counter()
             )
-        while chunk := answer.read1(READ_BYTES):
+        while chunk := response.read1(READ_BYTES):
             size_bytes += len(chunk)
             with self._lock:
                 bins[int(time.monotonic() / BIN_S)] += len(chunk)
-            if len(kept) < READ_BYTES:
-                kept += chunk
-        length = answer.getheader("Content-Length")
+            if len(buffered) < READ_BYTES:
+                buffered += chunk
+        length = response.getheader("Content-Length")
         if length is not None and int(length) != size_bytes:
-            raise http.client.IncompleteRead(kept)
-        return kept
+            raise http.client.IncompleteRead(buffered)
+        return buffered
 
     def _record(
         self,
@@ -141,17 +141,17 @@
         status: int,
         body: bytes,
     ) -> None:
-        told = {}
+        message = {}
         if body[:1] == b"{":
-            told = json.loads(body)
+            message = json.loads(body)
         record = Record(
             entry,
             request.path,
             start_s,
             time.monotonic(),
             status,
-            {} if status == 200 else told,
-            told.get("upstream", ""),
+            {} if status == 200 else message,
+            message.get("upstream", ""),
         )
         with self._lock:
             self.records.append(record)
--- a/features/support/control.py
+++ b/features/support/control.py
@@ -1,4 +1,4 @@
-"""Runs the command-line tool inside the test's process."""
+"""The command-line tool, run inside the test's process."""
 
 import contextlib
 import io
@@ -9,7 +9,10 @@
 
 
 def run(context, arguments):
-    """Runs a command; keeps its exit code, output and notes."""
+    """Runs a command and stores its exit code and output in the context.
+
+    `context.output` holds standard output, `context.notes` standard error.
+    """
     output = io.StringIO()
     notes = io.StringIO()
     with contextlib.redirect_stdout(output), contextlib.redirect_stderr(notes):
@@ -19,7 +22,7 @@
 
 
 def directory(context):
-    """Returns a directory that lasts as long as the scenario."""
+    """Returns a temporary directory that the scenario's cleanup removes."""
     if "scenario_directory" not in context:
         holder = tempfile.TemporaryDirectory()
         context.add_cleanup(holder.cleanup)
--- a/features/support/crashing_world.py
+++ b/features/support/crashing_world.py
@@ -1,7 +1,7 @@
-"""Entries through which one crashing request is resent, in virtual time.
+"""Entries that receive one crashing request repeatedly, in virtual time.
 
-Suspicions, words and the choice of upstreams are the gateway's; connections,
-upstreams and callers are modelled.
+Crash suspects, crash reports and the choice of upstreams are the gateway's own
+code; connections, upstreams and callers are simulated.
 """
 
 from collections.abc import Iterator
@@ -30,33 +30,33 @@
 from features.support.telling_world import TellingWorld
 
 REQUEST = 7
-CALLER_WAY_S = 0.008
-# How long an upstream works on the request before it ends.
+CALLER_DELAY_S = 0.008
+# Time that an upstream runs the request before it crashes.
 RUN_S = 0.02
 DEADLINE_S = 2.0
 
 
 class CrashingWorld(TellingWorld):
-    """Entries, upstreams that one request ends, and its callers.
+    """Simulates entries, callers, and upstreams that one request crashes.
 
     Attributes:
-      ended: upstreams that have ended, with the time.
-      refused: how often the request was refused as quarantined.
+      ended: time at which each crashed upstream ended, in seconds.
+      refused: number of times that the request was refused as quarantined.
     """
 
     def __init__(self, *, by_key: bool, **size: Any) -> None:
-        """Makes the entries; `size` is that of the world below.
+        """Makes the entries.
 
         Args:
-          by_key: whether the route places requests by a key.
-          **size: entries, zones, upstreams and links.
+          by_key: whether the route has key affinity.
+          **size: arguments of the base class.
         """
         self._suspects: dict[str, CrashSuspects] = {}
         super().__init__(**size)
         self.ended: dict[str, float] = {}
         self.refused = 0
-        self._began_s: dict[str, float] = {}
-        self._until_s = 0.0
+        self._run_start_s: dict[str, float] = {}
+        self._resend_until_s = 0.0
         self._route = Route(
             name="r",
             hostname="h",
@@ -70,26 +70,26 @@
             destinations=(Destination("s", 1.0),),
             allowed_regions=(),
         )
-        self._asked_count = 0
+        self._request_count = 0
         self._callers_region = next(iter(self.members.values())).region
-        self._words: dict[str, CrashReports] = {}
-        self._placings: dict[str, RequestPlacer] = {}
+        self._crash_reports: dict[str, CrashReports] = {}
+        self._placers: dict[str, RequestPlacer] = {}
         for member in self.members.values():
-            self._equip(member)
+            self._add_components(member)
 
     def make_suspects(self, name: str) -> CrashSuspects:
-        """Returns real suspicions, as they are tested here."""
+        """Returns real crash suspects, since they are under test here."""
         self._suspects[name] = CrashSuspects()
         return self._suspects[name]
 
-    def _equip(self, member: Member) -> None:
+    def _add_components(self, member: Member) -> None:
         name = member.name
-        self._words[name] = CrashReports(
+        self._crash_reports[name] = CrashReports(
             suspects=self._suspects[name],
             load_exchange=member.sharing,
             own_name=name,
         )
-        self._placings[name] = RequestPlacer(
+        self._placers[name] = RequestPlacer(
             fleet=member.fleet,
             run_times=RunTimes(),
             cached_locations=CachedLocations(),
@@ -104,61 +104,69 @@
 
     @contextlib.contextmanager
     def crashing(self) -> Iterator[None]:
-        """Lets the entries tell, by the virtual clock."""
+        """Runs the exchange of crash reports on the virtual clock."""
         clock = mock.patch.object(crash_reports, "now_s", lambda: self.now_s)
         with clock, self.running(busy=False):
             yield
 
     def resend(self, *, callers: int, span_s: float) -> None:
-        """Sends the request once, and then again and again by some callers."""
-        self._until_s = self.now_s + span_s
+        """Sends the request once, then repeatedly from several callers."""
+        self._resend_until_s = self.now_s + span_s
         first = next(iter(self.members.values()))
-        self._ask(
+        self._receive_request(
             first,
-            lambda: self.later(CALLER_WAY_S, lambda: self._begin(callers)),
+            lambda: self.later(
+                CALLER_DELAY_S, lambda: self._start_callers(callers)
+            ),
         )
         self.pass_time(span_s + DEADLINE_S)
 
-    def _begin(self, callers: int) -> None:
+    def _start_callers(self, callers: int) -> None:
         for _ in range(callers):
             self._send_again()
 
     def _send_again(self) -> None:
-        if self.now_s >= self._until_s:
+        if self.now_s >= self._resend_until_s:
             return
         member = self.draws.choice(list(self.members.values()))
-        way_s = CALLER_WAY_S
+        delay_s = CALLER_DELAY_S
         if member.region != self._callers_region:
-            way_s += BETWEEN_REGIONS_S
+            delay_s += BETWEEN_REGIONS_S
 
-        def answered() -> None:
-            self.later(way_s, self._send_again)
+        def on_response() -> None:
+            self.later(delay_s, self._send_again)
 
-        self.later(way_s, lambda: self._ask(member, answered))
+        self.later(delay_s, lambda: self._receive_request(member, on_response))
 
-    def _ask(self, member: Member, answered: Any) -> None:
-        words = self._words[member.name]
-        standing = words.standing(REQUEST)
+    def _receive_request(self, member: Member, on_response: Any) -> None:
+        reports = self._crash_reports[member.name]
+        standing = reports.standing(REQUEST)
         if standing in (CrashVerdict.PENDING, CrashVerdict.REFUSED):
             self.refused += 1
-            answered()
+            on_response()
             return
-        placed = self._placings[member.name].place(
-            self._asked(words.possibly_crashed(REQUEST)), now_s=self.now_s
+        placed = self._placers[member.name].place(
+            self._placement_request(reports.possibly_crashed(REQUEST)),
+            now_s=self.now_s,
         )
         if placed.choice is None:
             self.refused += 1
-            answered()
+            on_response()
             return
         upstream = placed.choice.upstream
-        way_s = self._way_s(member, upstream)
-        self.later(way_s, lambda: self._arrive(member, upstream, answered))
+        delay_s = self._delay_s(member, upstream)
+        self.later(
+            delay_s,
+            lambda: self._run_at_upstream(member, upstream, on_response),
+        )
 
-    def _asked(self, exposed: frozenset[int]) -> PlacementRequest:
-        self._asked_count += 1
+    def _placement_request(
+        self, crashed_at: frozenset[int]
+    ) -> PlacementRequest:
+        self._request_count += 1
         key = "k"
-        if not self._route.key_affinity and not exposed:
-            key = f"request {self._asked_count}"
+        if not self._route.key_affinity and not crashed_at:
+            key = f"request {self._request_count}"
         return PlacementRequest(
             route=self._route,
             service="s",
@@ -166,45 +174,49 @@
             arrived_s=self.now_s,
             deadline_s=self.now_s + DEADLINE_S,
             tried=[],
-            possibly_crashed=exposed,
+            possibly_crashed=crashed_at,
         )
 
-    def _way_s(self, member: Member, upstream: UpstreamState) -> float:
+    def _delay_s(self, member: Member, upstream: UpstreamState) -> float:
         if member.region == upstream.region:
             return IN_ZONE_S
         return BETWEEN_REGIONS_S
 
-    def _arrive(
-        self, member: Member, upstream: UpstreamState, answered: Any
+    def _run_at_upstream(
+        self, member: Member, upstream: UpstreamState, on_response: Any
     ) -> None:
         name = upstream.record.upstream_id
-        way_s = self._way_s(member, upstream)
+        delay_s = self._delay_s(member, upstream)
         if name in self.ended:
 
-            def unreachable() -> None:
-                self._find_gone(member, upstream)
-                self._ask(member, answered)
+            def on_unreachable() -> None:
+                self._report_unreachable(member, upstream)
+                self._receive_request(member, on_response)
 
-            self.later(way_s, unreachable)
+            self.later(delay_s, on_unreachable)
             return
-        began_s = self.now_s
-        ends_s = self._began_s.setdefault(name, began_s) + RUN_S
+        start_s = self.now_s
+        ends_s = self._run_start_s.setdefault(name, start_s) + RUN_S
 
-        def end() -> None:
+        def crash() -> None:
             self.ended.setdefault(name, self.now_s)
-            self.later(way_s, lose)
+            self.later(delay_s, lose_connection)
 
-        def lose() -> None:
-            ran_s = self.now_s - began_s
-            self._words[member.name].report_lost(REQUEST, upstream, ran_s=ran_s)
+        def lose_connection() -> None:
+            ran_s = self.now_s - start_s
+            self._crash_reports[member.name].report_lost(
+                REQUEST, upstream, ran_s=ran_s
+            )
             self.later(
-                LOSS_PROBE_PAUSE_S + 2 * way_s,
-                lambda: self._find_gone(member, upstream),
+                LOSS_PROBE_PAUSE_S + 2 * delay_s,
+                lambda: self._report_unreachable(member, upstream),
             )
-            answered()
+            on_response()
 
-        self.later(ends_s - self.now_s, end)
+        self.later(ends_s - self.now_s, crash)
 
-    def _find_gone(self, member: Member, upstream: UpstreamState) -> None:
+    def _report_unreachable(
+        self, member: Member, upstream: UpstreamState
+    ) -> None:
         upstream.record_unreachable(now_s=self.now_s)
-        self._words[member.name].report_gone(upstream)
+        self._crash_reports[member.name].report_gone(upstream)
--- a/features/support/cut_daemon.py
+++ b/features/support/cut_daemon.py
@@ -1,7 +1,7 @@
-"""The daemon on a VM whose network can be cut.
+"""The daemon with a network that tests can partition.
 
-What it sends to the addresses in the file `<settings>.cut` is lost: control
-messages, datagrams, and new connections of requests that are forwarded.
+It drops everything sent to the addresses in the file `<settings>.cut`: control
+messages, datagrams, and new connections for forwarded requests.
 """
 
 from pathlib import Path
@@ -12,15 +12,15 @@
 from almondstair.peers import Peers
 from almondstair.strike_words import StrikeWords
 
-_CUT = Path(sys.argv[-1] + ".cut")
+_CUT_FILE = Path(sys.argv[-1] + ".cut")
 _send_frames = Peers._send_frames
 _connect = HttpClient.connect
-_send_word = StrikeWords._send
+_send_strike_report = StrikeWords._send
 
 
 def _is_cut(address: str) -> bool:
     try:
-        return address in _CUT.read_text(encoding="utf-8").split()
+        return address in _CUT_FILE.read_text(encoding="utf-8").split()
     except OSError:
         return False
 
@@ -35,16 +35,18 @@
 
 async def _connect_unless_cut(self, address, **options):
     if _is_cut(address):
-        raise OSError(f"no way to {address}")
+        raise OSError(f"no route to {address}")
     return await _connect(self, address, **options)
 
 
-def _send_word_unless_cut(self: StrikeWords, frame: bytes, row) -> None:
+def _send_strike_report_unless_cut(
+    self: StrikeWords, frame: bytes, row
+) -> None:
     if not _is_cut(row.peer_address):
-        _send_word(self, frame, row)
+        _send_strike_report(self, frame, row)
 
 
 Peers._send_frames = _send_frames_unless_cut
-StrikeWords._send = _send_word_unless_cut
+StrikeWords._send = _send_strike_report_unless_cut
 HttpClient.connect = _connect_unless_cut
 daemon.main()
--- a/features/support/deployment.py
+++ b/features/support/deployment.py
@@ -1,6 +1,6 @@
-"""A whole deployment on loopback: platform, upstreams and entries.
+"""A deployment on loopback: platform, upstreams and entries.
 
-Each part is a process of its own; addresses are free ones of loopback.
+Each component is a separate process on free loopback addresses.
 """
 
 import json
@@ -55,17 +55,17 @@
 
 
 class Shape(NamedTuple):
-    """What a deployment is made of.
+    """Holds the size and settings of a deployment.
 
     Attributes:
-      entries: entries for each region.
-      upstreams: upstreams for each region.
+      entries: number of entries in each region.
+      upstreams: number of upstreams in each region.
       slots: slots of each upstream.
-      profile: name of the profile of the one service.
+      profile: profile of the only service.
       cap_bytes_per_s: cap of each link between regions.
-      latency_ms: one way between regions, for steering.
-      work_ms: time that an upstream takes for a request.
-      commit_ms: deadline of the class that runs at most once.
+      latency_ms: one-way latency between regions, for steering.
+      work_ms: service time of a request at an upstream.
+      commit_ms: deadline of the request class that runs at most once.
     """
 
     entries: dict[str, int]
@@ -82,10 +82,10 @@
 
 
 class Deployment:
-    """The processes of one deployment.
+    """Starts and controls the processes of one deployment.
 
     Attributes:
-      daemon: what Python runs as an entry.
+      daemon: arguments of the Python interpreter that run an entry.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
         shape: Shape,
         daemon: tuple[str, ...] = ("-m", "almondstair.daemon"),
     ) -> None:
-        """Prepares; `start` starts it."""
+        """Prepares the deployment without starting it."""
         self.processes = processes
         self.shape = shape
         self.daemon = daemon
@@ -106,7 +106,7 @@
     # Start.
 
     def start(self, *, settings: str = "") -> None:
-        """Starts everything and waits until every home has its duty.
+        """Starts all processes and waits until every upstream has a home.
 
         Args:
           settings: TOML added to the settings of each entry.
@@ -127,7 +127,7 @@
         self.wait_ready()
 
     def start_upstream(self, name: str) -> None:
-        """Starts an upstream, at its former address if it had one."""
+        """Starts an upstream, at its previous address if it had one."""
         address = self.upstreams.get(name, "")
         options = ["--slots", str(self.shape.slots)]
         options += ["--work-ms", str(self.shape.work_ms)]
@@ -137,7 +137,7 @@
         )
 
     def journal_path(self, name: str) -> Any:
-        """Path of the journal that survives a crash."""
+        """Returns the path of the journal file, which survives a crash."""
         return self.processes.directory / f"{name}.journal"
 
     def start_entry(self, name: str, *, wait: bool = True) -> Child:
@@ -154,7 +154,7 @@
         )
 
     def write_deployment(self) -> None:
-        """Writes the seed of the configuration."""
+        """Writes the initial configuration."""
         path = self.processes.directory / "deployment.toml"
         path.write_text(self.deployment_text(), encoding="utf-8")
 
@@ -194,13 +194,13 @@
             f"latency_ms = {latency_ms}\n"
         )
 
-    def write_settings(self, name: str, more: str = "") -> None:
+    def write_settings(self, name: str, extra_settings: str = "") -> None:
         """Writes the settings of an entry."""
         addresses = self.entries[name]
         peers = []
-        for other, theirs in self.entries.items():
+        for other, other_addresses in self.entries.items():
             if other != name:
-                peers.append(theirs["peer"])
+                peers.append(other_addresses["peer"])
         region = _region(name)
         text = f"""deployment_file = "deployment.toml"
 
@@ -222,7 +222,7 @@
 exporter = "file"
 file = "{self.processes.directory}/{name}.spans"
 
-{more}
+{extra_settings}
 """
         path = self.processes.directory / f"{name}.toml"
         path.write_text(text, encoding="utf-8")
@@ -230,7 +230,7 @@
     # The platform.
 
     def publish_vms(self, *, leaving: tuple[str, ...] = ()) -> None:
-        """Tells the platform which VMs exist."""
+        """Sets the VM list of the platform."""
         vms = []
         for name, addresses in self.entries.items():
             vms.append(_vm(name, addresses["caller"], name in leaving))
@@ -239,33 +239,39 @@
         send("PUT", self.platform, "/vms", body={"vms": vms})
 
     def faults(self, **faults: Any) -> None:
-        """Sets faults of the platform."""
+        """Injects faults into the platform."""
         post(self.platform, "/faults", faults)
 
-    # What is seen from outside.
+    # Observation and control.
 
     def wait_ready(self) -> None:
-        """Waits until each entry hears all and each home has its duty."""
-        wait_until(self.is_ready, limit_s=READY_LIMIT_S, what="a deployment")
+        """Waits until `is_ready`."""
+        wait_until(
+            self.is_ready,
+            limit_s=READY_LIMIT_S,
+            what="the deployment to be ready",
+        )
 
     def is_ready(self) -> bool:
-        """Says whether every entry hears every other and homes are held."""
-        count = 0
-        held = 0
+        """Returns whether entries hear each other and upstreams have homes."""
+        heard_count = 0
+        homed_count = 0
         for name in self.entries:
             status = self.status(name)
             if status is None:
                 return False
             for row in status["entries"]:
-                heard = row["heard_age_s"] is not None
-                count += heard and not row["leaving"]
+                is_heard = row["heard_age_s"] is not None
+                heard_count += is_heard and not row["leaving"]
             for row in status["upstreams"]:
-                held += row["state"] == "in use"
-        every = len(self.entries)
-        return count == every * every and held == len(self.upstreams)
+                homed_count += row["state"] == "in use"
+        entry_count = len(self.entries)
+        return heard_count == entry_count * entry_count and homed_count == len(
+            self.upstreams
+        )
 
     def status(self, name: str) -> dict[str, Any] | None:
-        """Returns the status page of an entry, None if it has none."""
+        """Returns the status of an entry, or None if it does not answer."""
         try:
             answer = get(self.entries[name]["operator"], "/v1/status")
         except OSError:
@@ -275,7 +281,7 @@
         return answer.json()
 
     def home_of(self, upstream: str, *, asked: str) -> str:
-        """Returns the home of an upstream as an entry sees it."""
+        """Returns the home of an upstream by the status of entry `asked`."""
         status = self.status(asked)
         assert status is not None
         for row in status["upstreams"]:
@@ -284,11 +290,11 @@
         raise AssertionError(f"{asked} does not know {upstream}")
 
     def callers(self) -> list[str]:
-        """Returns the callers' addresses of all entries."""
+        """Returns the addresses of the caller listeners of all entries."""
         return [addresses["caller"] for addresses in self.entries.values()]
 
     def journals(self) -> list[dict[str, Any]]:
-        """Returns every run of every upstream, the crashed ones' included."""
+        """Returns all runs of all upstreams, including crashed ones."""
         runs: list[dict[str, Any]] = []
         for name in self.upstreams:
             latest: dict[tuple[float, str, str], dict[str, Any]] = {}
@@ -306,7 +312,7 @@
         return get(self.upstreams[name], "/_journal").json()
 
     def control(self, name: str, **control: Any) -> None:
-        """Sets faults of an upstream."""
+        """Injects faults into an upstream."""
         post(self.upstreams[name], "/_control", control)
 
     def edit(self, entry: str, text: str, base_version: int) -> Any:
--- a/features/support/documented.py
+++ b/features/support/documented.py
@@ -1,4 +1,4 @@
-"""What the code says of settings and errors, as rows of the pages' tables."""
+"""Settings and errors of the code as rows of the documentation tables."""
 
 import enum
 from typing import Annotated, Any, get_args, get_origin, get_type_hints
@@ -10,7 +10,7 @@
 from almondstair import validation
 from almondstair.core import model
 
-# The longest suffix goes first, so that bytes per second are no bytes.
+# Longest suffixes first, so that `_bytes_per_s` does not match `_bytes`.
 _UNITS = (
     ("_bytes_per_s", "bytes/s"),
     ("_fraction_per_s", "fraction/s"),
@@ -20,7 +20,7 @@
     ("_s", "s"),
 )
 _TYPES = {bool: "boolean", int: "integer", float: "number", str: "string"}
-_SHAPES = (
+_FORMATS = (
     (settings.Name, "letters, digits, `.`, `_`, `-`; no `.`, `_`, `-` first"),
     (settings.Address, "`ip:port`"),
     (settings.OptionalAddress, "`ip:port` or empty"),
@@ -29,12 +29,12 @@
 
 
 def setting_rows(root: Any, *, prefix: str = "") -> list[tuple[str, ...]]:
-    """Returns key, type, unit, default and range of each key below a type."""
+    """Returns key, type, unit, default and range of each setting of a type."""
     rows: list[tuple[str, ...]] = []
     hints = get_type_hints(root, include_extras=True)
     for field in validation.field_names(root):
         key = f"{prefix}{field}"
-        table, suffix = _table_in(hints[field])
+        table, suffix = _nested_table(hints[field])
         if table is not None:
             rows += setting_rows(table, prefix=f"{key}{suffix}.")
             continue
@@ -51,7 +51,7 @@
 
 
 def error_rows() -> list[tuple[str, ...]]:
-    """Returns a row for each error kind, without what to do about it."""
+    """Returns a row for each error kind, without the remedy column."""
     rows: list[tuple[str, ...]] = []
     for kind, rule in errors.ERROR_TABLE.items():
         retry_after = "-"
@@ -82,12 +82,12 @@
             continue
         cells = [cell.strip() for cell in line.strip("|").split("|")]
         rows.append(tuple(cells))
-    # The first two are the names of the columns and the line below them.
+    # The first two rows are the column names and the separator line.
     return rows[2:]
 
 
-def _table_in(annotation: Any) -> tuple[Any, str]:
-    """Returns the table type in a field and how its key goes on."""
+def _nested_table(annotation: Any) -> tuple[Any, str]:
+    """Returns the table type in a field and the suffix of its key."""
     if validation.field_names(annotation):
         return annotation, ""
     origin = get_origin(annotation)
@@ -99,19 +99,19 @@
     return None, ""
 
 
-def _plain(annotation: Any) -> Any:
+def _strip_annotated(annotation: Any) -> Any:
     if get_origin(annotation) is Annotated:
         return get_args(annotation)[0]
     return annotation
 
 
 def _type_name(annotation: Any) -> str:
-    plain = _plain(annotation)
-    if get_origin(plain) is tuple:
+    bare_type = _strip_annotated(annotation)
+    if get_origin(bare_type) is tuple:
         return "array of strings"
-    if isinstance(plain, enum.EnumType):
+    if isinstance(bare_type, enum.EnumType):
         return "string"
-    return _TYPES[plain]
+    return _TYPES[bare_type]
 
 
 def _unit(field: str) -> str:
@@ -134,14 +134,14 @@
 
 
 def _range(annotation: Any) -> str:
-    plain = _plain(annotation)
-    if get_origin(plain) is tuple:
-        return _range(get_args(plain)[0])
-    if isinstance(plain, enum.EnumType):
-        return ", ".join(f"`{member}`" for member in plain)
-    for shape, words in _SHAPES:
-        if annotation == shape:
-            return words
+    bare_type = _strip_annotated(annotation)
+    if get_origin(bare_type) is tuple:
+        return _range(get_args(bare_type)[0])
+    if isinstance(bare_type, enum.EnumType):
+        return ", ".join(f"`{member}`" for member in bare_type)
+    for format_type, description in _FORMATS:
+        if annotation == format_type:
+            return description
     parts: list[str] = []
     if get_origin(annotation) is Annotated:
         for bound in get_args(annotation)[1:]:
--- a/features/support/gateway_world.py
+++ b/features/support/gateway_world.py
@@ -1,4 +1,4 @@
-"""A platform in miniature for scenarios: store, upstreams, gateways."""
+"""A small emulated platform for scenarios: store, upstreams, gateways."""
 
 import http.client
 import json
@@ -18,7 +18,7 @@
 
 
 class GatewayWorld:
-    """Starts the parts and speaks for callers and operators."""
+    """Starts the processes and acts as their callers and operators."""
 
     def __init__(self, *, processes: Processes) -> None:
         """Starts the store."""
@@ -44,12 +44,12 @@
     # The store.
 
     def replace_store(self) -> None:
-        """Ends the store and starts an empty one at another address."""
+        """Kills the store and starts an empty one at another address."""
         self.processes.children["store"].kill()
         self.start_store("store-2")
 
     def start_store(self, name: str) -> None:
-        """Starts an empty store and speaks to it from now on."""
+        """Starts an empty store and uses it from now on."""
         self.store = harness.free_address()
         self._start(name, "store", "--address", self.store)
 
@@ -60,12 +60,12 @@
         assert answer.status == 200, answer
 
     def store_faults(self, **faults: Any) -> None:
-        """Orders faults of the store."""
+        """Injects faults into the store."""
         answer = harness.send("PUT", self.store, "/faults", body=faults)
         assert answer.status == 200, answer
 
     def drop_history(self) -> None:
-        """Has the store forget its history."""
+        """Makes the store drop its change history."""
         harness.post(self.store, "/faults")
 
     def configure(
@@ -98,17 +98,17 @@
         return address
 
     def upstream_faults(self, name: str, **faults: Any) -> None:
-        """Orders faults of an upstream."""
+        """Injects faults into an upstream."""
         harness.send(
             "PUT", self.upstreams[name], "/emulator/faults", body=faults
         )
 
     def runs(self, name: str) -> list[dict[str, Any]]:
-        """Returns the requests that an upstream began to work on."""
+        """Returns the requests that an upstream has started."""
         return harness.get(self.upstreams[name], "/emulator/runs").json()
 
     def all_runs(self) -> list[dict[str, Any]]:
-        """Returns the runs of every upstream that answers."""
+        """Returns the runs of all upstreams whose process is running."""
         found = []
         for name in self.upstreams:
             if self.processes.children[name].is_running():
@@ -158,11 +158,11 @@
         return child
 
     def operator_address(self, name: str) -> str:
-        """Returns where a gateway shows its metrics and status."""
+        """Returns the address at which a gateway serves metrics and status."""
         return self.gateways[name]["operators"]
 
     def wait_ready(self, name: str, *, limit_s: float = 10.0) -> None:
-        """Waits until a gateway takes callers."""
+        """Waits until a gateway reports ready."""
 
         def check() -> bool:
             address = self.gateways[name]["ready"]
@@ -171,7 +171,7 @@
         harness.wait_until(check, limit_s=limit_s, what=f"{name} to be ready")
 
     def settings_path(self, name: str) -> Path:
-        """Returns where a gateway's settings file stands."""
+        """Returns the path of a gateway's settings file."""
         return self.processes.directory / f"{name}.toml"
 
     def change_settings(
@@ -182,7 +182,7 @@
         bounds: dict[str, float] | None = None,
         addresses: dict[str, str] | None = None,
     ) -> None:
-        """Writes a gateway's settings file anew, with changes."""
+        """Rewrites a gateway's settings file with changes."""
         text = self._settings(
             name, zones=zones, bounds=bounds, addresses=addresses
         )
@@ -211,7 +211,7 @@
     # Callers.
 
     def connect(self, gateway: str = "g1") -> http.client.HTTPConnection:
-        """Returns a connection to a gateway, not yet opened."""
+        """Returns an unopened connection to a gateway."""
         return harness.connect(self.gateways[gateway]["callers"])
 
     def send(
@@ -223,7 +223,7 @@
         return harness.send(method, address, path, headers=headers, **options)
 
     def headers(self, **more: str) -> dict[str, str]:
-        """Returns the headers of a caller's request with a new id."""
+        """Returns request headers with a new request ID."""
         found = {
             "Host": HOST,
             "X-Almondstair-Request-Id": uuid.uuid4().hex[:16],
@@ -234,7 +234,7 @@
         return found
 
     def until_served(self, path: str = "/safe/x", **options: Any) -> None:
-        """Sends until an upstream answers."""
+        """Sends requests until one is answered with 200."""
 
         def check() -> bool:
             return self.send("GET", path, **options).status == 200
@@ -242,7 +242,7 @@
         harness.wait_until(check, what=f"an answer to {path}")
 
     def log_events(self, gateway: str, number: int) -> list[dict[str, Any]]:
-        """Returns the log lines of a gateway with an event number."""
+        """Returns the log lines of a gateway that have an event number."""
         found = []
         text = self.processes.children[gateway].log_text()
         for line in text.splitlines():
--- a/features/support/harness.py
+++ b/features/support/harness.py
@@ -1,6 +1,7 @@
-"""Starts, freezes and ends processes for a scenario, and talks HTTP to them.
+"""Processes of a scenario and HTTP requests to them.
 
-Every wait is bounded; every process is ended by the handle it was started with.
+Every wait has a limit. Processes are ended only by the handles that started
+them.
 """
 
 import atexit
@@ -27,37 +28,37 @@
 
 
 class Answer(NamedTuple):
-    """One HTTP answer, read whole."""
+    """A complete HTTP response."""
 
     status: int
     headers: http.client.HTTPMessage
     body: bytes
 
     def json(self) -> Any:
-        """Returns the body read as JSON."""
+        """Returns the body decoded from JSON."""
         return json.loads(self.body)
 
 
 def wait_until(
     check: Callable[[], Any], *, limit_s: float = 10.0, what: str = "it"
 ) -> Any:
-    """Polls until `check` returns something true, and returns that.
+    """Polls until `check` returns a true value, and returns that value.
 
     Raises:
-      AssertionError: `limit_s` passed first.
+      AssertionError: the condition did not hold within `limit_s`.
     """
     end_s = time.monotonic() + limit_s
     while True:
-        found = check()
-        if found:
-            return found
+        value = check()
+        if value:
+            return value
         if time.monotonic() >= end_s:
             raise AssertionError(f"waited {limit_s} s for {what}")
         time.sleep(POLL_INTERVAL_S)
 
 
 def answers(address: str) -> bool:
-    """Says whether a connection to an address is accepted."""
+    """Returns whether a connection to an address is accepted."""
     ip, port = address.split(":")
     try:
         with socket.create_connection((ip, int(port)), timeout=1):
@@ -67,7 +68,7 @@
 
 
 def connect(address: str, *, timeout_s: float = 10.0):
-    """Returns an HTTP connection, not yet opened."""
+    """Returns an unopened HTTP connection."""
     ip, port = address.split(":")
     return http.client.HTTPConnection(ip, int(port), timeout=timeout_s)
 
@@ -81,27 +82,27 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 10.0,
 ) -> Answer:
-    """Sends one request on a connection of its own; reads the whole answer.
+    """Sends a request on a new connection and reads the complete response.
 
     Args:
       method: HTTP method.
       address: `ip:port`.
       path: path and query.
-      body: bytes as they are; a dict or list goes as JSON.
+      body: bytes, sent unchanged, or a dict or list, sent as JSON.
       headers: request headers.
-      timeout_s: longest silence of the other end.
+      timeout_s: longest time without data from the other end.
 
     Raises:
-      OSError: no connection, or it was closed before an answer.
-      http.client.IncompleteRead: the answer was cut short.
+      OSError: the connection failed, or closed before a response.
+      http.client.IncompleteRead: the response was truncated.
     """
     if isinstance(body, dict | list):
         body = json.dumps(body)
     connection = connect(address, timeout_s=timeout_s)
     try:
         connection.request(method, path, body=body, headers=headers or {})
-        answer = connection.getresponse()
-        return Answer(answer.status, answer.headers, answer.read())
+        response = connection.getresponse()
+        return Answer(response.status, response.headers, response.read())
     finally:
         connection.close()
 
@@ -117,7 +118,7 @@
 
 
 class Child:
-    """One process that a scenario started."""
+    """A process that a scenario started."""
 
     def __init__(
         self,
@@ -128,7 +129,7 @@
         environment: dict[str, str] | None = None,
         output: int | None = None,
     ) -> None:
-        """Starts the process, its output going to the log or a descriptor."""
+        """Starts the process with output to the log or a descriptor."""
         self.name = name
         self.log = log
         variables = {**os.environ, "PYTHONPATH": str(ROOT)}
@@ -145,37 +146,37 @@
 
     @property
     def pid(self) -> int:
-        """The process id."""
+        """The process ID."""
         return self.process.pid
 
     def is_running(self) -> bool:
-        """Says whether the process has not ended."""
+        """Returns whether the process is still running."""
         return self.process.poll() is None
 
     def freeze(self) -> None:
-        """Stops the process where it is, as a paused VM would."""
+        """Suspends the process, as if its VM were paused."""
         self.process.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Lets a frozen process go on."""
+        """Resumes a frozen process."""
         self.process.send_signal(signal.SIGCONT)
 
     def kill(self) -> None:
-        """Ends the process at once, frozen or not."""
+        """Kills the process, even if it is frozen."""
         self.process.kill()
         self.process.wait(timeout=10)
 
     def terminate(self, *, limit_s: float = 30.0) -> int:
-        """Asks the process to stop and returns its exit code."""
+        """Sends SIGTERM and returns the exit code."""
         self.process.terminate()
         return self.process.wait(timeout=limit_s)
 
     def wait(self, *, limit_s: float = 30.0) -> int:
-        """Waits for the end of the process and returns its exit code."""
+        """Waits until the process ends and returns its exit code."""
         return self.process.wait(timeout=limit_s)
 
     def resident_bytes(self, *, field: str = "VmRSS") -> int:
-        """Returns resident memory now, or the peak for `VmHWM`."""
+        """Returns the resident memory; the field `VmHWM` gives its peak."""
         status = Path(f"/proc/{self.pid}/status").read_text(encoding="utf-8")
         for line in status.splitlines():
             if line.startswith(field + ":"):
@@ -183,22 +184,22 @@
         raise ProcessLookupError(self.name)
 
     def log_text(self) -> str:
-        """Returns what the process has written."""
+        """Returns the log output of the process."""
         return self.log.read_text(encoding="utf-8", errors="replace")
 
 
 class Processes:
-    """The processes and files of one scenario."""
+    """Owns the processes and temporary files of a scenario."""
 
     def __init__(self) -> None:
-        """Starts with none; the directory is made when it is first needed."""
+        """Starts without processes; creates the directory on first use."""
         self.children: dict[str, Child] = {}
         self._directory: Path | None = None
         atexit.register(self.end)
 
     @property
     def directory(self) -> Path:
-        """A directory that goes away with the scenario."""
+        """A temporary directory that `end` removes."""
         if self._directory is None:
             self._directory = Path(tempfile.mkdtemp(prefix="almondstair-"))
         return self._directory
@@ -212,22 +213,23 @@
         environment: dict[str, str] | None = None,
         output: int | None = None,
     ) -> Child:
-        """Starts a Python program, and waits until its address answers.
+        """Starts a Python program and waits until it accepts connections.
 
         Args:
-          name: name in this scenario; a name may be started again once ended.
-          *command: arguments of the interpreter: a script, or `-m` a module.
-          address: `ip:port` to wait for; empty to return at once.
+          name: name in this scenario, reusable once its process has ended.
+          *command: interpreter arguments: a script, or `-m` and a module.
+          address: `ip:port` to wait for; empty to return immediately.
           limit_s: longest wait.
-          environment: variables besides those of the tests.
+          environment: variables added to those of the test process.
           output: descriptor for standard output; by default the log.
 
         Raises:
-          AssertionError: it did not answer in time, or ended.
+          AssertionError: the program ended or was not ready in time.
+          ValueError: a process of this name is still running.
         """
-        old = self.children.get(name)
-        if old and old.is_running():
-            raise ValueError(f"{name} is running already")
+        previous = self.children.get(name)
+        if previous and previous.is_running():
+            raise ValueError(f"{name} is already running")
         child = Child(
             name=name,
             command=[sys.executable, *command],
@@ -271,7 +273,7 @@
         classes: list[dict[str, Any]],
         name: str = "caller",
     ) -> Child:
-        """Starts a caller stand-in; `answers_of` gives what it recorded."""
+        """Starts a caller stand-in; `answers_of` returns its records."""
         script = str(SUPPORT / "caller_standin.py")
         out = str(self.directory / f"{name}.jsonl")
         arguments = ["--entries", ",".join(entries), "--service", service]
@@ -279,7 +281,7 @@
         return self.start(name, script, *arguments, *options)
 
     def answers_of(self, name: str = "caller") -> list[dict[str, Any]]:
-        """Returns the answers that a caller has recorded."""
+        """Returns the request outcomes that a caller has recorded."""
         path = self.directory / f"{name}.jsonl"
         records = []
         for line in path.read_text(encoding="utf-8").splitlines():
@@ -287,14 +289,14 @@
         return records
 
     def log_tails(self) -> str:
-        """Returns the end of each log, for the report of a failure."""
+        """Returns the last part of each log, for failure reports."""
         tails = []
         for name, child in self.children.items():
             tails.append(f"--- {name}\n{child.log_text()[-LOG_TAIL_BYTES:]}")
         return "\n".join(tails)
 
     def end(self) -> None:
-        """Kills what still runs and removes the directory."""
+        """Kills the running processes and removes the directory."""
         atexit.unregister(self.end)
         for child in self.children.values():
             if child.is_running():
--- a/features/support/heartbeat_entries.py
+++ b/features/support/heartbeat_entries.py
@@ -1,4 +1,4 @@
-"""Entries with their heartbeats alone, over real sockets or stepped without."""
+"""Entries reduced to heartbeats, over real sockets or in simulated time."""
 
 import random
 
@@ -50,10 +50,10 @@
 
 
 class Entry:
-    """One entry without the parts that carry callers."""
+    """An entry without the components that serve callers."""
 
     def __init__(self, own, table, clock, send=None):
-        """Opens no socket when `send` stands for the peers."""
+        """Opens no socket if `send` replaces the peers."""
         self.own = own
         self.membership = Membership(
             own=own, silence_limit_s=SILENCE_LIMIT_MS / 1000
@@ -86,7 +86,7 @@
         self.heartbeats.refresh_table()
 
     def receive(self, name, incarnation, message):
-        """Takes a message in."""
+        """Passes a received message to the heartbeats."""
         self.heartbeats.receive(
             name=name, incarnation=incarnation, heartbeat=message
         )
@@ -102,14 +102,18 @@
 
 
 class Steps:
-    """Steps the entries of a table through simulated time without sockets.
+    """Runs the entries of a table in simulated time without sockets.
 
-    Each entry ticks once an interval at a moment of its own; what it sends
-    arrives at once.
+    Each entry sends once per interval, each at a different time; messages
+    arrive immediately.
+
+    Attributes:
+      pulls: whether an entry copies a newer configuration from the sender of
+        a heartbeat.
     """
 
     def __init__(self, count: int, zones: int) -> None:
-        """Makes the entries; none ticks yet."""
+        """Creates the entries; none has sent yet."""
         self.now_s = 0.0
         self.sent_bytes = 0
         self.pulls = False
@@ -123,7 +127,7 @@
         random.Random(1).shuffle(self.order)
 
     def run(self, seconds: float) -> None:
-        """Ticks every entry once in each interval."""
+        """Sends a heartbeat round of every entry once per interval."""
         step_s = INTERVAL_MS / 1000 / len(self.order)
         for _ in range(int(seconds * 1000 / INTERVAL_MS)):
             for entry in self.order:
@@ -131,7 +135,7 @@
                 entry.heartbeats.send_round()
 
     def deliver(self, sender_name: str, name: str, frame: bytes) -> None:
-        """Hands a frame over, and a newer configuration when `pulls`."""
+        """Delivers a frame, and a newer configuration if `pulls`."""
         entry = self.entries[name]
         heartbeat = messages.decode(frame)
         entry.receive(sender_name, 1, heartbeat)
@@ -142,23 +146,23 @@
 
 
 class SimulatedPeers:
-    """Stands for the sockets of one entry."""
+    """Replaces the sockets of one entry."""
 
     def __init__(self, steps: Steps, name: str) -> None:
-        """Sends as the entry `name`."""
+        """Creates the peers of the entry `name`."""
         self.steps = steps
         self.name = name
 
     def set_rows(self, rows) -> None:
-        """Needs no addresses."""
+        """Does nothing; deliveries need no addresses."""
         del rows
 
     def connect(self, name: str) -> None:
-        """Needs no connection."""
+        """Does nothing; deliveries need no connection."""
         del name
 
     def send(self, name: str, *parts) -> bool:
-        """Delivers at once and counts the bytes."""
+        """Delivers messages immediately and counts their bytes."""
         self.steps.sent_bytes += PACKET_OVERHEAD_BYTES
         for message in parts:
             frame = messages.encode(message)
--- a/features/support/homes_run.py
+++ b/features/support/homes_run.py
@@ -1,8 +1,8 @@
-"""A seeded random run of the pure homes and admission, with faults.
+"""A seeded random simulation of homes and admission with faults.
 
-Entries are objects, not processes; time, network, platform and upstreams are a
-few lines each. Each upstream counts what it really runs, so an account of an
-entry that goes wrong shows as more in flight than slots.
+Entries are objects, not processes; time, network, platform and upstreams are
+simulated. The simulation counts the requests that really run at each upstream,
+so a wrong count of an entry shows as more requests in flight than slots.
 """
 
 import random
@@ -36,14 +36,14 @@
 MARGIN_S = 0.1
 DRIFT = 0.005
 UPSTREAM_SLOTS = {"u1": 1, "u2": 2, "u3": 3, "u4": 4, "u5": 3}
-QUICK_RAMP = SlowStartLimits(
+FAST_SLOW_START = SlowStartLimits(
     idle_limit_s=1e9, min_ramp_s=0.1, good_ratio=1e9, slow_ratio=1e9
 )
-NOTHING_KEPT = dict.fromkeys(Priority, 0.0)
+NO_SLOTS_HELD_BACK = dict.fromkeys(Priority, 0.0)
 
 
 def configuration() -> Configuration:
-    """Returns one region with a few upstreams of one service."""
+    """Returns a configuration of one region, one service, some upstreams."""
     classes = []
     for name, deadline_s in (
         ("short", RESERVE_DEADLINE_S),
@@ -71,33 +71,33 @@
 
 
 class Running(NamedTuple):
-    """A request that an upstream really runs, in true time."""
+    """A request running at an upstream; `ends_s` is in true time."""
 
     upstream: str
     ends_s: float
 
 
 class Planned(NamedTuple):
-    """A request that was admitted and is not yet written."""
+    """An admitted request that is not yet written to the upstream."""
 
     admission: Admission
     deadline_s: float
 
 
-class Begun(NamedTuple):
-    """A request of an entry that was written."""
+class Written(NamedTuple):
+    """A request that an entry has written to the upstream."""
 
     admission: Admission
     running: Running
 
 
 class Entry:
-    """One process with its own clock."""
+    """An entry process with its own clock."""
 
     def __init__(
         self, *, run: "Run", name: str, homes_class: type[Homes]
     ) -> None:
-        """Starts a process that knows nothing."""
+        """Starts a process without a table or reports of peers."""
         self.name = name
         self.incarnation = f"{name}-{run.random.getrandbits(32)}"
         self.offset_s = run.random.uniform(-1000.0, 1000.0)
@@ -107,7 +107,7 @@
         self.report_due_s = 0.0
         self.table_due_s = 0.0
         self.planned: list[Planned] = []
-        self.begun: list[Begun] = []
+        self.written: list[Written] = []
         self.book = SlotBook(margin_s=MARGIN_S)
         self.homes = homes_class(
             entry_name=name,
@@ -120,8 +120,8 @@
         self.slots = SlotTable(
             homes=self.homes,
             book=self.book,
-            limits=QUICK_RAMP,
-            kept_fraction=NOTHING_KEPT,
+            limits=FAST_SLOW_START,
+            kept_fraction=NO_SLOTS_HELD_BACK,
         )
         settings = configuration()
         self.homes.set_upstreams(
@@ -130,19 +130,19 @@
         self.slots.set_configuration(configuration=settings)
 
     def row(self) -> EntryRow:
-        """Returns its row of the table."""
+        """Returns the row of the entry in the entry table."""
         addresses = ("", "", "", "")
         return EntryRow(
             self.name, "r-a", "r", *addresses, incarnation=self.incarnation
         )
 
     def clock_s(self, true_s: float) -> float:
-        """Returns what its monotonic clock shows."""
+        """Returns the reading of the entry's monotonic clock."""
         return self.offset_s + true_s * self.rate
 
 
 class Counts(NamedTuple):
-    """What happened in a run."""
+    """Event counts of a run."""
 
     dispatched: int = 0
     in_reserve: int = 0
@@ -154,7 +154,7 @@
 
 
 class Faults(NamedTuple):
-    """How often things go wrong, each as a chance in a second of time."""
+    """Fault rates in events per second; `lost_messages` is a probability."""
 
     deaths: float = 0.1
     freezes: float = 0.25
@@ -169,7 +169,7 @@
 
 
 class Run:
-    """One run."""
+    """Simulates the entries of one region from a seed."""
 
     def __init__(
         self,
@@ -179,7 +179,7 @@
         homes_class: type[Homes] = Homes,
         most_entries: int = 4,
     ) -> None:
-        """Makes a run that has not begun."""
+        """Creates a run without entries."""
         self.random = random.Random(seed)
         self.now_s = 0.0
         self.counts = Counts()
@@ -191,23 +191,23 @@
         self._next_name = 0
         self._messages: list[tuple[float, str, HomesReport]] = []
         self._cut_until_s: dict[frozenset[str], float] = {}
-        self._platform_up_s = 0.0
+        self._platform_down_until_s = 0.0
         self._running: list[Running] = []
 
     def go(self, *, seconds: float) -> Counts:
-        """Runs for some time and returns what happened."""
+        """Runs up to a simulated time and returns the event counts."""
         while self.now_s < seconds:
             self.now_s += STEP_S
             self._end_requests()
-            self._bring_faults()
-            self._change_table()
+            self._inject_faults()
+            self._update_table()
             self._deliver()
             for entry in list(self._entries.values()):
                 if entry.frozen_until_s <= self.now_s:
                     self._step(entry)
         return self.counts._replace(epochs=self._table.epoch)
 
-    def _happens(self, per_s: float) -> bool:
+    def _draw_event(self, per_s: float) -> bool:
         return self.random.random() < per_s * STEP_S
 
     def _count(self, **more: int) -> None:
@@ -217,37 +217,39 @@
         self.counts = self.counts._replace(**values)
 
     def _end_requests(self) -> None:
-        kept = []
+        still_running = []
         for running in self._running:
             if running.ends_s > self.now_s:
-                kept.append(running)
-        self._running = kept
+                still_running.append(running)
+        self._running = still_running
 
-    def _bring_faults(self) -> None:
-        if self._happens(self._faults.platform_outages):
-            self._platform_up_s = self.now_s + self.random.uniform(1.0, 15.0)
+    def _inject_faults(self) -> None:
+        if self._draw_event(self._faults.platform_outages):
+            self._platform_down_until_s = self.now_s + self.random.uniform(
+                1.0, 15.0
+            )
         names = sorted(self._entries)
         if len(names) < self._most_entries:
-            if self._happens(self._faults.joins) or not names:
-                self._start_new()
+            if self._draw_event(self._faults.joins) or not names:
+                self._start_new_entry()
         if not names:
             return
         name = self.random.choice(names)
-        if self._happens(self._faults.deaths):
+        if self._draw_event(self._faults.deaths):
             self._kill(name)
             return
-        if self._happens(self._faults.freezes):
+        if self._draw_event(self._faults.freezes):
             self._count(freezes=1)
             until_s = self.now_s + self.random.choice((0.3, 1.0, 3.0, 8.0))
             self._entries[name].frozen_until_s = until_s
-        if self._happens(self._faults.cuts):
+        if self._draw_event(self._faults.cuts):
             pair = frozenset((name, self.random.choice(names)))
             until_s = self.now_s + self.random.uniform(0.5, 8.0)
             self._cut_until_s[pair] = until_s
-        if self._happens(self._faults.leaves):
+        if self._draw_event(self._faults.leaves):
             self._entries[name].leaving = True
 
-    def _start_new(self) -> None:
+    def _start_new_entry(self) -> None:
         self._next_name += 1
         self._start(f"e{self._next_name}")
 
@@ -257,25 +259,28 @@
         )
 
     def _kill(self, name: str) -> None:
-        """Ends a process; its VM goes too, or starts it again at once."""
+        """Kills a process; it restarts at once or its VM goes too."""
         self._count(deaths=1)
         del self._entries[name]
         if self.random.random() < 0.5:
             self._start(name)
 
-    def _change_table(self) -> None:
-        """Some entry brings the table up to date, one change at a time."""
-        if self.now_s < self._platform_up_s or self.random.random() < 0.7:
+    def _update_table(self) -> None:
+        """Applies at most one pending change to the entry table."""
+        if (
+            self.now_s < self._platform_down_until_s
+            or self.random.random() < 0.7
+        ):
             return
         for row in self._table.entries:
             if row.name not in self._entries:
                 self._table = self._table.without(name=row.name, released=False)
                 return
         for entry in self._entries.values():
-            if self._change_row(entry):
+            if self._update_row(entry):
                 return
 
-    def _change_row(self, entry: Entry) -> bool:
+    def _update_row(self, entry: Entry) -> bool:
         row = self._table.row(name=entry.name)
         if row is None or row.incarnation != entry.incarnation:
             self._table = self._table.with_entry(row=entry.row())
@@ -302,7 +307,7 @@
             if entry is None:
                 continue
             if entry.frozen_until_s > self.now_s:
-                # It waits in the socket and is read on waking.
+                # The message stays in the socket until the entry wakes.
                 waiting.append((due_s, name, report))
                 continue
             entry.homes.heard(report=report, now_s=entry.clock_s(self.now_s))
@@ -328,20 +333,23 @@
 
     def _step(self, entry: Entry) -> None:
         clock_s = entry.clock_s(self.now_s)
-        if self.now_s >= entry.table_due_s and self.now_s > self._platform_up_s:
+        if (
+            self.now_s >= entry.table_due_s
+            and self.now_s > self._platform_down_until_s
+        ):
             entry.table_due_s = self.now_s + TABLE_INTERVAL_S
             entry.homes.update_table(table=self._table, now_s=clock_s)
         if self.now_s >= entry.report_due_s:
             entry.report_due_s = self.now_s + REPORT_INTERVAL_S
             self._send(entry, clock_s)
         self._write_planned(entry, clock_s)
-        self._end_begun(entry, clock_s)
+        self._end_written(entry, clock_s)
         for _ in range(8):
             self._admit(entry, clock_s)
 
     def _admit(self, entry: Entry, clock_s: float) -> None:
-        limit_s = self.random.choice((RESERVE_DEADLINE_S, LONG_DEADLINE_S))
-        deadline_s = clock_s + limit_s
+        timeout_s = self.random.choice((RESERVE_DEADLINE_S, LONG_DEADLINE_S))
+        deadline_s = clock_s + timeout_s
         admission = entry.slots.choose(
             service="s",
             priority=Priority.INTERACTIVE,
@@ -352,7 +360,7 @@
             entry.planned.append(Planned(admission, deadline_s))
 
     def _write_planned(self, entry: Entry, clock_s: float) -> None:
-        """Writes what the last step admitted, maybe after a freeze."""
+        """Writes requests admitted in the last step, perhaps after a freeze."""
         for planned in entry.planned:
             if not entry.slots.still_mine(
                 admission=planned.admission, now_s=clock_s
@@ -367,33 +375,33 @@
         entry.planned = []
 
     def _write(self, entry: Entry, planned: Planned, clock_s: float) -> None:
-        left_s = planned.deadline_s - clock_s
-        if left_s <= 0.0:
+        remaining_s = planned.deadline_s - clock_s
+        if remaining_s <= 0.0:
             self._count(written_late=1)
-        takes_s = left_s * self.random.choice((0.1, 0.5, 1.0))
+        run_s = remaining_s * self.random.choice((0.1, 0.5, 1.0))
         upstream = planned.admission.upstream
-        running = Running(upstream, self.now_s + takes_s)
+        running = Running(upstream, self.now_s + run_s)
         self._running.append(running)
-        entry.begun.append(Begun(planned.admission, running))
+        entry.written.append(Written(planned.admission, running))
         reserve = planned.admission.ticket.reserve
         self._count(dispatched=1, in_reserve=int(reserve))
         in_flight = 0
         for other in self._running:
             if other.upstream == upstream:
                 in_flight += 1
-        over = in_flight - UPSTREAM_SLOTS[upstream]
-        most = max(self.counts.most_over_slots, over)
-        self.counts = self.counts._replace(most_over_slots=most)
-
-    def _end_begun(self, entry: Entry, clock_s: float) -> None:
-        kept = []
-        for begun in entry.begun:
-            if begun.running.ends_s > self.now_s:
-                kept.append(begun)
+        over_slots = in_flight - UPSTREAM_SLOTS[upstream]
+        max_over_slots = max(self.counts.most_over_slots, over_slots)
+        self.counts = self.counts._replace(most_over_slots=max_over_slots)
+
+    def _end_written(self, entry: Entry, clock_s: float) -> None:
+        still_running = []
+        for written in entry.written:
+            if written.running.ends_s > self.now_s:
+                still_running.append(written)
                 continue
             entry.slots.release(
-                admission=begun.admission,
+                admission=written.admission,
                 outcome=Outcome.ANSWERED,
                 now_s=clock_s,
             )
-        entry.begun = kept
+        entry.written = still_running
--- a/features/support/http_parts.py
+++ b/features/support/http_parts.py
@@ -1,4 +1,4 @@
-"""What the steps of http.feature share."""
+"""Helpers shared by the steps of http.feature."""
 
 from features.support import wire
 
@@ -6,17 +6,17 @@
 
 
 def journal(context):
-    """Returns what the upstream in bkk has written down."""
+    """Returns the journal of the upstream in bkk."""
     return context.deployment.journal(UPSTREAM)
 
 
 def address(context, entry):
-    """Returns the address of an entry for callers."""
+    """Returns the address of an entry's caller listener."""
     return context.deployment.entries[entry]["caller"]
 
 
 def open_wire(context, entry):
-    """Opens a connection to an entry until the end of the scenario."""
-    opened = wire.Wire(address(context, entry))
-    context.add_cleanup(opened.close)
-    return opened
+    """Opens a connection to an entry; the scenario's cleanup closes it."""
+    connection = wire.Wire(address(context, entry))
+    context.add_cleanup(connection.close)
+    return connection
--- a/features/support/late_daemon.py
+++ b/features/support/late_daemon.py
@@ -1,7 +1,7 @@
-"""The daemon where the thread that sends control messages is left waiting.
+"""The daemon with delayed control messages to its peers.
 
-All that it gives to its peers' sockets leaves a while later; datagrams and
-requests leave at once.
+This simulates a sending thread that does not get processor time. Datagrams and
+requests are not delayed.
 """
 
 from tornado.ioloop import IOLoop
@@ -9,12 +9,14 @@
 from almondstair import daemon
 from almondstair.peers import Peers
 
-LATE_S = 0.2
+SEND_DELAY_S = 0.2
 _send_frames = Peers._send_frames
 
 
 def _send_frames_late(self: Peers, address: str, frames: list[bytes]) -> bool:
-    IOLoop.current().call_later(LATE_S, _send_frames, self, address, frames)
+    IOLoop.current().call_later(
+        SEND_DELAY_S, _send_frames, self, address, frames
+    )
     return True
 
 
--- a/features/support/leaving.py
+++ b/features/support/leaving.py
@@ -1,4 +1,4 @@
-"""Load on a deployment whose parts leave, and what came of it."""
+"""Load on a deployment whose VMs leave, and its outcome."""
 
 import contextlib
 import http.client
@@ -13,7 +13,8 @@
 from features.support.harness import get
 from features.support.harness import wait_until
 
-# Refused work comes back for this long; the class ends each try earlier.
+# Callers retry refused requests for this long; the deadline of the class ends
+# each attempt earlier.
 CALLER_DEADLINE_MS = 8000
 LOOK_UP = {
     "name": "look_up",
@@ -21,8 +22,8 @@
     "weight": 3,
     "deadline_ms": CALLER_DEADLINE_MS,
 }
-# Takes long enough that a few a second need more than one upstream: a slow
-# start opens one slot, and the upstream with most free slots is taken first.
+# Long enough that a few requests per second need more than one upstream: slow
+# start opens one slot, and the upstream with the most free slots is preferred.
 BUSY_LOOK_UP = {**LOOK_UP, "work_ms": 120}
 APPROVE = {
     "name": "approve",
@@ -44,7 +45,7 @@
     classes: list[Any],
     name: str = "caller",
 ) -> Child:
-    """Starts callers that cache look-ups; returns their process."""
+    """Starts callers that cache lookups; returns their process."""
     return deployment.processes.start_caller(
         "--rate",
         str(rate),
@@ -58,13 +59,13 @@
 
 
 class Ends(NamedTuple):
-    """How the requests of a load ended.
+    """Outcomes of the requests of a load.
 
     Attributes:
-      answered: requests answered 200, whole.
-      later: those of them that were refused as not run before.
-      failed: records of all others.
-      latencies_ms: of every request, sorted.
+      answered: number of requests with a complete 200 response.
+      later: how many of them were first refused as not run.
+      failed: records of all other requests.
+      latencies_ms: latencies of all requests, sorted.
     """
 
     answered: int
@@ -74,10 +75,10 @@
 
 
 def read_ends(deployment: Deployment) -> Ends:
-    """Reads what the callers recorded.
+    """Returns the outcomes that the callers recorded.
 
     A request counts as answered only if every attempt before the last was
-    told as surely not run: anything else was cut off.
+    reported as not run; any other attempt was interrupted.
     """
     answered = 0
     later = 0
@@ -85,9 +86,11 @@
     latencies_ms = []
     for record in deployment.processes.answers_of():
         latencies_ms.append(record["latency_ms"])
-        told = {attempt["ran"] for attempt in record["attempts"][:-1]}
-        whole = record["status"] == 200 and record["body_ok"]
-        if not whole or told - {"no"}:
+        earlier_outcomes = {
+            attempt["ran"] for attempt in record["attempts"][:-1]
+        }
+        complete = record["status"] == 200 and record["body_ok"]
+        if not complete or earlier_outcomes - {"no"}:
             failed.append(record)
             continue
         answered += 1
@@ -96,7 +99,7 @@
 
 
 def restart_in_turn(deployment: Deployment, count: int) -> list[int]:
-    """Stops and starts entries one after another; returns the exit codes."""
+    """Restarts entries one after another and returns their exit codes."""
     names = list(deployment.entries)
     codes = []
     for number in range(count):
@@ -110,9 +113,9 @@
 def starts_after(
     deployment: Deployment, upstream: str, moment_s: float
 ) -> list[dict[str, Any]]:
-    """Returns the runs of an upstream that started after a moment.
+    """Returns the runs of an upstream that started after `moment_s`.
 
-    The processes share a monotonic clock.
+    All processes share one monotonic clock.
     """
     runs = []
     for run in deployment.journal(upstream)["runs"]:
@@ -122,23 +125,23 @@
 
 
 def keys_run_twice(deployment: Deployment) -> list[str]:
-    """Returns the keys that any two runs share."""
+    """Returns the idempotency keys that ran more than once."""
     seen: set[str] = set()
-    twice = []
+    repeated = []
     for run in deployment.journals():
         if not run["key"]:
             continue
         if run["key"] in seen:
-            twice.append(run["key"])
+            repeated.append(run["key"])
         seen.add(run["key"])
-    return twice
+    return repeated
 
 
 class Background:
-    """One request on a thread of its own."""
+    """A request on a separate thread."""
 
     def __init__(self, work: Any, *arguments: Any) -> None:
-        """Starts `work`, which returns an answer."""
+        """Starts `work`, a function that returns a response."""
         self._work = work
         self._arguments = arguments
         self.answer: Answer | None = None
@@ -155,10 +158,10 @@
         self.end_s = time.monotonic()
 
     def wait(self, *, limit_s: float = 30.0) -> Answer:
-        """Waits for the answer.
+        """Waits for the response and returns it.
 
         Raises:
-          AssertionError: there was none, or a part of one.
+          AssertionError: no response came, or a truncated one.
         """
         self._thread.join(limit_s)
         assert self.error is None, self.error
@@ -167,7 +170,7 @@
 
 
 def slow_upload(address: str, chunks: int, pause_s: float) -> Answer:
-    """Uploads in chunks with pauses between them."""
+    """Uploads chunks with pauses between them."""
     chunk = b"u" * 10_000
 
     def body() -> Any:
@@ -179,37 +182,37 @@
     connection = http.client.HTTPConnection(ip, int(port), timeout=30)
     headers = {"Content-Length": str(chunks * len(chunk))}
     path = f"/{SERVICE}/batches/1"
-    # One that is refused halfway has an answer that tells why.
+    # An upload refused halfway still has a response that gives the reason.
     with contextlib.suppress(BrokenPipeError, ConnectionResetError):
         connection.request("PUT", path, body=body(), headers=headers)
-    answer = connection.getresponse()
-    return Answer(answer.status, answer.headers, answer.read())
+    response = connection.getresponse()
+    return Answer(response.status, response.headers, response.read())
 
 
 def slow_download(address: str, size_bytes: int, pause_s: float) -> Answer:
-    """Downloads in pieces with pauses, so that bytes queue up before it."""
+    """Downloads in chunks with pauses, so that the response queues up."""
     ip, port = address.split(":")
     connection = http.client.HTTPConnection(ip, int(port), timeout=30)
     path = f"/{SERVICE}/statements/1?answer_bytes={size_bytes}"
     connection.request("GET", path)
-    answer = connection.getresponse()
+    response = connection.getresponse()
     body = b""
-    while piece := answer.read(size_bytes // 10):
-        body += piece
+    while chunk := response.read(size_bytes // 10):
+        body += chunk
         time.sleep(pause_s)
-    return Answer(answer.status, answer.headers, body)
+    return Answer(response.status, response.headers, body)
 
 
 def long_work(address: str, work_ms: int, call: str) -> Answer:
-    """Runs work that takes a while."""
+    """Sends a request that takes `work_ms` at the upstream."""
     path = f"/{SERVICE}/statements/{call}?work_ms={work_ms}"
     return get(address, path, timeout_s=30)
 
 
 def wait_running(deployment: Deployment, upstream: str) -> None:
-    """Waits until an upstream has work in flight."""
+    """Waits until an upstream has requests in flight."""
 
     def is_busy() -> bool:
         return deployment.journal(upstream)["busy"] > 0
 
-    wait_until(is_busy, what=f"work on {upstream}")
+    wait_until(is_busy, what=f"a request in flight at {upstream}")
--- a/features/support/measured_load.py
+++ b/features/support/measured_load.py
@@ -1,4 +1,4 @@
-"""A load from caller stand-ins and what came of it, by time."""
+"""Loads from caller stand-ins and the runs that they cause, by time."""
 
 from pathlib import Path
 import time
@@ -13,16 +13,16 @@
     "path": "/orders/1",
     "deadline_ms": 2000,
 }
-LONGEST_START_S = 20.0
-# Time in which every caller sees that it may begin.
-BEGIN_AFTER_S = 0.1
+MAX_START_S = 20.0
+# Enough time for every caller to read the start time.
+START_DELAY_S = 0.1
 
 
 class MeasuredLoad:
-    """Loads on a deployment, one after another."""
+    """Sends loads to a deployment, one after another."""
 
     def __init__(self, *, deployment: Deployment) -> None:
-        """Takes a started deployment."""
+        """Uses a deployment that is already started."""
         self.deployment = deployment
         self.number = 0
         self.spans: list[tuple[float, float]] = []
@@ -38,8 +38,8 @@
     ) -> None:
         """Sends a load, one caller for each entry, and waits for its end.
 
-        Its span begins when every caller runs: starting a Python program takes
-        a second on a busy machine, in which no request comes.
+        The span begins when all callers are ready: starting a Python program
+        takes a second on a busy machine, and it sends nothing until then.
         """
         processes = self.deployment.processes
         self.number += 1
@@ -47,13 +47,13 @@
         gate = processes.directory / f"load-{self.number}.begin"
         for entry in entries:
             name = f"load-{self.number}-{entry}"
-            each = rate / len(entries)
+            entry_rate = rate / len(entries)
             processes.start_caller(
                 "--no-look-up",
                 "--rate",
-                str(each),
+                str(entry_rate),
                 "--count",
-                str(int(each * length_s)),
+                str(int(entry_rate * length_s)),
                 "--seed",
                 str(len(names) + 10 * self.number),
                 "--gate",
@@ -64,15 +64,15 @@
                 name=name,
             )
             names.append(name)
-        started_s = self._begin(names, gate)
+        started_s = self._open_gate(names, gate)
         self.records = []
         for name in names:
             processes.children[name].wait(limit_s=length_s + 15)
             self.records.extend(processes.answers_of(name))
         self.spans.append((started_s, time.monotonic()))
 
-    def _begin(self, names: list[str], gate: Path) -> float:
-        """Lets all callers begin at once when they run; returns the time."""
+    def _open_gate(self, names: list[str], gate: Path) -> float:
+        """Starts all callers at the same time and returns that time."""
         directory = self.deployment.processes.directory
 
         def ready() -> bool:
@@ -81,15 +81,15 @@
                     return False
             return True
 
-        wait_until(ready, limit_s=LONGEST_START_S, what="the callers")
-        begin_s = time.monotonic() + BEGIN_AFTER_S
-        written = gate.with_suffix(".new")
-        written.write_text(repr(begin_s), encoding="utf-8")
-        written.rename(gate)
+        wait_until(ready, limit_s=MAX_START_S, what="the callers to be ready")
+        begin_s = time.monotonic() + START_DELAY_S
+        temporary = gate.with_suffix(".new")
+        temporary.write_text(repr(begin_s), encoding="utf-8")
+        temporary.rename(gate)
         return begin_s
 
     def runs(self, *, span: int = -1, last_s: float = 0.0) -> list[dict]:
-        """Returns the runs at upstreams in a load, or in its last seconds."""
+        """Returns the runs at upstreams during a load or its last seconds."""
         started_s, ended_s = self.spans[span]
         if last_s:
             started_s = ended_s - last_s
@@ -100,15 +100,15 @@
         return found
 
     def share(self, prefix: str, *, span: int = -1, last_s: float = 0) -> float:
-        """Returns the part of the runs at upstreams of a prefix."""
+        """Returns the fraction of runs at upstreams whose name has a prefix."""
         runs = self.runs(span=span, last_s=last_s)
-        mine = 0
+        matching = 0
         for run in runs:
-            mine += run["upstream"].startswith(prefix)
-        return mine / max(1, len(runs))
+            matching += run["upstream"].startswith(prefix)
+        return matching / max(1, len(runs))
 
     def refused_by_upstreams(self) -> int:
-        """Returns the refusals of all upstreams so far."""
+        """Returns the number of refusals by all upstreams so far."""
         refused = 0
         for name in self.deployment.upstreams:
             for count in self.deployment.journal(name)["refused"].values():
--- a/features/support/memory_platform.py
+++ b/features/support/memory_platform.py
@@ -1,4 +1,4 @@
-"""The key-value service in memory with watches and a rollback."""
+"""An in-memory key-value service with watches and rollback."""
 
 from collections.abc import Callable, Sequence
 
@@ -7,26 +7,26 @@
 
 
 class MemoryWatch(base.Watch):
-    """A watch that the test's service calls."""
+    """A watch on a `MemoryPlatform`."""
 
     def __init__(
         self, prefix: str, callback: Callable[[base.WatchNotice], None]
     ) -> None:
-        """Keeps what the service needs to call it."""
+        """Watches the keys with a prefix."""
         self.prefix = prefix
         self.callback = callback
         self.cancelled = False
 
     def cancel(self) -> None:
-        """Marks the watch as ended."""
+        """Stops further calls of the callback."""
         self.cancelled = True
 
 
 class MemoryPlatform(MemoryService):
-    """Adds lists, watches, a rollback, and faults for one key alone."""
+    """Adds listings, watches, rollback, and faults limited to one key."""
 
     def __init__(self, *, faulty_key: str) -> None:
-        """Names the key whose writes meet the faults."""
+        """Applies faults only to writes of `faulty_key`."""
         super().__init__()
         self._faulty_key = faulty_key
         self._watches: list[MemoryWatch] = []
@@ -34,7 +34,7 @@
         self.down_after_fault = False
 
     async def list_prefix(self, *, prefix: str, limit: int = 0) -> base.Listing:
-        """Returns the keys below a prefix."""
+        """Returns the records whose keys have a prefix."""
         del limit
         await self._reach()
         records = []
@@ -46,7 +46,7 @@
     async def write_many(
         self, *, writes: Sequence[base.ConditionalWrite]
     ) -> tuple[base.CasResult, ...]:
-        """Writes; a fault waits for a write of the key that it is for."""
+        """Writes; a fault applies to the next write of the faulty key."""
         faults = self.faults
         meets_fault = bool(faults) and writes[0].key == self._faulty_key
         if not meets_fault:
@@ -62,7 +62,7 @@
     def apply(
         self, writes: Sequence[base.ConditionalWrite]
     ) -> tuple[base.CasResult, ...]:
-        """Carries out writes and tells the watches."""
+        """Applies writes and notifies the watches."""
         results = super().apply(writes)
         for write, result in zip(writes, results, strict=True):
             if result.succeeded:
@@ -76,18 +76,18 @@
         from_revision: int,
         callback: Callable[[base.WatchNotice], None],
     ) -> base.Watch:
-        """Starts a watch; no change is missed between list and watch here."""
+        """Starts a watch; no change is lost between listing and watch."""
         del from_revision
         watch = MemoryWatch(prefix, callback)
         self._watches.append(watch)
         return watch
 
     def back_up(self) -> None:
-        """Keeps the present state for `roll_back`."""
+        """Saves the current state for `roll_back`."""
         self._backup = dict(self.records)
 
     def roll_back(self) -> None:
-        """Returns to the state kept, as after a restore from a backup."""
+        """Restores the saved state, as a restore from a backup does."""
         self.records = dict(self._backup)
         for record in self.records.values():
             self._notify(record)
--- a/features/support/memory_service.py
+++ b/features/support/memory_service.py
@@ -1,4 +1,4 @@
-"""A key-value service in memory, with faults set by the test."""
+"""An in-memory key-value service with faults set by the test."""
 
 import asyncio
 from collections.abc import Sequence
@@ -8,7 +8,7 @@
 
 
 class Fault(enum.StrEnum):
-    """What happens to one write."""
+    """A fault of one write."""
 
     ANSWER_LOST = "answer lost"
     CALL_LOST = "call lost"
@@ -17,10 +17,10 @@
 
 
 class MemoryService(base.KeyValueService):
-    """Keys in a dict; `writes` counts calls that write."""
+    """Stores records in a dict; `writes` counts the write calls."""
 
     def __init__(self) -> None:
-        """Starts empty and well."""
+        """Starts empty and without faults."""
         self.revision = 1
         self.records: dict[str, base.Record] = {}
         self.faults: list[Fault] = []
@@ -83,7 +83,7 @@
     def apply(
         self, writes: Sequence[base.ConditionalWrite]
     ) -> tuple[base.CasResult, ...]:
-        """Carries out writes, as one transaction."""
+        """Applies writes as one transaction."""
         results = []
         revision = self.revision + 1
         for write in writes:
--- a/features/support/mixed_load.py
+++ b/features/support/mixed_load.py
@@ -1,7 +1,8 @@
-"""Short and long runs in one service, in virtual time, by the real decisions.
+"""Short and long requests in one service, in virtual time.
 
-Upstreams have slots and a first-come queue; one entry knows their loads
-exactly, and every object is known everywhere, so that only waiting matters.
+The choice of upstreams is the real code. Upstreams have slots and a FIFO queue;
+one entry knows their exact loads, and every object is cached at all upstreams,
+so only queueing affects the result.
 """
 
 from collections import deque
@@ -23,7 +24,7 @@
 
 
 class Kind(NamedTuple):
-    """A kind of request: how often, how long, and when it is timely."""
+    """A kind of request: its rate, run time and latency target."""
 
     name: str
     per_s: float
@@ -32,13 +33,13 @@
 
 
 class _Request(NamedTuple):
-    at_s: float
+    arrived_s: float
     number: int
     kind: Kind
 
 
 class Outcome(NamedTuple):
-    """What became of the requests of one kind."""
+    """Counts of the requests of one kind by outcome."""
 
     asked: int
     in_aim: int
@@ -63,16 +64,23 @@
 
 
 class MixedLoad:
-    """Plays kinds of requests on the upstreams of one service."""
+    """Simulates kinds of requests on the upstreams of one service."""
 
     def __init__(self, *, upstreams, slots, kinds, waits):
-        """Makes a play; `waits` says whether requests may wait at the entry."""
+        """Creates a simulation.
+
+        Args:
+          upstreams: number of upstreams.
+          slots: slots of each upstream.
+          kinds: kinds of requests.
+          waits: whether requests may wait at the entry.
+        """
         self._kinds = kinds
         self._waits = waits
-        self._shortest_s = min(kind.aim_s for kind in kinds)
+        self._min_target_s = min(kind.aim_s for kind in kinds)
         total = sum(kind.per_s for kind in kinds)
         work = sum(kind.per_s * kind.run_s for kind in kinds)
-        self._service_s = work / total
+        self._mean_run_s = work / total
         self._upstreams = []
         for number in range(upstreams):
             record = UpstreamRecord(
@@ -81,20 +89,22 @@
             self._upstreams.append(UpstreamState(record=record, region="r"))
         self._queues = [deque() for _ in range(upstreams)]
         self._running = [[] for _ in range(upstreams)]
-        self._held = []
+        self._waiting = []
         self._counts = {kind.name: [0, 0, 0, 0] for kind in kinds}
-        self._cold = ColdStartLimiter(own_name="e", rate_factor=1.5, slack=5)
+        self._cold_start_limiter = ColdStartLimiter(
+            own_name="e", rate_factor=1.5, slack=5
+        )
 
     def play(self, *, span_s):
-        """Returns the outcome of each kind by its name."""
+        """Runs the simulation and returns the outcome of each kind by name."""
         numbers = {kind.name: 0 for kind in self._kinds}
-        look_at_s = 0.0
+        next_retry_s = 0.0
         for tick in range(round(span_s / _TICK_S)):
             now_s = tick * _TICK_S
             self._end_runs(now_s)
-            if now_s >= look_at_s:
-                look_at_s = now_s + entry_waits.ATTEMPT_INTERVAL_S
-                self._look(now_s)
+            if now_s >= next_retry_s:
+                next_retry_s = now_s + entry_waits.ATTEMPT_INTERVAL_S
+                self._retry_waiting(now_s)
             for kind in self._kinds:
                 while numbers[kind.name] < kind.per_s * now_s:
                     numbers[kind.name] += 1
@@ -103,9 +113,9 @@
                     self._send(request, now_s)
         return {name: Outcome(*row) for name, row in self._counts.items()}
 
-    def _look(self, now_s):
-        waiting = self._held
-        self._held = []
+    def _retry_waiting(self, now_s):
+        waiting = self._waiting
+        self._waiting = []
         for request in waiting:
             self._send(request, now_s)
 
@@ -120,27 +130,27 @@
         kind = request.kind
         if self._waits and entry_waits.should_wait(
             target_latency_s=kind.aim_s,
-            shortest_target_s=self._shortest_s,
-            age_s=now_s - request.at_s,
+            shortest_target_s=self._min_target_s,
+            age_s=now_s - request.arrived_s,
             run_s=kind.run_s,
         ):
-            self._held.append(request)
+            self._waiting.append(request)
             return
         self._counts[kind.name][3] += 1
 
     def _choose(self, request, now_s):
         kind = request.kind
-        age_s = now_s - request.at_s
+        age_s = now_s - request.arrived_s
         first = request.number % len(self._upstreams)
         order = self._upstreams[first:] + self._upstreams[:first]
         max_queue_s = float("inf")
         if self._waits:
             max_queue_s = entry_waits.max_queue_s(
                 target_latency_s=kind.aim_s,
-                shortest_target_s=self._shortest_s,
+                shortest_target_s=self._min_target_s,
                 age_s=age_s,
             )
-        wanted = SelectionCriteria(
+        criteria = SelectionCriteria(
             route=_route(kind),
             service=None,
             tried=(),
@@ -150,7 +160,7 @@
             run_times=ExpectedRunTimes(
                 cached_s=kind.run_s, uncached_s=3 * kind.run_s
             ),
-            service_run_s=self._service_s,
+            service_run_s=self._mean_run_s,
             utilisation=1.0,
             target_left_s=kind.aim_s - age_s,
             remaining_s=8.0 - age_s,
@@ -163,24 +173,26 @@
             max_queue_s=max_queue_s,
         )
         return select_upstream(
-            order=order, criteria=wanted, cold_start_limiter=self._cold
+            order=order,
+            criteria=criteria,
+            cold_start_limiter=self._cold_start_limiter,
         )
 
     def _start_runs(self, index, now_s):
         slots = self._upstreams[index].record.slots
         while self._queues[index] and len(self._running[index]) < slots:
             request = self._queues[index].popleft()
-            ends_s = now_s + request.kind.run_s
+            end_s = now_s + request.kind.run_s
             heapq.heappush(
                 self._running[index],
-                (ends_s, request.kind.name, request.number, request),
+                (end_s, request.kind.name, request.number, request),
             )
 
     def _end_runs(self, now_s):
         for index, running in enumerate(self._running):
             while running and running[0][0] <= now_s:
-                ends_s, name, _, request = heapq.heappop(running)
+                end_s, name, _, request = heapq.heappop(running)
                 self._upstreams[index].in_flight -= 1
-                timely = ends_s - request.at_s <= request.kind.aim_s
-                self._counts[name][1 if timely else 2] += 1
+                in_time = end_s - request.arrived_s <= request.kind.aim_s
+                self._counts[name][1 if in_time else 2] += 1
             self._start_runs(index, now_s)
--- a/features/support/operating.py
+++ b/features/support/operating.py
@@ -1,4 +1,4 @@
-"""What operators do and read, at entries of a deployment that runs."""
+"""Operator actions and queries at the entries of a running deployment."""
 
 import base64
 from typing import Any
@@ -11,22 +11,22 @@
 from features.support.harness import post
 from features.support.harness import wait_until
 
-ASK_TIMEOUT_S = 20.0
+REQUEST_TIMEOUT_S = 20.0
 TABLE_KEY = "almondstair/entries"
 CONFIGURATION_KEY = "almondstair/configuration"
 
 
 class Operator:
-    """One operator; remembers the latest edit."""
+    """An operator that remembers its latest edit."""
 
     def __init__(self, *, deployment: Deployment) -> None:
-        """Works on `deployment`."""
+        """Sends edits and queries to the entries of a deployment."""
         self.deployment = deployment
         self.edit_id = ""
         self.told: Answer
 
     def address(self, entry: str) -> str:
-        """Returns the operators' listener of an entry."""
+        """Returns the address of the operator listener of an entry."""
         return self.deployment.entries[entry]["operator"]
 
     def read(self, entry: str) -> dict[str, Any]:
@@ -34,14 +34,14 @@
         return get(self.address(entry), "/v1/configuration").json()
 
     def edit(self, entry: str, old: str, new: str) -> Answer:
-        """Replaces a part of the text in force, read at the same entry."""
-        shown = self.read(entry)
-        text = shown["text"].replace(old, new)
-        assert text != shown["text"], f"{old!r} is not in the text"
-        return self.put(entry, text, shown["version"])
+        """Replaces a part of the configuration in force on an entry."""
+        current = self.read(entry)
+        text = current["text"].replace(old, new)
+        assert text != current["text"], f"{old!r} is not in the text"
+        return self.put(entry, text, current["version"])
 
     def put(self, entry: str, text: str, base_version: int) -> Answer:
-        """Edits through an entry."""
+        """Submits a configuration through an entry."""
         self.edit_id = f"edit-{uuid.uuid4().hex}"
         body = {
             "base_version": base_version,
@@ -53,23 +53,25 @@
             self.address(entry),
             "/v1/configuration",
             body,
-            timeout_s=ASK_TIMEOUT_S,
+            timeout_s=REQUEST_TIMEOUT_S,
         )
         return self.told
 
     def fate(self, entry: str) -> dict[str, Any]:
-        """Asks what became of the latest edit."""
+        """Returns the status of the latest edit."""
         path = f"/v1/edits/{self.edit_id}"
-        return get(self.address(entry), path, timeout_s=ASK_TIMEOUT_S).json()
+        return get(
+            self.address(entry), path, timeout_s=REQUEST_TIMEOUT_S
+        ).json()
 
     def history(self, entry: str) -> list[dict[str, Any]]:
-        """Returns the latest versions, newest first."""
+        """Returns the latest configuration versions, newest first."""
         path = "/v1/configuration/history"
         return get(self.address(entry), path).json()["versions"]
 
 
 def set_ramp(text: str, fraction: float) -> str:
-    """Returns the text with another ramp of profile local."""
+    """Returns the text with a new ramp for the profile `local`."""
     head, mark, tail = text.partition("[profiles.local]")
     lines = tail.split("\n")
     for number, line in enumerate(lines):
@@ -80,7 +82,7 @@
 
 
 def platform_value(deployment: Deployment, key: str) -> bytes:
-    """Returns what the platform holds under a key, empty for nothing."""
+    """Returns the platform's value of a key, empty if it has none."""
     body = {"key": base64.b64encode(key.encode()).decode()}
     found = post(deployment.platform, "/v3/kv/range", body).json()
     if not found.get("kvs"):
@@ -89,7 +91,7 @@
 
 
 def put_platform_value(deployment: Deployment, key: str, value: bytes) -> None:
-    """Writes a value into the platform behind the entries' backs."""
+    """Writes a value to the platform directly, without an entry."""
     body = {
         "key": base64.b64encode(key.encode()).decode(),
         "value": base64.b64encode(value).decode(),
@@ -98,7 +100,7 @@
 
 
 def restart_platform_empty(deployment: Deployment) -> None:
-    """Ends the platform and starts one without data at its address."""
+    """Kills the platform and starts an empty one at its address."""
     processes = deployment.processes
     processes.children["platform"].kill()
     script = str(SUPPORT / "platform_standin.py")
@@ -114,9 +116,9 @@
 
 
 def wait_answers(operator: Operator, entry: str, version: int) -> None:
-    """Waits until an entry has a version, or a later one, in force."""
+    """Waits until a version, or a later one, is in force on an entry."""
 
-    def is_there() -> bool:
+    def is_in_force() -> bool:
         return operator.read(entry).get("version", 0) >= version
 
-    wait_until(is_there, what=f"version {version} on {entry}")
+    wait_until(is_in_force, what=f"version {version} on {entry}")
--- a/features/support/operator_fake.py
+++ b/features/support/operator_fake.py
@@ -1,4 +1,4 @@
-"""A small stand-in for an entry's operators' listener, on its own thread."""
+"""A stand-in for the operator listener of an entry, on its own thread."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 
 
 class Call(NamedTuple):
-    """One request that came in."""
+    """A received request."""
 
     method: str
     path: str
@@ -19,7 +19,7 @@
 
 
 class Answer(NamedTuple):
-    """One answer; `lost` closes the connection in its place."""
+    """A scripted response; `lost` closes the connection instead."""
 
     status: int = 200
     body: Any = None
@@ -27,13 +27,13 @@
 
 
 class FakeOperators:
-    """Answers each path from a script; the last answer of a path stays.
+    """Answers requests from a script and repeats a path's last response.
 
-    A path that ends in `*` answers each path that begins with it.
+    A path that ends in `*` matches every path with that prefix.
     """
 
     def __init__(self) -> None:
-        """Starts to listen on a free port of 127.0.0.1."""
+        """Starts listening on a free port of 127.0.0.1."""
         self.calls: list[Call] = []
         self.address = ""
         self._script: dict[str, list[Answer]] = {}
@@ -44,24 +44,24 @@
         ready.wait()
 
     def answer(self, method: str, path: str, answer: Answer) -> None:
-        """Adds an answer to the script."""
+        """Adds a response to the script."""
         self._script.setdefault(f"{method} {path}", []).append(answer)
 
     def next_answer(self, call: Call) -> Answer:
-        """Records a call and takes its answer from the script."""
+        """Records a call and returns its response from the script."""
         self.calls.append(call)
-        answers = self._answers(f"{call.method} {call.path}")
+        answers = self._responses_for(f"{call.method} {call.path}")
         if not answers:
             return Answer(404, {"kind": "not_found", "detail": call.path})
         if len(answers) > 1:
             return answers.pop(0)
         return answers[0]
 
-    def _answers(self, line: str) -> list[Answer]:
+    def _responses_for(self, request_line: str) -> list[Answer]:
         for pattern, answers in self._script.items():
-            if pattern == line:
+            if pattern == request_line:
                 return answers
-            if pattern.endswith("*") and line.startswith(pattern[:-1]):
+            if pattern.endswith("*") and request_line.startswith(pattern[:-1]):
                 return answers
         return []
 
@@ -95,15 +95,15 @@
         self._fake = fake
 
     def get(self) -> None:
-        self._reply()
+        self._respond()
 
     def post(self) -> None:
-        self._reply()
+        self._respond()
 
     def log_exception(self, *_: Any) -> None:
-        """Leaves a lost answer out of the test's output."""
+        """Keeps lost responses out of the test output."""
 
-    def _reply(self) -> None:
+    def _respond(self) -> None:
         body = None
         if self.request.body:
             body = json.loads(self.request.body)
--- a/features/support/operator_tool.py
+++ b/features/support/operator_tool.py
@@ -1,22 +1,22 @@
-"""Runs the operators' command line as they do."""
+"""The command-line tool, run as a separate process."""
 
 import subprocess
 import sys
 
 from features.support.harness import ROOT
 
-LIMIT_S = 30
+TIMEOUT_S = 30
 
 
 def run(*arguments: str) -> str:
-    """Runs `almondstairctl` and returns what it printed."""
-    done = subprocess.run(
+    """Runs `almondstairctl` and returns its standard output."""
+    completed = subprocess.run(
         [sys.executable, "-m", "almondstair.tools.almondstairctl", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=LIMIT_S,
+        timeout=TIMEOUT_S,
         check=False,
     )
-    assert done.returncode == 0, done
-    return done.stdout
+    assert completed.returncode == 0, completed
+    return completed.stdout
--- a/features/support/platform_standin.py
+++ b/features/support/platform_standin.py
@@ -1,9 +1,9 @@
-"""Stand-in for the platform: key-value service and VM list, one process.
+"""Platform stand-in: key-value service and VM list in one process.
 
-It answers the JSON gateway of the etcd v3 API as that API is published (base64
-keys and values, 64-bit numbers as strings, fields at their default left out),
-so that a real service can take its place. `/vms` is the lagging VM list;
-`/faults` and `/counts` belong to the tests.
+It implements the JSON gateway of the etcd v3 API as published (base64 keys and
+values, 64-bit numbers as strings, default fields omitted), so that a real
+service can replace it. `/vms` is the VM list with its lag; `/faults` and
+`/counts` are for tests.
 """
 
 import argparse
@@ -30,7 +30,7 @@
 
 
 class KeyValue(NamedTuple):
-    """One key's present state; version 0 once deleted."""
+    """The current state of a key; version 0 means deleted."""
 
     key: bytes
     create_revision: int = 0
@@ -41,7 +41,7 @@
 
 
 class GatewayError(Exception):
-    """A refusal: its message and gRPC code, and the HTTP status for it."""
+    """A refused call, with its message, gRPC code and HTTP status."""
 
 
 TOO_LARGE = GatewayError("etcdserver: request is too large", 3, 400)
@@ -57,7 +57,7 @@
 
 @functools.cache
 def field_name(name: str) -> str:
-    """Returns the original name of a field, for its camel-case one too."""
+    """Returns the snake-case name of a field."""
     return re.sub("([a-z])([A-Z])", r"\1_\2", name).lower()
 
 
@@ -69,7 +69,7 @@
 
 
 def to_json(value: Any) -> Any:
-    """Returns the published form of bytes, numbers and messages."""
+    """Returns the published JSON form of bytes, numbers and messages."""
     if isinstance(value, KeyValue):
         value = value._asdict()
     if isinstance(value, dict):
@@ -108,23 +108,23 @@
 
 
 def is_write(request: Message) -> bool:
-    """Says whether a transaction holds a write."""
+    """Returns whether a transaction contains a write."""
     writes = ("request_put", "request_delete_range")
     return any(name in item for item in walk(request) for name in writes)
 
 
 def names_prefix(request: Message, prefix: bytes) -> bool:
-    """Says whether a request names a key of this prefix."""
+    """Returns whether a request names a key with a prefix."""
     return any(get_bytes(i, "key").startswith(prefix) for i in walk(request))
 
 
 class Store:
-    """The key-value state: keys, leases, and the events for watches."""
+    """Holds the keys, the leases, and the events for watches."""
 
     def __init__(self) -> None:
         """Starts empty, at the first revision."""
         self.revision = 1
-        self.now: dict[bytes, KeyValue] = {}
+        self.current: dict[bytes, KeyValue] = {}
         self.leases: dict[int, tuple[int, float]] = {}
         self.events: list[KeyValue] = []
         self.compacted = 0
@@ -134,7 +134,7 @@
         return {"cluster_id": 1, "member_id": 1, "revision": self.revision}
 
     def call(self, name: str, request: Message) -> Message:
-        """Carries out one call of the key-value part."""
+        """Executes one call of the key-value API."""
         if name == "txn":
             return self.txn(request)
         kind = OPERATIONS[name]
@@ -142,7 +142,7 @@
         return answer["responses"][0][f"response_{kind}"]
 
     def txn(self, request: Message) -> Message:
-        """Applies a transaction: all its writes share one revision."""
+        """Applies a transaction whose writes share one revision."""
         self.check(request)
         plan = self.plan(request)
         count = len(self.events)
@@ -160,7 +160,7 @@
         self.changed = asyncio.Event()
 
     def check(self, request: Message) -> set[bytes]:
-        """Refuses what the published service refuses; returns the put keys."""
+        """Validates a request as etcd does and returns the keys it puts."""
         keys: set[bytes] = set()
         if len(request.get("compare", [])) > TXN_LIMIT:
             raise TOO_MANY
@@ -188,7 +188,7 @@
         return {get_bytes(put, "key")}
 
     def plan(self, request: Message) -> tuple[bool, list[Any]]:
-        """Settles every comparison, nested ones too, before any write."""
+        """Evaluates all comparisons, nested ones too, before any write."""
         succeeded = all(map(self.compare, request.get("compare", [])))
         steps = []
         for operation in request.get("success" if succeeded else "failure", []):
@@ -200,14 +200,14 @@
         target = compare.get("target", "VERSION")
         field = TARGETS.get(target, target.lower())
         key = get_bytes(compare, "key")
-        if key not in self.now and field == "value":
+        if key not in self.current and field == "value":
             return False
-        have = getattr(self.now.get(key, KeyValue(key)), field)
-        want = (get_bytes if field == "value" else get_int)(compare, field)
+        actual = getattr(self.current.get(key, KeyValue(key)), field)
+        expected = (get_bytes if field == "value" else get_int)(compare, field)
         result = compare.get("result", "EQUAL")
         if result in ("EQUAL", "NOT_EQUAL"):
-            return (have == want) == (result == "EQUAL")
-        return have > want if result == "GREATER" else have < want
+            return (actual == expected) == (result == "EQUAL")
+        return actual > expected if result == "GREATER" else actual < expected
 
     def apply(self, plan: tuple[bool, list[Any]], revision: int) -> Message:
         responses: list[Message] = []
@@ -225,7 +225,7 @@
     def request_range(self, request: Message, revision: int) -> Message:
         keys = self.select(request)
         limit = get_int(request, "limit") or len(keys)
-        found = [self.now[key] for key in keys[:limit]]
+        found = [self.current[key] for key in keys[:limit]]
         if request.get("keys_only"):
             found = [item._replace(value=b"") for item in found]
         if request.get("count_only"):
@@ -234,11 +234,11 @@
 
     def request_put(self, request: Message, revision: int) -> Message:
         key, value = get_bytes(request, "key"), get_bytes(request, "value")
-        old = self.now.get(key, KeyValue(key, revision))
+        old = self.current.get(key, KeyValue(key, revision))
         created, version = old.create_revision, old.version + 1
         lease = get_int(request, "lease")
         new = KeyValue(key, created, revision, version, value, lease)
-        self.now[key] = new
+        self.current[key] = new
         self.events.append(new)
         self.revision = revision
         return {}
@@ -251,17 +251,17 @@
     def select(self, request: Message) -> list[bytes]:
         if not request.get("range_end"):
             key = get_bytes(request, "key")
-            return [key] if key in self.now else []
-        return sorted(key for key in self.now if is_within(key, request))
+            return [key] if key in self.current else []
+        return sorted(key for key in self.current if is_within(key, request))
 
     def delete(self, keys: list[bytes], revision: int) -> None:
         for key in keys:
-            del self.now[key]
+            del self.current[key]
             self.events.append(KeyValue(key, mod_revision=revision))
             self.revision = revision
 
     def lease(self, name: str, request: Message) -> Message:
-        """Grants a lease, keeps it alive, or revokes it."""
+        """Grants, renews or revokes a lease."""
         lease_id = get_int(request, "id")
         ttl_s = get_int(request, "ttl")
         if name == "grant":
@@ -281,38 +281,40 @@
     def revoke(self, lease_id: int) -> None:
         if self.leases.pop(lease_id, None) is None:
             raise NO_LEASE
-        held = [key for key, item in self.now.items() if item.lease == lease_id]
+        held = [
+            key for key, item in self.current.items() if item.lease == lease_id
+        ]
         if held:
             self.delete(held, self.revision + 1)
             self.publish()
 
-    def expire(self) -> None:
+    def expire_leases(self) -> None:
         for lease_id, (_, expiry_s) in list(self.leases.items()):
             if expiry_s <= time.monotonic():
                 self.revoke(lease_id)
 
 
 class Platform:
-    """The store, the VM list, the faults in force and the counted calls."""
+    """Holds the store, the VM list, the active faults and call counts."""
 
     def __init__(self) -> None:
-        """Starts well."""
+        """Starts without faults."""
         self.store = Store()
         self.faults: Message = {
-            "down": False,  # every connection is closed, waiting watches too
-            "delay_ms": 0,  # waits before a call takes effect
-            "lose_answers": 0,  # so many next writes hold without an answer
-            "lose_calls": 0,  # so many next writes are lost before they hold
-            "down_after_loss": False,  # is down once an answer or call is lost
-            "lose_prefix": "",  # losses meet only writes that name such keys
+            "down": False,  # closes every connection, including watches
+            "delay_ms": 0,  # delay before a call takes effect
+            "lose_answers": 0,  # next writes applied without a response
+            "lose_calls": 0,  # next writes lost before they are applied
+            "down_after_loss": False,  # goes down after a lost response or call
+            "lose_prefix": "",  # limits losses to writes of such keys
             "vm_list_lag_ms": 0,
             "vm_list_down": False,
         }
         self.counts = {"reads": 0, "writes": 0, "watches": 0, "calls": 0}
         self.vm_lists: list[tuple[float, list[Message]]] = []
 
-    def take(self, fault: str, request: Message) -> bool:
-        """Says whether this write meets a loss, and uses it up."""
+    def consume_loss(self, fault: str, request: Message) -> bool:
+        """Returns whether a loss applies to a write, and consumes it."""
         prefix = self.faults["lose_prefix"].encode()
         if self.faults[fault] <= 0 or not names_prefix(request, prefix):
             return False
@@ -321,7 +323,7 @@
         return True
 
     def list_vms(self) -> Message:
-        """Returns the list as it was set the lag ago."""
+        """Returns the VM list as of the configured lag ago."""
         lag_ms = self.faults["vm_list_lag_ms"]
         vms: list[Message] = []
         for set_s, listed in self.vm_lists:
@@ -331,23 +333,23 @@
 
 
 class Handler(tornado.web.RequestHandler):
-    """Base of the handlers."""
+    """Base class of the handlers."""
 
     def initialize(self, platform: Platform) -> None:
         self.platform = platform
         self.faults = platform.faults
-        self.left = False
+        self.disconnected = False
 
     def on_connection_close(self) -> None:
-        self.left = True
+        self.disconnected = True
 
-    def hang_up(self) -> None:
-        if not self.left:
+    def close_unanswered(self) -> None:
+        if not self.disconnected:
             self.detach().close()
 
 
 class CallHandler(Handler):
-    """One call of the key-value service."""
+    """Serves calls of the key-value API."""
 
     async def post(self, part: str, name: str) -> None:
         request = from_json(self.request.body)
@@ -356,9 +358,9 @@
         self.platform.counts["writes" if writes else "reads"] += 1
         if not self.faults["down"]:
             await asyncio.sleep(self.faults["delay_ms"] / 1000)
-        lost = writes and self.platform.take("lose_calls", request)
+        lost = writes and self.platform.consume_loss("lose_calls", request)
         if lost or self.faults["down"]:
-            return self.hang_up()
+            return self.close_unanswered()
         store = self.platform.store
         try:
             answer = (store.call if part == "kv" else store.lease)(
@@ -368,29 +370,29 @@
             text, code, status = error.args
             self.set_status(status)
             return self.finish({"error": text, "code": code, "message": text})
-        if writes and self.platform.take("lose_answers", request):
-            return self.hang_up()
+        if writes and self.platform.consume_loss("lose_answers", request):
+            return self.close_unanswered()
         return self.finish(to_json(answer))
 
 
 class WatchHandler(Handler):
-    """A waiting watch: JSON lines until either end closes."""
+    """Serves a watch: streams JSON lines until either end closes."""
 
     async def post(self) -> None:
         self.platform.counts["calls"] += 1
         self.platform.counts["watches"] += 1
         try:
             request = from_json(self.request.body)["create_request"]
-            await self.follow(request, self.platform.store)
+            await self.stream_events(request, self.platform.store)
         except tornado.iostream.StreamClosedError:
             return
         finally:
             self.platform.counts["watches"] -= 1
 
-    async def follow(self, request: Message, store: Store) -> None:
+    async def stream_events(self, request: Message, store: Store) -> None:
         next_revision = get_int(request, "start_revision") or store.revision + 1
         created = False
-        while not (self.left or self.faults["down"]):
+        while not (self.disconnected or self.faults["down"]):
             changed = store.changed
             if next_revision <= store.compacted:
                 gone = {"canceled": True, "compact_revision": store.compacted}
@@ -408,10 +410,12 @@
                 created = True
             if events:
                 await self.send({"events": events[::-1]})
-            while not (changed.is_set() or self.left or self.faults["down"]):
+            while not (
+                changed.is_set() or self.disconnected or self.faults["down"]
+            ):
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(changed.wait(), CHECK_INTERVAL_S)
-        return self.hang_up()
+        return self.close_unanswered()
 
     async def send(self, result: Message) -> None:
         result["header"] = self.platform.store.header()
@@ -420,7 +424,7 @@
 
 
 class TestHandler(Handler):
-    """The VM list (PUT sets the truth), the faults, the counted calls."""
+    """Serves the VM list (PUT sets it), the faults and the call counts."""
 
     def get(self, name: str) -> None:
         if name == "counts":
@@ -429,13 +433,13 @@
             return self.finish(self.faults)
         self.platform.counts["calls"] += 1
         if self.faults["vm_list_down"]:
-            return self.hang_up()
+            return self.close_unanswered()
         return self.finish(self.platform.list_vms())
 
     def put(self, name: str) -> None:
         vms = json.loads(self.request.body)["vms"]
-        # The first list is as old as can be: a lag never shows it empty,
-        # which would read as every VM gone.
+        # The first list gets the oldest time, so that a lag never shows an
+        # empty list, which would mean that every VM is gone.
         set_s = time.monotonic() if self.platform.vm_lists else 0.0
         self.platform.vm_lists.append((set_s, vms))
 
@@ -461,7 +465,7 @@
     application.listen(int(port), ip)
     while True:
         await asyncio.sleep(CHECK_INTERVAL_S)
-        platform.store.expire()
+        platform.store.expire_leases()
 
 
 if __name__ == "__main__":
--- a/features/support/random_faults.py
+++ b/features/support/random_faults.py
@@ -1,4 +1,4 @@
-"""Keys sent and repeated through all entries under faults drawn from a seed."""
+"""Keyed requests repeated through all entries under seeded random faults."""
 
 import random
 import threading
@@ -7,19 +7,19 @@
 from features.support.sendings import Sendings
 
 SENDERS = 6
-REPEATS = 3
-PAUSE_S = 0.05
-LONGEST_WORK_MS = 250
-LONGEST_FAULT_S = 0.8
-REFUSED_PAUSE_S = 0.1
+MAX_REPEATS = 3
+MAX_PAUSE_S = 0.05
+MAX_WORK_MS = 250
+MAX_FAULT_S = 0.8
+MAX_REFUSED_PAUSE_S = 0.1
 DEADLINES_MS = (150, 400, 1500, 0)
 
 
 class RandomFaults:
-    """One run: senders in threads, one fault at a time beside them."""
+    """Runs sender threads while injecting one fault at a time."""
 
     def __init__(self, *, sendings: Sendings, seed: int) -> None:
-        """Prepares a run."""
+        """Prepares a run that sends through `sendings`."""
         self._sendings = sendings
         self._deployment = sendings.deployment
         self._seed = seed
@@ -28,33 +28,33 @@
         self.faults: list[str] = []
 
     def run(self, *, duration_s: float) -> None:
-        """Runs, then mends everything and waits for the last answers."""
+        """Injects faults for `duration_s`, then waits for the senders."""
         threads = []
         for number in range(SENDERS):
             thread = threading.Thread(target=self._send, args=(number,))
             thread.start()
             threads.append(thread)
-        draw = random.Random(self._seed)
+        rng = random.Random(self._seed)
         end_s = time.monotonic() + duration_s
         try:
             while time.monotonic() < end_s:
-                self._one_fault(draw)
+                self._inject_fault(rng)
         finally:
             self._ended.set()
             for thread in threads:
                 thread.join()
 
     def _send(self, number: int) -> None:
-        draw = random.Random(f"{self._seed}/{number}")
+        rng = random.Random(f"{self._seed}/{number}")
         count = 0
         while not self._ended.is_set():
             count += 1
             key = f"key-{number}-{count}"
-            query = f"work_ms={draw.randrange(LONGEST_WORK_MS)}"
-            deadline_ms = draw.choice(DEADLINES_MS)
+            query = f"work_ms={rng.randrange(MAX_WORK_MS)}"
+            deadline_ms = rng.choice(DEADLINES_MS)
             pending = []
-            for _ in range(1 + draw.randrange(REPEATS)):
-                entry = draw.choice(sorted(self._deployment.entries))
+            for _ in range(1 + rng.randrange(MAX_REPEATS)):
+                entry = rng.choice(sorted(self._deployment.entries))
                 with self._lock:
                     sending = self._sendings.approve(
                         entry=entry,
@@ -63,67 +63,67 @@
                         deadline_ms=deadline_ms,
                     )
                 pending.append(sending)
-                time.sleep(draw.random() * PAUSE_S)
-                if draw.random() < 0.5:
+                time.sleep(rng.random() * MAX_PAUSE_S)
+                if rng.random() < 0.5:
                     sending.wait()
             for sending in pending:
                 if sending.wait().ran != "yes":
-                    time.sleep(draw.random() * REFUSED_PAUSE_S)
+                    time.sleep(rng.random() * MAX_REFUSED_PAUSE_S)
 
-    def _one_fault(self, draw: random.Random) -> None:
-        fault = draw.choice(
+    def _inject_fault(self, rng: random.Random) -> None:
+        fault = rng.choice(
             (
                 self._kill,
                 self._freeze,
-                self._platform_out,
+                self._platform_outage,
                 self._platform_slow,
-                self._lose,
+                self._lose_writes,
                 self._cut,
                 self._drain,
             )
         )
         self.faults.append(fault.__name__)
-        fault(draw)
-        time.sleep(draw.random() * PAUSE_S)
+        fault(rng)
+        time.sleep(rng.random() * MAX_PAUSE_S)
 
-    def _entry(self, draw: random.Random) -> str:
-        return draw.choice(sorted(self._deployment.entries))
+    def _choose_entry(self, rng: random.Random) -> str:
+        return rng.choice(sorted(self._deployment.entries))
 
-    def _kill(self, draw: random.Random) -> None:
-        name = self._entry(draw)
+    def _kill(self, rng: random.Random) -> None:
+        name = self._choose_entry(rng)
         self._deployment.processes.children[name].kill()
-        time.sleep(draw.random() * LONGEST_FAULT_S)
+        time.sleep(rng.random() * MAX_FAULT_S)
         self._deployment.start_entry(name)
 
-    def _freeze(self, draw: random.Random) -> None:
-        child = self._deployment.processes.children[self._entry(draw)]
+    def _freeze(self, rng: random.Random) -> None:
+        child = self._deployment.processes.children[self._choose_entry(rng)]
         child.freeze()
-        time.sleep(draw.random() * LONGEST_FAULT_S)
+        time.sleep(rng.random() * MAX_FAULT_S)
         child.thaw()
 
-    def _platform_out(self, draw: random.Random) -> None:
+    def _platform_outage(self, rng: random.Random) -> None:
         self._deployment.faults(down=True)
-        time.sleep(draw.random() * LONGEST_FAULT_S)
+        time.sleep(rng.random() * MAX_FAULT_S)
         self._deployment.faults(down=False)
 
-    def _platform_slow(self, draw: random.Random) -> None:
-        self._deployment.faults(delay_ms=draw.randrange(1000))
-        time.sleep(draw.random() * LONGEST_FAULT_S)
+    def _platform_slow(self, rng: random.Random) -> None:
+        self._deployment.faults(delay_ms=rng.randrange(1000))
+        time.sleep(rng.random() * MAX_FAULT_S)
         self._deployment.faults(delay_ms=0)
 
-    def _lose(self, draw: random.Random) -> None:
+    def _lose_writes(self, rng: random.Random) -> None:
         self._deployment.faults(
-            lose_answers=draw.randrange(6), lose_calls=draw.randrange(6)
+            lose_answers=rng.randrange(6), lose_calls=rng.randrange(6)
         )
 
-    def _cut(self, draw: random.Random) -> None:
-        name = draw.choice(sorted(self._deployment.upstreams))
+    def _cut(self, rng: random.Random) -> None:
+        name = rng.choice(sorted(self._deployment.upstreams))
         self._deployment.control(
-            name, cut=draw.randrange(4), cut_after_bytes=draw.choice((0, 30))
+            name, cut=rng.randrange(4), cut_after_bytes=rng.choice((0, 30))
         )
 
-    def _drain(self, draw: random.Random) -> None:
-        name = draw.choice(sorted(self._deployment.upstreams))
+    def _drain(self, rng: random.Random) -> None:
+        name = rng.choice(sorted(self._deployment.upstreams))
         self._deployment.control(name, draining=True)
-        time.sleep(draw.random() * LONGEST_FAULT_S / 4)
+        time.sleep(rng.random() * MAX_FAULT_S / 4)
         self._deployment.control(name, draining=False)
--- a/features/support/sendings.py
+++ b/features/support/sendings.py
@@ -1,4 +1,4 @@
-"""Sends requests to entries and compares what was told with what ran."""
+"""Requests to entries, compared with the runs that upstreams journal."""
 
 import http.client
 import json
@@ -16,21 +16,21 @@
 
 
 class Sending:
-    """One request as it was sent once, and what came back.
+    """One attempt of a request and its response.
 
     Attributes:
-      trace: W3C trace id, which no other sending has; upstreams journal it.
+      trace: unique W3C trace ID, which upstreams record in their journals.
       key: Idempotency-Key, or empty.
-      status: HTTP status; 0 when no whole answer came.
-      ran: the system's word, `yes` for an upstream's answer, and `unknown`
-        when no whole answer came.
-      body: body of the answer.
-      headers: of the answer.
-      latency_s: time to the end of the answer.
+      status: HTTP status, 0 without a complete response.
+      ran: `ran` value of an error response, `yes` for an upstream's response,
+        `unknown` without a complete response.
+      body: body of the response.
+      headers: headers of the response.
+      latency_s: time to the end of the response.
     """
 
     def __init__(self, *, address: str, method: str, path: str, key: str):
-        """Prepares a sending to the callers' address of an entry."""
+        """Prepares a request to the caller listener of an entry."""
         self.address = address
         self.method = method
         self.path = path
@@ -48,29 +48,29 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self, *, content: bytes, deadline_ms: int) -> None:
-        """Sends; `deadline_ms` 0 leaves the deadline to the class."""
+        """Sends the request; a `deadline_ms` of 0 uses that of the class."""
         self._content = content
         self._deadline_ms = deadline_ms
         self._connection = connect(self.address, timeout_s=SEND_LIMIT_S)
         self._thread.start()
 
     def wait(self) -> "Sending":
-        """Waits for the end of the answer."""
+        """Waits for the end of the response."""
         self._thread.join(SEND_LIMIT_S)
-        assert not self._thread.is_alive(), f"no answer to {self.path}"
+        assert not self._thread.is_alive(), f"no response to {self.path}"
         return self
 
     def leave(self) -> None:
-        """Closes the connection as a caller that gives up does."""
+        """Closes the connection like a caller that gives up."""
         assert self._connection is not None
         assert self._connection.sock is not None
-        # Shutting down wakes the thread that reads, which a close does not.
+        # A shutdown wakes the reading thread; a close does not.
         self._connection.sock.shutdown(2)
         self.wait()
 
     @property
     def told(self) -> str:
-        """One line for failures."""
+        """A one-line summary for failure messages."""
         return (
             f"{self.path} key={self.key!r}: {self.status} {self.body[:300]!r}"
         )
@@ -87,27 +87,27 @@
             self._connection.request(
                 self.method, self.path, body=self._content, headers=headers
             )
-            answer = self._connection.getresponse()
-            self.body = answer.read()
+            response = self._connection.getresponse()
+            self.body = response.read()
         except (OSError, http.client.HTTPException):
             return
         finally:
             self.latency_s = time.monotonic() - started_s
             self._connection.close()
-        self.headers = answer.headers
+        self.headers = response.headers
         self.ran = "yes"
-        if answer.headers.get("Content-Type", "") == PROBLEM:
+        if response.headers.get("Content-Type", "") == PROBLEM:
             problem = json.loads(self.body)
             self.ran = problem["ran"]
             self.kind = problem["kind"]
-        self.status = answer.status
+        self.status = response.status
 
 
 class Sendings:
-    """Every sending of a scenario."""
+    """Sends the requests of a scenario and keeps them."""
 
     def __init__(self, *, deployment: Deployment) -> None:
-        """Starts with none."""
+        """Starts without requests."""
         self.deployment = deployment
         self.all: list[Sending] = []
         self._count = 0
@@ -121,7 +121,7 @@
         query: str = "",
         deadline_ms: int = 0,
     ) -> Sending:
-        """Sends work that runs at most once; does not wait."""
+        """Sends a request that may run at most once; does not wait."""
         path = f"/{SERVICE}/approvals"
         if query:
             path += f"?{query}"
@@ -132,7 +132,7 @@
     def look_up(
         self, *, entry: str, query: str = "", deadline_ms: int = 0
     ) -> Sending:
-        """Sends idempotent work on a path of its own; does not wait."""
+        """Sends an idempotent request on a new path; does not wait."""
         self._count += 1
         path = f"/{SERVICE}/orders/{self._count}"
         if query:
@@ -156,12 +156,12 @@
         return found
 
     def faults_found(self) -> list[str]:
-        """Compares every answer with the journals of all upstreams.
+        """Compares all responses with the journals of all upstreams.
 
         Returns:
-          One line for each key that ran more than once, each sending that
-          was told "not run" and ran, and each key of which every sending was
-          told so and that ran.
+          One line for each key that ran more than once, each request reported
+          as "not run" that ran, and each key that ran although all of its
+          requests were reported as "not run".
         """
         traces = set()
         keys: dict[str, int] = {}
@@ -173,12 +173,14 @@
         for key, count in keys.items():
             if count > 1:
                 faults.append(f"{key} ran {count} times")
-        words: dict[str, set[str]] = {}
+        outcomes_by_key: dict[str, set[str]] = {}
         for sending in self.all:
             if sending.ran == "no" and sending.trace in traces:
-                faults.append(f"told not run, and ran: {sending.told}")
-            words.setdefault(sending.key, set()).add(sending.ran)
-        for key, said in words.items():
-            if key in keys and said == {"no"}:
-                faults.append(f"{key} ran; every answer said that it did not")
+                faults.append(f"reported as not run, but ran: {sending.told}")
+            outcomes_by_key.setdefault(sending.key, set()).add(sending.ran)
+        for key, outcomes in outcomes_by_key.items():
+            if key in keys and outcomes == {"no"}:
+                faults.append(
+                    f"{key} ran, but every response said that it did not"
+                )
         return faults
--- a/features/support/simulated_zone.py
+++ b/features/support/simulated_zone.py
@@ -1,7 +1,7 @@
-"""The entries of one availability zone in simulated time, from a seed.
+"""A seeded simulation of the entries of one availability zone.
 
-Only the pure core runs here: no sockets and no sleeping. True time is kept
-apart from the clock of each entry, which has its own start and speed.
+Only the core runs, without sockets or real time. True time is separate from
+the clock of each entry, which has its own offset and speed.
 """
 
 from collections.abc import Callable
@@ -16,22 +16,22 @@
 
 LINK = "zone-1>region-2"
 CLOCK_SPEED_SPREAD = 0.002
-ACT_INTERVAL_S = 0.01
+STEP_INTERVAL_S = 0.01
 HEARTBEAT_INTERVAL_S = 0.1
-PIECE_BYTES = 65536
+CHUNK_BYTES = 65536
 
 
 class Faults(NamedTuple):
-    """What goes wrong, as probabilities and mean times between events.
+    """Holds faults as probabilities and mean times between events.
 
     Attributes:
       loss: probability that a message is lost.
-      duplicate: probability that it comes twice.
-      late: probability that it comes up to `latest_s` late.
+      duplicate: probability that it is delivered twice.
+      late: probability that it is delivered up to `latest_s` late.
       latest_s: longest delay of a message.
       freeze_mean_s: mean time between freezes, each up to `latest_s` long.
-      change_mean_s: mean time between deaths, restarts and new entries.
-      platform_s: longest time until a new process has read the table.
+      change_mean_s: mean time between removals, restarts and new entries.
+      platform_s: longest time until a new process reads the table.
     """
 
     loss: float = 0.0
@@ -44,14 +44,14 @@
 
 
 class Acknowledgement(NamedTuple):
-    """The part of a heartbeat that the links need."""
+    """The part of a heartbeat that link shares need."""
 
     entry: str
     epoch: int
 
 
 class Table(NamedTuple):
-    """An entry table as it reaches an entry."""
+    """An entry table as an entry receives it."""
 
     epoch: int
     entries: tuple[str, ...]
@@ -59,7 +59,7 @@
 
 
 class Moved(NamedTuple):
-    """Bytes that passed the link at a true time."""
+    """Bytes that an entry sent over the link at a true time."""
 
     at_s: float
     name: str
@@ -67,7 +67,7 @@
 
 
 class Process:
-    """One process of an entry, with a clock of its own."""
+    """An entry process with its own clock."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         self.timers_late = False
         self.demand_bytes_per_s = 0.0
         self.backlog_bytes = 0.0
-        self.acted_s = now_s
+        self.stepped_s = now_s
         self._speed = speed
         self._offset_s = incarnation * 1000.0
         self.share = LinkShare(
@@ -102,12 +102,12 @@
 
 
 class SimulatedZone:
-    """Runs the entries and records every byte that passes the link."""
+    """Simulates the entries and records every byte sent over the link."""
 
     def __init__(
         self, *, seed: int, entries: int, cap_bytes_per_s: int, faults: Faults
     ) -> None:
-        """Makes a zone whose table lists all its entries from the start."""
+        """Creates a zone whose table lists all of its entries."""
         self._random = random.Random(seed)
         self._cap = cap_bytes_per_s
         self._faults = faults
@@ -126,9 +126,13 @@
         for name in names:
             self._start(name)
         if faults.freeze_mean_s:
-            self._after_about(faults.freeze_mean_s, self._freeze_one)
+            self._schedule_random(
+                faults.freeze_mean_s, self._freeze_random_entry
+            )
         if faults.change_mean_s:
-            self._after_about(faults.change_mean_s, self._change_one)
+            self._schedule_random(
+                faults.change_mean_s, self._change_random_entry
+            )
 
     def run(self, *, until_s: float) -> None:
         """Runs all events up to a true time."""
@@ -138,7 +142,7 @@
         self.now_s = until_s
 
     def moved_since(self, *, since_s: float, name: str = "") -> int:
-        """Returns the bytes moved since a true time, by one entry or all."""
+        """Returns the bytes sent since a true time, by one entry or all."""
         total = 0
         for moved in self.moved:
             if moved.at_s < since_s:
@@ -148,7 +152,7 @@
         return total
 
     def busiest_second_bytes(self) -> int:
-        """Returns the bytes of the busiest window of one second."""
+        """Returns the largest number of bytes within one second."""
         busiest = 0
         in_window = 0
         first = 0
@@ -161,11 +165,11 @@
         return busiest
 
     def vary_demand(self) -> None:
-        """Gives every entry another demand now and then, for ever."""
+        """Changes the demand of every entry at random times from now on."""
         for process in self.processes.values():
             level = self._random.choice((0.0, 0.0, 0.02, 0.3, 2.0))
             process.demand_bytes_per_s = self._cap * level
-        self._after_about(2.0, self.vary_demand)
+        self._schedule_random(2.0, self.vary_demand)
 
     def restart(self, name: str) -> None:
         """Kills the process of an entry and starts another under its name."""
@@ -173,7 +177,7 @@
         self._start(name)
 
     def freeze(self, name: str, *, length_s: float) -> None:
-        """Stops a process for a while; what arrives meanwhile waits."""
+        """Suspends a process; messages wait until it wakes."""
         self.processes[name].frozen_until_s = self.now_s + length_s
 
     # Processes.
@@ -188,46 +192,46 @@
             speed=self._random.uniform(1 - spread, 1 + spread),
         )
         self.processes[name] = process
-        self._act(process)
-        self._heartbeat(process)
-        # A restarted entry may hear an outdated table from a peer first.
-        stale = self._older_table._replace(from_platform=False)
-        self._after(0.01, lambda: self._deliver(process, stale))
-        self._after(
+        self._step(process)
+        self._send_heartbeats(process)
+        # A restarted entry may first receive an outdated table from a peer.
+        outdated = self._older_table._replace(from_platform=False)
+        self._schedule(0.01, lambda: self._deliver(process, outdated))
+        self._schedule(
             self._random.uniform(0.02, self._faults.platform_s),
             lambda: self._deliver(process, self._table),
         )
 
-    def _act(self, process: Process) -> None:
+    def _step(self, process: Process) -> None:
         if not process.alive:
             return
         if self.now_s < process.frozen_until_s:
             wake_s = process.frozen_until_s - self.now_s
-            self._after(wake_s, lambda: self._act(process))
+            self._schedule(wake_s, lambda: self._step(process))
             return
-        self._move(process)
+        self._send_bytes(process)
         if not process.timers_late:
             clock_s = process.clock_s(self.now_s)
             for request in process.share.ask(now_s=clock_s):
                 self._send(request.lender, request)
-        delay_s = self._random.uniform(0.2, 1.8) * ACT_INTERVAL_S
-        self._after(delay_s, lambda: self._act(process))
+        delay_s = self._random.uniform(0.2, 1.8) * STEP_INTERVAL_S
+        self._schedule(delay_s, lambda: self._step(process))
 
-    def _move(self, process: Process) -> None:
-        elapsed_s = self.now_s - process.acted_s
-        process.acted_s = self.now_s
+    def _send_bytes(self, process: Process) -> None:
+        elapsed_s = self.now_s - process.stepped_s
+        process.stepped_s = self.now_s
         process.backlog_bytes += process.demand_bytes_per_s * elapsed_s
         process.backlog_bytes = min(process.backlog_bytes, 2.0 * self._cap)
         clock_s = process.clock_s(self.now_s)
         while process.backlog_bytes >= 1.0:
-            wanted = min(PIECE_BYTES, int(process.backlog_bytes))
+            wanted = min(CHUNK_BYTES, int(process.backlog_bytes))
             part = process.share.take_part(size_bytes=wanted, now_s=clock_s)
             if part.size_bytes == 0:
                 return
             process.backlog_bytes -= part.size_bytes
             self.moved.append(Moved(self.now_s, process.name, part.size_bytes))
 
-    def _heartbeat(self, process: Process) -> None:
+    def _send_heartbeats(self, process: Process) -> None:
         if not process.alive:
             return
         awake = self.now_s >= process.frozen_until_s
@@ -236,7 +240,9 @@
             epoch = process.share.acknowledged_epoch(now_s=clock_s)
             for name in tuple(self.processes):
                 self._send(name, Acknowledgement(process.name, epoch))
-        self._after(HEARTBEAT_INTERVAL_S, lambda: self._heartbeat(process))
+        self._schedule(
+            HEARTBEAT_INTERVAL_S, lambda: self._send_heartbeats(process)
+        )
 
     # Messages.
 
@@ -252,9 +258,9 @@
             delay_s = self._random.uniform(0.0003, 0.002)
             if self._random.random() < self._faults.late:
                 delay_s = self._random.uniform(0.0, self._faults.latest_s)
-            self._after(delay_s, lambda: self._arrive(name, message))
+            self._schedule(delay_s, lambda: self._deliver_to(name, message))
 
-    def _arrive(
+    def _deliver_to(
         self, name: str, message: LoanRequest | Loan | Acknowledgement
     ) -> None:
         process = self.processes.get(name)
@@ -270,7 +276,7 @@
             return
         if self.now_s < process.frozen_until_s:
             wake_s = process.frozen_until_s - self.now_s
-            self._after(wake_s, lambda: self._deliver(process, message))
+            self._schedule(wake_s, lambda: self._deliver(process, message))
             return
         clock_s = process.clock_s(self.now_s)
         share = process.share
@@ -294,13 +300,15 @@
 
     # Faults and changes.
 
-    def _freeze_one(self) -> None:
+    def _freeze_random_entry(self) -> None:
         name = self._random.choice(list(self.processes))
         length_s = self._random.uniform(0.05, self._faults.latest_s)
         self.freeze(name, length_s=length_s)
-        self._after_about(self._faults.freeze_mean_s, self._freeze_one)
+        self._schedule_random(
+            self._faults.freeze_mean_s, self._freeze_random_entry
+        )
 
-    def _change_one(self) -> None:
+    def _change_random_entry(self) -> None:
         name = self._random.choice(list(self.processes))
         kind = self._random.choice(("restart", "gone", "new"))
         if kind == "new":
@@ -311,26 +319,30 @@
             self.restart(name)
         elif len(self.processes) > 1:
             self.processes.pop(name).alive = False
-            left = list(self._table.entries)
-            left.remove(name)
-            self._publish(tuple(left))
-        self._after_about(self._faults.change_mean_s, self._change_one)
+            remaining = list(self._table.entries)
+            remaining.remove(name)
+            self._publish(tuple(remaining))
+        self._schedule_random(
+            self._faults.change_mean_s, self._change_random_entry
+        )
 
     def _publish(self, entries: tuple[str, ...]) -> None:
         self._older_table = self._table
         self._table = Table(self._table.epoch + 1, entries, True)
         table = self._table
         for process in tuple(self.processes.values()):
-            self._after(
+            self._schedule(
                 self._random.uniform(0.0, 2.0),
                 lambda process=process: self._deliver(process, table),
             )
 
     # Time.
 
-    def _after(self, delay_s: float, action: Callable[[], None]) -> None:
+    def _schedule(self, delay_s: float, action: Callable[[], None]) -> None:
         event = (self.now_s + delay_s, next(self._order), action)
         heapq.heappush(self._events, event)
 
-    def _after_about(self, mean_s: float, action: Callable[[], None]) -> None:
-        self._after(self._random.expovariate(1.0 / mean_s), action)
+    def _schedule_random(
+        self, mean_s: float, action: Callable[[], None]
+    ) -> None:
+        self._schedule(self._random.expovariate(1.0 / mean_s), action)
--- a/features/support/steady_traffic.py
+++ b/features/support/steady_traffic.py
@@ -1,4 +1,4 @@
-"""Traffic at a steady rate, whatever the answers take."""
+"""Open-loop traffic at a constant rate."""
 
 from concurrent import futures
 import threading
@@ -6,19 +6,22 @@
 
 from features.support.gateway_world import GatewayWorld
 
-# Requests that may be under way at once.
+# Limit of requests in flight.
 SENDERS = 96
 
 
 class SteadyTraffic:
-    """Sends new objects at a steady rate, whatever the answers take."""
+    """Sends requests for new objects at a constant rate.
+
+    The rate does not depend on how long the responses take.
+    """
 
     def __init__(self, world: GatewayWorld, *, prefix: str = "/safe/") -> None:
-        """Makes a sender that has sent nothing.
+        """Creates a sender.
 
         Args:
-          world: whose gateway gets the requests.
-          prefix: start of their paths.
+          world: sends the requests to its gateway.
+          prefix: prefix of the request paths.
         """
         self._world = world
         self._prefix = prefix
@@ -28,11 +31,11 @@
         self.statuses: list[int] = []
 
     def send_for(self, span_s: float, rate_per_s: float) -> None:
-        """Sends for a while; answers may come later."""
+        """Sends for `span_s`; responses may arrive later."""
         count = int(span_s * rate_per_s)
-        began_s = time.monotonic()
+        start_s = time.monotonic()
         for number in range(count):
-            due_s = began_s + number / rate_per_s
+            due_s = start_s + number / rate_per_s
             time.sleep(max(0.0, due_s - time.monotonic()))
             self._number += 1
             self._pool.submit(self._send, f"{self._prefix}{self._number}")
@@ -43,5 +46,5 @@
             self.statuses.append(status)
 
     def end(self) -> None:
-        """Waits for the last answers."""
+        """Waits for the last responses."""
         self._pool.shutdown(wait=True)
--- a/features/support/steering_world.py
+++ b/features/support/steering_world.py
@@ -1,4 +1,4 @@
-"""A small deployment and a clock for steering.feature."""
+"""A small configuration and a simulated clock for steering.feature."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -18,7 +18,7 @@
 SERVICE = "work"
 ZONE = "home-a"
 SLOTS = 20
-# Reports are scaled so that a scenario may speak of parts of a slot.
+# Slots are scaled so that scenarios can state fractions of a slot.
 SCALE = 10
 TICK_S = 0.25
 REPORT_LIMIT_S = 3.0
@@ -27,13 +27,13 @@
 
 
 def draws() -> Iterator[float]:
-    """Yields evenly spaced draws over [0, 1)."""
+    """Yields evenly spaced numbers in [0, 1)."""
     for step in range(DRAWS):
         yield step / DRAWS
 
 
 class Sample(NamedTuple):
-    """Weights at one moment."""
+    """The weights at a time."""
 
     now_s: float
     weights: dict[str, float]
@@ -75,10 +75,10 @@
 
 
 class SteeringWorld:
-    """Steering under a clock that moves in ticks of a quarter second."""
+    """Runs steering on a simulated clock with ticks of a quarter second."""
 
     def __init__(self, *, profile: str) -> None:
-        """Makes steering by one profile, with nothing reported."""
+        """Creates steering with one profile and without reports."""
         self.steering = Steering(configuration=configuration(profile=profile))
         self.now_s = 100.0
         self.silent_since_s = 0.0
@@ -135,14 +135,14 @@
         )
 
     def growth(self, *, region: str, since_s: float) -> float:
-        """Returns the largest growth of a weight from tick to tick."""
+        """Returns the largest increase of a weight between two ticks."""
         largest = 0.0
-        last: float | None = None
+        previous: float | None = None
         for sample in self.samples:
             if sample.now_s < since_s:
                 continue
             weight = sample.weights[region]
-            if last is not None:
-                largest = max(largest, weight - last)
-            last = weight
+            if previous is not None:
+                largest = max(largest, weight - previous)
+            previous = weight
         return largest
--- a/features/support/step_types.py
+++ b/features/support/step_types.py
@@ -1,4 +1,4 @@
-"""Types for the parameters of steps."""
+"""Parameter types of steps."""
 
 from behave import register_type
 import parse
--- a/features/support/telling_world.py
+++ b/features/support/telling_world.py
@@ -1,6 +1,7 @@
-"""Entries that tell each other their loads, in virtual time.
+"""Entries that exchange load reports, in virtual time.
 
-The messages and their pauses are the gateway's; sockets and clock are not.
+The messages and their timing are the gateway's own code; sockets and the clock
+are simulated.
 """
 
 import asyncio
@@ -29,16 +30,17 @@
 IN_ZONE_S = 0.0002
 BETWEEN_ZONES_S = 0.0005
 BETWEEN_REGIONS_S = 0.055
-# Upstreams that have no requests but those that a scenario starts.
+# Upstreams without requests other than those that a scenario starts.
 QUIET_UPSTREAMS = 40
-# Requests of each entry, and how often one moves to another upstream.
-HELD = 6
-MOVE_S = 0.05
+# Requests in flight of each entry, and the interval at which one of them moves
+# to another upstream.
+REQUESTS_PER_ENTRY = 6
+MOVE_INTERVAL_S = 0.05
 SETTLE_S = 1.5
 
 
 class Member(NamedTuple):
-    """One entry of the world."""
+    """An entry and its components."""
 
     name: str
     zone: str
@@ -47,8 +49,8 @@
     sharing: LoadExchange
 
 
-class _Pause:
-    """What a coroutine gives when it sleeps: for how long."""
+class _Sleep:
+    """Yields the duration of a sleep to the simulation."""
 
     def __init__(self, span_s: float) -> None:
         self._span_s = span_s
@@ -58,11 +60,11 @@
 
 
 async def _sleep(span_s: float) -> None:
-    await _Pause(span_s)
+    await _Sleep(span_s)
 
 
-class _Wire:
-    """Datagrams of one entry."""
+class _DatagramTransport:
+    """Replaces the datagram transport of one entry."""
 
     def __init__(self, world: "TellingWorld", name: str) -> None:
         self._world = world
@@ -73,20 +75,20 @@
 
 
 class TellingWorld:
-    """Entries in zones, upstreams, and messages on their way.
+    """Simulates entries in zones, upstreams, and messages in flight.
 
     Attributes:
-      members: the entries by name.
-      now_s: the virtual clock.
-      sent_bytes: bytes by sender.
-      sent_count: messages by sender and receiver.
-      far_bytes: bytes that crossed between regions.
+      members: entries by name.
+      now_s: time of the virtual clock, in seconds.
+      sent_bytes: bytes sent, by sender.
+      sent_count: messages sent, by sender and receiver.
+      far_bytes: bytes sent between regions.
     """
 
     def __init__(
         self, *, entries: int, zones: int, upstreams: int, link_mbps: float
     ) -> None:
-        """Makes the entries, each of which knows all others and upstreams."""
+        """Creates entries that know all other entries and upstreams."""
         self.now_s = 100.0
         self.draws = random.Random(7)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -100,7 +102,7 @@
         self._records = self._make_records()
         self._registered = self._make_registered(entries)
         for entry in self._registered:
-            self._add(entry)
+            self._add_entry(entry)
         self.forget_counts()
 
     def _make_records(self) -> list[UpstreamRecord]:
@@ -127,7 +129,7 @@
             found.append(entry)
         return found
 
-    def _add(self, entry: Entry) -> None:
+    def _add_entry(self, entry: Entry) -> None:
         fleet = Fleet(
             own_name=entry.name,
             own_region=entry.region,
@@ -155,90 +157,92 @@
             own_zone=entry.availability_zone,
             **options,
         )
-        # The protocol only sends on its transport.
-        sharing.connection_made(_Wire(self, entry.name))  # type: ignore[arg-type]
+        # The protocol uses its transport only to send.
+        sharing.connection_made(_DatagramTransport(self, entry.name))  # type: ignore[arg-type]
         self.members[entry.name] = Member(
             entry.name, entry.availability_zone, entry.region, fleet, sharing
         )
 
     def make_suspects(self, name: str) -> Any:
-        """Returns what an entry keeps of requests that crash upstreams."""
+        """Returns an entry's record of requests that crash upstreams."""
         del name
         return mock.Mock(**{"recent_strikes.return_value": []})
 
     def forget_counts(self) -> None:
-        """Begins to count what is sent."""
+        """Resets the counts of sent messages and bytes."""
         self.sent_bytes = dict.fromkeys(self.members, 0)
         self.sent_count: dict[tuple[str, str], int] = {}
         self.far_bytes = 0
 
     def carry(self, sender: str, receiver: str, data: bytes) -> None:
-        """Takes a datagram that arrives after its way."""
-        one, other = self.members[sender], self.members[receiver]
+        """Delivers a datagram after the one-way latency."""
+        source, target = self.members[sender], self.members[receiver]
         self.sent_bytes[sender] += len(data)
         pair = (sender, receiver)
         self.sent_count[pair] = self.sent_count.get(pair, 0) + 1
-        way_s = IN_ZONE_S
-        if one.zone != other.zone:
-            way_s = BETWEEN_ZONES_S
-        if one.region != other.region:
-            way_s = BETWEEN_REGIONS_S
+        delay_s = IN_ZONE_S
+        if source.zone != target.zone:
+            delay_s = BETWEEN_ZONES_S
+        if source.region != target.region:
+            delay_s = BETWEEN_REGIONS_S
             self.far_bytes += len(data)
 
         def arrive() -> None:
-            other.sharing.datagram_received(data, ("10.0.0.1", 1))
+            target.sharing.datagram_received(data, ("10.0.0.1", 1))
 
-        self.later(way_s, arrive)
+        self.later(delay_s, arrive)
 
     def later(self, after_s: float, work: Callable[[], None]) -> None:
-        """Does something at a later time."""
+        """Schedules work after a delay."""
         event = (self.now_s + after_s, next(self._numbers), work)
         heapq.heappush(self._events, event)
 
     @contextlib.contextmanager
     def running(self, *, busy: bool) -> Iterator[None]:
-        """Lets the entries tell; requests move about when they are busy."""
+        """Runs the exchange; `busy` adds requests that change upstreams."""
         with (
             mock.patch.object(load_exchange, "now_s", lambda: self.now_s),
             mock.patch.object(asyncio, "sleep", _sleep),
         ):
             for member in self.members.values():
-                self._start(member)
+                self._start_exchange(member)
                 if busy:
-                    self._ask(member)
+                    self._start_requests(member)
             self.pass_time(SETTLE_S)
             self.forget_counts()
             yield
 
-    def _start(self, member: Member) -> None:
+    def _start_exchange(self, member: Member) -> None:
         work = member.sharing.run()
 
-        def turn() -> None:
-            self.later(work.send(None), turn)
+        def resume() -> None:
+            self.later(work.send(None), resume)
 
-        # They do not start at one moment.
-        self.later(self.draws.random() / 2, turn)
+        # The entries start at different times.
+        self.later(self.draws.random() / 2, resume)
 
-    def _ask(self, member: Member) -> None:
+    def _start_requests(self, member: Member) -> None:
         busy = self.names[QUIET_UPSTREAMS:]
-        held = [self.draws.choice(busy) for _ in range(HELD)]
-        for name in held:
+        in_flight_at = [
+            self.draws.choice(busy) for _ in range(REQUESTS_PER_ENTRY)
+        ]
+        for name in in_flight_at:
             self.state(member, name).in_flight += 1
 
         def move() -> None:
-            self.state(member, held.pop(0)).in_flight -= 1
-            held.append(self.draws.choice(busy))
-            self.state(member, held[-1]).in_flight += 1
-            self.later(MOVE_S, move)
+            self.state(member, in_flight_at.pop(0)).in_flight -= 1
+            in_flight_at.append(self.draws.choice(busy))
+            self.state(member, in_flight_at[-1]).in_flight += 1
+            self.later(MOVE_INTERVAL_S, move)
 
-        self.later(self.draws.random() * MOVE_S, move)
+        self.later(self.draws.random() * MOVE_INTERVAL_S, move)
 
     def state(self, member: Member, name: str) -> Any:
-        """Returns what an entry believes of an upstream."""
+        """Returns the state of an upstream in an entry's view of the fleet."""
         return member.fleet.upstreams_by_hash[incarnation_hash(name)]
 
     def pass_time(self, span_s: float) -> None:
-        """Does all that happens in a span."""
+        """Runs all events of a time span."""
         end_s = self.now_s + span_s
         while self._events and self._events[0][0] <= end_s:
             self.now_s, _, work = heapq.heappop(self._events)
@@ -246,7 +250,7 @@
         self.now_s = end_s
 
     def first_reporter(self) -> Member:
-        """Returns the entry that makes the plan."""
+        """Returns the entry that makes the placement plan."""
         found = []
         for member in self.members.values():
             if member.zone != min(self._regions):
@@ -258,7 +262,7 @@
         return member
 
     def weigh_all(self) -> Plan:
-        """Gives every upstream a weight of its own, at the plan's maker."""
+        """Sets varied upstream weights in the plan of the first reporter."""
         weights = {}
         for number, name in enumerate(self.names):
             weights[incarnation_hash(name)] = 30 + number % 30
--- a/features/support/upstream_standin.py
+++ b/features/support/upstream_standin.py
@@ -1,8 +1,9 @@
-"""Stand-in for an upstream: slots, load report, drain, faults, a journal.
+"""Upstream stand-in with slots, load reports, draining, faults and a journal.
 
-A request says how it is served by a query argument or header: `Work-Ms`,
-`Answer-Bytes`, `Answer-Status`, `Answer-Chunked: 1`, `Crash: 1`; `Edge-Zone`
-names where its caller is. Bodies stream both ways. `/_control` sets faults.
+Query arguments or headers of a request control how it is served: `Work-Ms`,
+`Answer-Bytes`, `Answer-Status`, `Answer-Chunked: 1`, `Crash: 1`. `Edge-Zone`
+names the zone of its caller. Bodies are streamed both ways. `/_control` sets
+faults.
 """
 
 import argparse
@@ -26,7 +27,7 @@
 
 
 def body_chunks(size_bytes: int) -> Iterator[bytes]:
-    """Yields the body of a size; each chunk opens with its offset."""
+    """Yields a body of a given size; each chunk starts with its offset."""
     for offset in range(0, size_bytes, CHUNK_BYTES):
         chunk = offset.to_bytes(8, "big") + FILLER
         yield chunk[: size_bytes - offset]
@@ -34,7 +35,7 @@
 
 @functools.lru_cache(maxsize=256)
 def body_sha256(size_bytes: int) -> str:
-    """Returns the digest of the body of a size."""
+    """Returns the digest of the body of a given size."""
     digest = hashlib.sha256()
     for chunk in body_chunks(size_bytes):
         digest.update(chunk)
@@ -42,21 +43,21 @@
 
 
 class Upstream:
-    """Slots, faults in force, and the journal of what ran."""
+    """Holds the slots, the active faults, and the journal of runs."""
 
     def __init__(self, options: argparse.Namespace) -> None:
-        """Starts idle and cold."""
+        """Starts idle, with the cold requests still to come."""
         self.options = options
         self.control: dict[str, Any] = {
             "draining": False,
-            "load": "true",  # or lie (says idle), freeze, stop
-            "fail": 0,  # so many next answers are a 500, after the work
-            "cut": 0,  # so many next answers end after cut_after_bytes
-            "cut_after_bytes": 0,  # 0: no byte of an answer at all
+            "load": "true",  # or lie (reports idle), freeze, stop
+            "fail": 0,  # next responses that are a 500, after the work
+            "cut": 0,  # next responses truncated after cut_after_bytes
+            "cut_after_bytes": 0,  # 0: no byte of a response
             "cold_requests": options.cold_requests,
             "cold_ms": options.cold_ms,
             "work_ms": options.work_ms,
-            "deaf": False,  # closed connections are not noticed
+            "deaf": False,  # ignores closed connections
         }
         self.busy = 0
         self.max_in_flight = 0
@@ -66,7 +67,7 @@
         self.last_load: dict[str, int] = {}
 
     def load(self) -> dict[str, int]:
-        """Returns the load as reported; a request counts while it runs."""
+        """Returns the reported load; requests count while they run."""
         kind = self.control["load"]
         if kind == "freeze" and self.last_load:
             return self.last_load
@@ -77,8 +78,8 @@
         self.last_load = {"slots": slots, "busy": busy, "draining": draining}
         return self.last_load
 
-    def take(self, fault: str) -> bool:
-        """Says whether a counted fault is left, and uses one up."""
+    def consume_fault(self, fault: str) -> bool:
+        """Returns whether a counted fault remains, and consumes one."""
         if self.control[fault] <= 0:
             return False
         self.control[fault] -= 1
@@ -87,29 +88,29 @@
     def count_bytes(self, zone: str, side: int, size_bytes: int) -> None:
         """Counts body bytes in (side 0) or out (side 1) of an edge zone."""
         bins = self.bins.setdefault(zone, {})
-        both = bins.setdefault(int(time.monotonic() / BIN_S), [0, 0])
-        both[side] += size_bytes
+        counts = bins.setdefault(int(time.monotonic() / BIN_S), [0, 0])
+        counts[side] += size_bytes
 
     def start(self, **fields: Any) -> dict[str, Any]:
-        """Takes a slot and opens a line of the journal."""
+        """Acquires a slot and adds a run to the journal."""
         self.busy += 1
         self.max_in_flight = max(self.max_in_flight, self.busy)
         run = {**fields, "start": time.monotonic(), "outcome": "running"}
         self.runs.append(run)
-        self._keep(run)
+        self._write_journal(run)
         return run
 
     def end(self, run: dict[str, Any], outcome: str) -> None:
-        """Frees the slot, once, and closes the line of the journal."""
+        """Releases the slot and completes the run, unless already ended."""
         if run["outcome"] != "running":
             return
         self.busy -= 1
         run.update(outcome=outcome, end=time.monotonic())
-        self._keep(run)
+        self._write_journal(run)
 
-    def _keep(self, run: dict[str, Any]) -> None:
+    def _write_journal(self, run: dict[str, Any]) -> None:
         # A crash loses the journal in memory; tests that crash an upstream
-        # read what it ran before from this file.
+        # read its earlier runs from this file.
         if self.options.journal:
             with open(self.options.journal, "a", encoding="utf-8") as file:
                 file.write(json.dumps(run) + "\n")
@@ -117,7 +118,7 @@
 
 @tornado.web.stream_request_body
 class WorkHandler(tornado.web.RequestHandler):
-    """Serves any path."""
+    """Serves requests on any path."""
 
     def initialize(self, upstream: Upstream) -> None:
         self.upstream = upstream
@@ -148,10 +149,10 @@
         )
         return None
 
-    def refuse(self, count: str, word: str) -> None:
-        self.upstream.refused[count] += 1
+    def refuse(self, counter: str, refusal: str) -> None:
+        self.upstream.refused[counter] += 1
         self.set_status(503)
-        self.set_header("Almondstair-Refused", word)
+        self.set_header("Almondstair-Refused", refusal)
         self.report_load()
         self.finish()
 
@@ -183,7 +184,7 @@
         outcome = await self.work()
         if outcome == "cancelled":
             return
-        if outcome == "done" and self.upstream.take("fail"):
+        if outcome == "done" and self.upstream.consume_fault("fail"):
             outcome = "failed"
         try:
             await self.answer(outcome)
@@ -193,18 +194,18 @@
     get = head = post = put = patch = delete = serve
 
     async def work(self) -> str:
-        """Waits out the service time; returns how the work ended."""
+        """Waits for the service time and returns the outcome of the work."""
         upstream = self.upstream
         work_ms = float(self.option("Work-Ms", upstream.control["work_ms"]))
         work_ms += upstream.options.delay_ms.get(self.zone, 0.0)
-        if upstream.take("cold_requests"):
+        if upstream.consume_fault("cold_requests"):
             work_ms += upstream.control["cold_ms"]
         end_s = self.run["start"] + work_ms / 1000
         deadline_ms = float(self.request.headers.get("Deadline-Ms", "inf"))
         deadline_s = self.run["start"] + deadline_ms / 1000
-        left_s = min(end_s, deadline_s) - time.monotonic()
+        remaining_s = min(end_s, deadline_s) - time.monotonic()
         try:
-            await asyncio.wait_for(self.closed.wait(), max(left_s, 0))
+            await asyncio.wait_for(self.closed.wait(), max(remaining_s, 0))
         except TimeoutError:
             return "done" if end_s <= deadline_s else "deadline"
         return "cancelled"
@@ -223,19 +224,25 @@
             chunks = iter(())
         if status not in (204, 304) and self.option("Answer-Chunked") != "1":
             self.set_header("Content-Length", str(size_bytes))
-        cut_bytes = None
-        if self.upstream.take("cut"):
-            outcome, cut_bytes = "cut", self.upstream.control["cut_after_bytes"]
+        cut_after_bytes = None
+        if self.upstream.consume_fault("cut"):
+            outcome, cut_after_bytes = (
+                "cut",
+                self.upstream.control["cut_after_bytes"],
+            )
         sent_bytes = 0
         for chunk in chunks:
-            if cut_bytes is not None and sent_bytes + len(chunk) > cut_bytes:
-                return await self.cut(chunk[: cut_bytes - sent_bytes])
+            if (
+                cut_after_bytes is not None
+                and sent_bytes + len(chunk) > cut_after_bytes
+            ):
+                return await self.cut(chunk[: cut_after_bytes - sent_bytes])
             sent_bytes += len(chunk)
             self.upstream.count_bytes(self.zone, 1, len(chunk))
             self.write(chunk)
             await self.flush()
-        # Freed before the end is written: whoever has read the whole answer
-        # may use the slot at once.
+        # Released before the end is written: a caller that has read the
+        # complete response may use the slot at once.
         self.upstream.end(self.run, outcome)
         await self.finish()
         return None
@@ -244,10 +251,10 @@
         size_bytes = int(self.option("Answer-Bytes", -1))
         if size_bytes >= 0 and outcome == "done":
             return size_bytes, body_chunks(size_bytes)
-        told = {**self.run, "outcome": outcome}
-        told["body_bytes"] = self.received_bytes
-        told["body_sha256"] = self.digest.hexdigest()
-        body = json.dumps(told).encode()
+        report = {**self.run, "outcome": outcome}
+        report["body_bytes"] = self.received_bytes
+        report["body_sha256"] = self.digest.hexdigest()
+        body = json.dumps(report).encode()
         return len(body), iter([body])
 
     async def cut(self, last: bytes) -> None:
@@ -259,7 +266,7 @@
 
 
 class ControlHandler(tornado.web.RequestHandler):
-    """Health, load, journal, and the faults in force."""
+    """Serves health, load and journal, and sets faults."""
 
     def initialize(self, upstream: Upstream) -> None:
         self.upstream = upstream
@@ -289,7 +296,7 @@
 
 
 class LimitedServer(tornado.httpserver.HTTPServer):
-    """Closes connections over the limit at once."""
+    """Closes connections above the limit immediately."""
 
     upstream: Upstream
 
--- a/features/support/wire.py
+++ b/features/support/wire.py
@@ -1,4 +1,4 @@
-"""HTTP byte by byte, for shapes that a proper client would not send."""
+"""Raw HTTP connections, for messages that a normal client does not send."""
 
 import contextlib
 import hashlib
@@ -17,14 +17,14 @@
 
 
 class Head(NamedTuple):
-    """Status and headers of an answer, names in lower case."""
+    """The status and headers of a response, with lower-case names."""
 
     status: int
     headers: dict[str, str]
 
 
 class Wire:
-    """One connection on which a test writes and reads bytes."""
+    """A connection on which a test writes and reads raw bytes."""
 
     def __init__(self, address: str) -> None:
         """Connects to `ip:port`."""
@@ -35,12 +35,12 @@
         self._file = self.socket.makefile("rb")
 
     def write(self, data: bytes) -> None:
-        """Sends bytes; the other end may have closed already."""
+        """Sends bytes; ignores a connection closed by the other end."""
         with contextlib.suppress(ConnectionError):
             self.socket.sendall(data)
 
     def head(self) -> Head:
-        """Reads the head of the next answer."""
+        """Reads the status line and headers of the next response."""
         status = int(self._file.readline().split()[1])
         headers = {}
         while (line := self._file.readline().strip()) != b"":
@@ -49,19 +49,19 @@
         return Head(status, headers)
 
     def body(self, head: Head) -> bytes:
-        """Reads a body with a length."""
+        """Reads a body of the length in `Content-Length`."""
         return self._file.read(int(head.headers.get("content-length", "0")))
 
     def rest(self) -> bytes:
         """Reads until the other end closes."""
-        parts = []
+        chunks = []
         with contextlib.suppress(ConnectionError):
-            while part := self._file.read1(65536):
-                parts.append(part)
-        return b"".join(parts)
+            while data := self._file.read1(65536):
+                chunks.append(data)
+        return b"".join(chunks)
 
     def write_until_full(self, size_bytes: int, *, limit_s: float) -> int:
-        """Sends until the other end takes no more; returns what it took."""
+        """Sends until the other end stops reading; returns the bytes sent."""
         sent_bytes = 0
         while sent_bytes < size_bytes:
             _, writable, _ = select.select([], [self.socket], [], limit_s)
@@ -71,7 +71,7 @@
         return sent_bytes
 
     def is_silent(self, *, limit_s: float) -> bool:
-        """Says whether the other end sends nothing and stays for a while."""
+        """Returns whether the other end sends nothing and stays connected."""
         readable, _, _ = select.select([self.socket], [], [], limit_s)
         return not readable
 
@@ -82,7 +82,7 @@
 
 
 class Transfer(NamedTuple):
-    """A long body that went one way."""
+    """The transfer of a long body in one direction."""
 
     answer: http.client.HTTPResponse
     size_bytes: int
@@ -93,14 +93,14 @@
 def upload(
     address: str, path: str, *, size_bytes: int, chunked: bool
 ) -> Transfer:
-    """Sends a long body; the digest is the one the upstream reports."""
+    """Uploads a long body; size and digest are the upstream's values."""
     ip, _, port = address.rpartition(":")
     connection = http.client.HTTPConnection(ip, int(port), timeout=30)
     headers = {}
     if not chunked:
         headers["Content-Length"] = str(size_bytes)
     started_s = time.monotonic()
-    # A refusal comes before the end of the body.
+    # A refusal arrives before the end of the body.
     with contextlib.suppress(ConnectionError):
         connection.request(
             "PUT",
@@ -121,7 +121,7 @@
 
 
 def download(address: str, path: str) -> Transfer:
-    """Reads a long body piece by piece."""
+    """Downloads a long body."""
     ip, _, port = address.rpartition(":")
     connection = http.client.HTTPConnection(ip, int(port), timeout=30)
     digest = hashlib.sha256()
@@ -129,25 +129,25 @@
     started_s = time.monotonic()
     connection.request("GET", path)
     answer = connection.getresponse()
-    while piece := answer.read(65536):
-        digest.update(piece)
-        size_bytes += len(piece)
+    while chunk := answer.read(65536):
+        digest.update(chunk)
+        size_bytes += len(chunk)
     connection.close()
     took_s = time.monotonic() - started_s
     return Transfer(answer, size_bytes, digest.hexdigest(), took_s)
 
 
 class RawUpstream(socketserver.ThreadingTCPServer):
-    """An upstream that keeps each request's head and answers as told."""
+    """An upstream that records request heads and sends a fixed response."""
 
     allow_reuse_address = True
     daemon_threads = True
 
     def __init__(self, address: str) -> None:
-        """Serves `ip:port` on a thread of its own."""
+        """Serves `ip:port` on a separate thread."""
         ip, _, port = address.rpartition(":")
         self.answer = NOTHING
-        # While set, a request's body is not read and there is no answer.
+        # While set, request bodies are not read and no response is sent.
         self.stalls = False
         self.going = threading.Event()
         self.heads: list[str] = []
