--- a/features/admission.feature
+++ b/features/admission.feature
@@ -1,12 +1,12 @@
 Feature: No upstream has more in flight than its slots
   Each upstream has one home among the entries of its region. Homes move with
-  the entry table; entries die, freeze and are cut off meanwhile.
+  the entry table, while entries die, freeze and lose their network.
 
   Scenario Outline: Random runs with deaths, freezes, cuts and table changes
-    # Symptom: an upstream runs more requests than it has slots.
-    # Sequence: any order of the faults below, with reports lost, repeated and
-    #   late, clocks apart, and the platform out at times.
-    # Cause: two entries count the same slot as theirs.
+    # Guards against an upstream that runs more requests than it has slots
+    # because two entries count the same slot as theirs. Faults come in any
+    # order, with reports lost, duplicated and late, different clocks, and
+    # platform outages.
     When entries run for 60 s from seed <seed>
     Then no upstream had more in flight than its slots
     And nothing was written after its deadline
@@ -21,7 +21,7 @@
       | 102  |
 
   Scenario Outline: The runs notice a missing guard
-    # Each guard is taken out in turn, to show that the runs would see it.
+    # Each guard is removed in turn to show that the runs detect its absence.
     When entries without <guard> run for 60 s from any of seeds 1 to 8
     Then some upstream had more in flight than its slots
 
@@ -33,10 +33,10 @@
       | the slots held for a lost entry |
 
   Scenario: A report that comes before its table
-    # Symptom: a new home dispatched while the old one's requests still ran.
-    # Sequence: the old home applies the new table first; its report reaches
-    #   the new home, which applies the table only then.
-    # Cause: the report was remembered as "settled" but its record dropped.
+    # Guards against a new home that dispatches while requests of the old home
+    # still run. The old home applies the new table first, and its report
+    # reaches the new home before that one applies the table. The new home kept
+    # the state "settled" of the report but dropped its record.
     Given an entry that is home of an upstream and fills its slots
     And a second entry joins that becomes its home
     When the first entry applies the table and reports before the second does
@@ -44,10 +44,10 @@
     Then the second entry counts the first one's requests as taken
 
   Scenario: Slots held for a lost entry are not another's to free
-    # Symptom: a restarted home dispatched into slots of its predecessor.
-    # Sequence: the home dies with its slots full and starts again; a peer that
-    #   had the duty long before reports that nothing of its own runs.
-    # Cause: the peer's report was taken for the lost entry's.
+    # Guards against a restarted home that dispatches into slots of its earlier
+    # process. The home dies with its slots full and restarts; a peer that was
+    # home long before reports that none of its own requests run, and the report
+    # was taken for one of the lost process.
     Given an entry that is home of an upstream and fills its slots
     And a second entry joins that becomes its home
     And both apply the table and report
@@ -80,17 +80,17 @@
     When its answers take 5 times as long
     Then fewer than 4 slots are usable
 
-  # Symptom: an upstream of three slots gets one request at a time, a third of what
-  # it can run, for as long as its answers are slow. Cause: slow start keeps half of
-  # the slots, one and a half, and the whole ones of them were used.
+  # Guards against an upstream of three slots that gets one request at a time, a
+  # third of its capacity, for as long as its responses are slow. Slow start
+  # keeps half of the slots, 1.5, and only the whole slots of them were used.
   Scenario: Slow answers take away half of an odd number of slots at most
     Given an entry that is home of an upstream of 3 slots, all warm
     When its answers take 5 times as long
     Then 2 slots are usable
 
-  # Symptom: an upload is refused with no_slot for as long as long work runs on an
-  # upstream that has just started, although two of its three slots are free. Cause:
-  # slow start opens a slot when an answer comes, and long work gives none.
+  # Guards against uploads refused with no_slot while long requests run on an
+  # upstream that has just started and has two of three slots free. Slow start
+  # opens a slot when a response arrives, and long requests give none.
   Scenario: Long work does not keep the other slots of a cold upstream closed
     Given an entry that is home of an upstream of 3 slots
     When a request runs on it for 0.4 s
@@ -105,9 +105,8 @@
     Then work is refused since no upstream takes it
 
   Scenario: An upstream that claims to be full is tried all the same
-    # Symptom: an upstream without work that nobody sends any.
-    # Sequence: it goes on reporting every slot busy while it runs nothing.
-    # Cause: its own word was taken over what its answers show.
+    # Guards against an idle upstream that gets no requests. It keeps reporting
+    # every slot busy, and its report outweighed what its responses show.
     Given an entry that is home of an upstream of 4 slots, all warm
     When the upstream reports 4 busy slots though nothing runs
     Then 1 slot is usable
--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -1,12 +1,12 @@
 Feature: Work that must not repeat runs at most once
-  Real processes: a platform, upstreams in two regions, and an entry in each
-  of three regions; cnx has no upstream, so what is sent there is forwarded.
-  Upstreams journal each run with the trace of the sending that caused it.
+  Runs real processes: a platform, upstreams in two regions, and an entry in
+  each of three regions. cnx has no upstream, so its requests are forwarded.
+  Upstreams journal each run with the trace of the request that caused it.
 
   Scenario: An entry is killed before its claim holds
-    Symptom: none may be seen; the caller sends again and the work runs once.
-    Sequence: the claim waits at the platform, the entry dies, the call is lost.
-    Cause: a dead entry leaves a write that nobody awaits.
+    Covers a dead entry's pending write, which nobody waits for. The claim is
+    pending at the platform, the entry dies, and its call is lost. No fault may
+    be visible: the caller retries and the request runs once.
     Given a deployment for work that runs at most once
     And the platform takes 400 ms for a call and loses the next claim
     When "k" is sent through bkk
@@ -19,11 +19,10 @@
     And what ran agrees with every answer
 
   Scenario: An entry is killed between its claim and its dispatch
-    Symptom: a key that stays claimed and never ran.
-    Sequence: the claim holds, its answer is lost, the platform goes out, the
-    entry dies before it can read back or give the claim up.
-    Cause: whether the dead entry had dispatched is known to nobody, so nobody
-    may take its claim over.
+    Covers a key that stays claimed although its request never ran. The claim is
+    written, its response is lost, the platform goes down, and the entry dies
+    before it can read back or release the claim. Nobody knows whether the dead
+    entry had dispatched the request, so no entry may take its claim over.
     Given a deployment for work that runs at most once
     And the platform loses the next claim's answer and goes out
     When "k" is sent through bkk
@@ -35,9 +34,8 @@
     And what ran agrees with every answer
 
   Scenario: An entry is killed after its dispatch
-    Symptom: an approval booked twice.
-    Sequence: the upstream works, the entry dies, the caller sends again.
-    Cause: the repeat meets a claim without an outcome.
+    Guards against an approval that runs twice. The upstream works, the entry
+    dies, the caller retries, and the retry meets a claim without an outcome.
     Given a deployment for work that runs at most once
     When "k" is sent through bkk and takes 1500 ms
     And an upstream has "k"
@@ -47,9 +45,9 @@
     And what ran agrees with every answer
 
   Scenario: The entry that forwards is killed after the dispatch
-    Symptom: an approval that ran and whose outcome nobody can tell.
-    Sequence: cnx forwards, the upstream works, cnx dies.
-    Cause: the entry beside the upstream lost the one that asked it.
+    Guards against an approval that ran with an unknown outcome. cnx forwards,
+    the upstream works, and cnx dies, so the entry beside the upstream loses the
+    entry that sent the request.
     Given a deployment for work that runs at most once
     When "k" is sent through cnx and takes 800 ms
     And an upstream has "k"
@@ -59,9 +57,9 @@
     And what ran agrees with every answer
 
   Scenario: The entry that dispatched for another is killed
-    Symptom: an approval booked twice, in another region.
-    Sequence: cnx forwards to the home, the upstream works, the home dies.
-    Cause: the forwarding entry lost an answer and may not send elsewhere.
+    Guards against an approval that runs twice, the second time in another
+    region. cnx forwards to the home, the upstream works, and the home dies. The
+    forwarding entry lost a response and must not send the request elsewhere.
     Given a deployment for work that runs at most once
     When "k" is sent through cnx and takes 1500 ms
     And an upstream has "k"
@@ -72,9 +70,9 @@
     And what ran agrees with every answer
 
   Scenario: An entry is killed right after the answer
-    Symptom: an approval booked twice.
-    Sequence: the caller has its answer, the entry dies before it recorded it.
-    Cause: the outcome is brought in behind the caller's back.
+    Guards against an approval that runs twice. The caller has its response, and
+    the entry dies before it records the outcome, which is written after the
+    response.
     Given a deployment for work that runs at most once
     When "k" is sent through bkk
     Then the answer is from an upstream
@@ -94,9 +92,9 @@
     And what ran agrees with every answer
 
   Scenario: An entry is frozen between claim and dispatch past the deadline
-    Symptom: an approval that runs long after its caller gave up on it.
-    Sequence: the claim holds, the entry freezes, the deadline passes, it thaws.
-    Cause: a frozen process goes on where it was, with a claim in its hands.
+    Guards against an approval that runs long after its caller gave up. The
+    claim is written, the entry freezes, the deadline passes, and the entry
+    wakes and continues where it was, with a valid claim.
     Given a deployment for work that runs at most once
     And the platform takes 400 ms for a call and loses the next claim's answer
     When "k" is sent through bkk with 1500 ms left
@@ -125,9 +123,9 @@
     And what ran agrees with every answer
 
   Scenario: The answers to claims are lost
-    Symptom: a claim that nobody holds, or one that two entries hold.
-    Sequence: a claim takes effect, the connection closes before its answer.
-    Cause: a lost answer looks like a lost call.
+    Guards against a claim that no entry holds, or that two entries hold. The
+    claim takes effect, and the connection closes before its response. A lost
+    response looks like a lost call.
     Given a deployment for work that runs at most once
     When the platform loses the next claim's answer
     And "k" is sent through bkk
@@ -140,9 +138,9 @@
     And what ran agrees with every answer
 
   Scenario: The platform is out
-    Symptom: callers that wait, or approvals that run without a claim.
-    Sequence: the platform closes every connection; later it is back.
-    Cause: without the platform nobody can say that a key is new.
+    Guards against waiting callers and approvals that run without a claim. The
+    platform closes every connection and comes back later. Without the platform
+    no entry can tell whether a key is new.
     Given a deployment for work that runs at most once
     When the platform is out
     And "k" is sent through bkk
@@ -158,9 +156,9 @@
     And what ran agrees with every answer
 
   Scenario: The platform is slow
-    Symptom: a claim that takes effect after its caller was told "not run".
-    Sequence: calls take 2 s, the claim is given up, its write holds later.
-    Cause: giving up on a write does not take it back.
+    Guards against a claim that takes effect after its caller was told "not
+    run". Calls take 2 s, and the claim is abandoned, but its write takes effect
+    later: abandoning a write does not undo it.
     Given a deployment for work that runs at most once
     When the platform takes 2000 ms for a call
     And "k" is sent through bkk
@@ -174,9 +172,8 @@
     And what ran agrees with every answer
 
   Scenario: One key is sent to three entries at once
-    Symptom: an approval booked twice.
-    Sequence: a caller sends to all it knows instead of waiting.
-    Cause: three entries find the key free at the same moment.
+    Guards against an approval that runs twice. A caller sends it to all known
+    entries at once, and three entries find the key free at the same time.
     Given a deployment for work that runs at most once
     When 12 keys are each sent through all entries at once
     Then each key ran once
@@ -210,9 +207,9 @@
     And what ran agrees with every answer
 
   Scenario: The deadline passes while a request waits for a slot
-    Symptom: an approval told "not run" that runs a moment later.
-    Sequence: all slots are taken, the deadline passes, a slot comes free.
-    Cause: what waits is still in a queue when its answer is written.
+    Guards against an approval reported as "not run" that runs shortly after.
+    All slots are taken, the deadline passes, and a slot becomes free while the
+    request is still in a queue and its response is being written.
     Given a deployment for work that runs at most once, with 1 slots
     When every slot is taken for 900 ms
     And "k" is sent through bkk with 300 ms left
@@ -230,9 +227,9 @@
     And what ran agrees with every answer
 
   Scenario: The caller leaves while its work runs
-    Symptom: an approval that ran and whose outcome nobody can tell.
-    Sequence: the caller's connection breaks, the upstream works on.
-    Cause: work that must not repeat was cancelled with its caller.
+    Guards against an approval that ran with an unknown outcome. The caller's
+    connection breaks while the upstream works. A request that must not repeat
+    was cancelled with its caller.
     Given a deployment for work that runs at most once
     When "k" is sent through cnx and takes 600 ms
     And an upstream has "k"
@@ -255,9 +252,9 @@
     And what ran agrees with every answer
 
   Scenario: A repeat finds every slot taken
-    Symptom: a caller is told "not run" of an approval that ran.
-    Sequence: the approval runs, the caller repeats it, no slot is free.
-    Cause: the repeat is refused before anybody has looked its key up.
+    Guards against a caller that is told "not run" of an approval that ran. The
+    approval runs, the caller repeats it, and no slot is free. The repeated
+    request was refused before its key was looked up.
     Given a deployment for work that runs at most once, with 1 slots
     When "k" is sent through bkk
     And the outcome of "k" has been recorded
--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -12,29 +12,28 @@
     Then the edit is accepted as version 2
 
   Scenario: An old report of a version does not count
-    # Symptom: an edit shown as accepted was not in force on one entry.
-    # Sequence: the entry reported the version and fell silent; its VM was
-    #   replaced; the new process had yet to learn the version.
-    # Cause: the report of the old process was taken for the new one's.
+    # Guards against an edit shown as accepted that is not in force on one
+    # entry. The entry reported the version and fell silent, its VM was
+    # replaced, and the new process did not have the version yet. The report of
+    # the old process was attributed to the new one.
     When operator "moira" edits version 1
     And "a, b, c" learn of it from the platform
     And "c" is silent for 10 seconds
     Then the edit is pending and lacks "c"
 
   Scenario: Two operators race and exactly one wins
-    # Symptom: an edit vanished though its operator had seen no error.
-    # Sequence: both read version 1, both wrote.
-    # Cause: the second write did not name the version it was made on.
+    # Guards against an edit that is lost without an error to its operator. Two
+    # operators read version 1 and both write. The second write did not name its
+    # base version.
     When operators "moira" and "somchai" edit version 1 at once
     Then exactly one edit is applied
     And the other is told of the winner and its version
     And the platform's history names 2 edits
 
   Scenario: The answer to a write is lost and the write took effect
-    # Symptom: an operator repeated an edit that was already applied, or was
-    #   told of a conflict with himself.
-    # Sequence: the write took effect, its answer was lost.
-    # Cause: the edit was not looked for by its id.
+    # Guards against an operator who repeats an applied edit, or gets a conflict
+    # with their own edit. The write takes effect and its response is lost. The
+    # edit was not looked up by its ID.
     Given the platform loses the answer of the next write
     When operator "moira" edits version 1
     Then the fate of the edit is "pending"
@@ -48,10 +47,9 @@
     And the platform's history names 2 edits
 
   Scenario: The answer is lost and the platform goes out
-    # Symptom: an operator was told that an edit failed, and it came into force.
-    # Sequence: the write took effect, its answer was lost, the read back found
-    #   the platform out.
-    # Cause: a failed read back was taken for a failed write.
+    # Guards against an edit reported as failed that comes into force. The write
+    # takes effect, its response is lost, and the platform is down when the
+    # entry reads back. A failed read back was taken for a failed write.
     Given the platform loses the answer of the next write and goes out
     When operator "moira" edits version 1
     Then the fate of the edit is "unknown"
@@ -73,9 +71,8 @@
     Then the edit is refused with kind "platform_unavailable" and did not run
 
   Scenario: The platform is rolled back to an older version
-    # Symptom: a configuration that operators had seen accepted reverted.
-    # Sequence: the platform was restored from a backup; entries followed it.
-    # Cause: an entry took whatever the platform served.
+    # Guards against the loss of an accepted configuration. The platform is
+    # restored from a backup, and entries applied whatever version it served.
     Given the platform is backed up
     When operator "moira" edits version 1
     And "a, b, c" learn of it from the platform
@@ -88,10 +85,9 @@
     Then the edit is accepted as version 3
 
   Scenario: After a rollback a silent entry blocks the repair
-    # Symptom: two texts under one version.
-    # Sequence: the platform lost version 3, which one silent entry has; an edit
-    #   over version 2 made another version 3.
-    # Cause: the number was drawn without knowing every entry's version.
+    # Guards against two texts under one version. The platform loses version 3,
+    # which one silent entry has, and an edit on version 2 creates another
+    # version 3. The number was chosen without the versions of all entries.
     Given the platform is backed up
     When operator "moira" edits version 1
     And "a, b, c" learn of it from the platform
--- a/features/control.feature
+++ b/features/control.feature
@@ -66,9 +66,9 @@
     And the output is JSON with "lacking" as ["e2"]
     And the edit that was sent has base version 7 and changes "services.matching.profile"
 
-  # Symptom: one operator's change is gone and nobody was told. Sequence: two
-  # operators read the same version and both write. Cause: a write without the
-  # version that it was made from.
+  # Guards against an operator's change that is lost without notice. Two
+  # operators read the same version and both write; a write without its base
+  # version overwrites the other.
   Scenario: The loser of a race is told what changed
     Given the file new.toml holds the configuration with slots = 3 as slots = 4
     And the entry answers "POST /v1/configuration" with status 409 and
@@ -91,9 +91,9 @@
     And the output says "profiles.local.headroom_fraction"
     And "POST /v1/configuration" was sent 0 times
 
-  # Symptom: an edit is applied twice, or undoes a later one. Sequence: the edit
-  # takes effect, its answer is lost, and the tool sends it again. Cause: a lost
-  # answer that is taken for a lost write.
+  # Guards against an edit that is applied twice, or that undoes a later one.
+  # The edit takes effect, its response is lost, and the tool sends it again. A
+  # lost response was taken for a failed write.
   Scenario: A lost answer is not a lost edit
     Given the entry loses its answer to "POST /v1/configuration"
     And the fate of every edit is accepted as version 8
@@ -158,9 +158,9 @@
     And the notes say "work left 2, last new work 0.5 s ago"
     And the output says "matching-se1-1 has no work left after"
 
-  # Symptom: a VM is stopped with work still on it. Sequence: its home entry dies
-  # during the drain, so nobody knows what runs there, and the tool reads that as
-  # nothing. Cause: unknown taken for zero.
+  # Guards against a VM that is stopped with requests in flight. Its home entry
+  # dies during the drain, so nobody knows what runs there. The tool treated
+  # unknown as zero.
   Scenario: Unknown work is not a finished drain
     Given the entry answers "POST /v1/marks" with
       """
@@ -190,8 +190,8 @@
     And the mark that was sent is "matching-se1-1" with leaving false
     And the output says "takes work again"
 
-  # Symptom: a drain seems never to end. Sequence: the operator asks an entry
-  # that is not the home of the upstream. Cause: only the home knows what runs.
+  # Guards against a drain that seems never to end. The operator asks an entry
+  # that is not the upstream's home, and only the home knows what runs.
   Scenario: The work left is asked of the home
     Given another entry
     And the entry answers "POST /v1/marks" with
@@ -229,9 +229,8 @@
     Then the exit code is 0
     And "POST /v1/marks" was sent 2 times
 
-  # Symptom: a region looks idle while it is lost. Sequence: its entries no
-  # longer answer, and the last that others knew of it is shown. Cause: silence
-  # taken for calm.
+  # Guards against a lost region that looks idle. Its entries no longer answer,
+  # and their last report is shown. Silence was taken for low load.
   Scenario: The status never shows what is unknown as calm
     Given another entry
     And the entry answers "GET /v1/status" with
--- a/features/crash_late.feature
+++ b/features/crash_late.feature
@@ -1,6 +1,7 @@
 Feature: A crashing request is stopped though heartbeats leave late
 
-  # Guards against a third upstream that ends while the word of the second waits for a thread.
+  # Guards against a third upstream that ends while the report on the second one
+  # waits for a thread.
   Scenario Outline: A crashing request is resent while heartbeats leave late
     Given three regions with an entry and three upstreams each, whose heartbeats leave late
     When a <kind> that crashes upstreams is sent 20 times through all entries
--- a/features/documents.feature
+++ b/features/documents.feature
@@ -14,9 +14,9 @@
     And the changed keys are "services.quoting.profile"
     And the configuration is valid
 
-  # Symptom: a comment stands above the wrong table. Sequence: a new profile is
-  # put in after the other profiles. Cause: the comment above the next table
-  # belongs, to the library, to the table before it.
+  # Guards against a comment that ends up above the wrong table. A new profile
+  # is inserted after the other profiles, and the library attaches the comment
+  # above the next table to the table before it.
   Scenario: A new profile parts no comment from its table
     Given the configuration of "tallow-brae"
     When the field "policy" of profile "night" is set to "spread"
@@ -56,9 +56,9 @@
     When the field "headroom_fraction" of profile "lokal" is set to 0.5
     Then the edit is refused as "not_found" with "write local"
 
-  # Symptom: an edit of one profile moves another setting. Sequence: the document
-  # has its tables in an odd form and is written back wrongly. Cause: text that
-  # is taken without reading it back.
+  # Guards against an edit of one profile that changes another setting. The
+  # document formats its tables unusually and is written back wrongly, because
+  # the written text was not read back for comparison.
   Scenario: An edit that the document's form does not allow is refused
     Given the configuration text
       """
--- a/features/emulator.feature
+++ b/features/emulator.feature
@@ -34,9 +34,9 @@
       | none              | safe   | 0 s                       |
       | none              | upload | never                     |
 
-  # Symptom: an experiment says that a far upstream is as good as a near one.
-  # Sequence: bytes of one connection wait for their time. Cause: a wait for each
-  # piece one after the other, or pieces that pass each other.
+  # Guards against an experiment that shows a far upstream as equal to a near
+  # one. Bytes of a connection wait for their delay; chunks were delayed one
+  # after the other, or overtook each other.
   Scenario: A distance delays each way and keeps the order
     Given an echo behind a proxy at a distance of 40 ms
     When 50 pieces are sent through it at once
@@ -52,9 +52,9 @@
       | almondstair/entries/g1 | peers   |
 
   Scenario: Gateways speak to each other over their distance
-    # Symptom: an experiment shows far regions' loads as fresh as near ones.
-    # Sequence: gateways of two regions ask each other. Cause: each was told
-    # where the other listens, past its distance.
+    # Guards against an experiment that shows loads of far regions as fresh as
+    # near ones. Gateways of two regions query each other, and each was given
+    # the direct address of the other, which bypasses the emulated distance.
     Given a small deployment whose regions are 10 ms apart
     When its gateways have taken callers for 3 s
     Then each gateway was reached by the other's way, and by none from its own zone
--- a/features/gateway_answers.feature
+++ b/features/gateway_answers.feature
@@ -1,27 +1,27 @@
 Feature: Each caller gets the whole answer to its own request
 
-  # Symptom: a caller's answer carries two signatures. Sequence: an upstream
-  # sends a second answer in the same packet as the first. Cause: headers of the
-  # second one were added to the first one's.
+  # Guards against a response with two signatures. An upstream sends a second
+  # response in the same packet as the first, and its headers were added to
+  # those of the first.
   Scenario: A second answer right behind the first adds nothing to it
     Given a gateway with 1 upstream
     And the upstream's fault "extra" strikes every 1 requests
     When 6 requests go to "/safe/x"
     Then each answer is the whole one of its own request
 
-  # Symptom: a caller gets the answer to somebody else's request. Sequence: an
-  # upstream sends an answer once more, late, when the connection already
-  # carries the next request. Cause: answers were taken in order, without
-  # looking at the id that they echo.
+  # Guards against a caller that gets the response to another request. An
+  # upstream repeats a response late, when the connection already carries the
+  # next request. Responses were matched by order, without a check of the
+  # request ID that they echo.
   Scenario: A second answer that comes late goes to nobody
     Given a gateway with 1 upstream
     And the upstream's fault "late_extra" strikes every 2 requests
     When 12 requests go to "/safe/x"
     Then each answer is the whole one of its own request
 
-  # Symptom: a caller takes half an answer for the whole. Sequence: an upstream
-  # breaks off in the middle of a body. Cause: the answer was passed on before
-  # its end was seen.
+  # Guards against a truncated response taken for a complete one. An upstream
+  # closes in the middle of a body, and the response was forwarded before its
+  # end had arrived.
   Scenario Outline: An answer that is cut is asked for again where it may be
     Given a gateway with 2 upstreams
     And the upstream's fault "<fault>" strikes every 1 requests
@@ -39,9 +39,9 @@
     When 3 requests go to "/safe/x"
     Then each answer is the whole one of its own request
 
-  # Symptom: look-ups of one page are slow one after the other, or their answers
-  # change places. Sequence: a caller sends several before the first answer.
-  # Cause: they were served one by one, or answered as they became ready.
+  # Guards against slow or reordered responses to the lookups of one page. A
+  # caller sends several before the first response; they were served one by one,
+  # or answered as they completed.
   Scenario: Requests sent together are answered in order and run side by side
     Given a gateway with 1 upstream that works 0.3 s
     When 3 requests to "/safe/x" are sent together on one connection
@@ -55,8 +55,8 @@
     And a body of 1500000 bytes is sent in chunks
     Then each body arrived as it was sent
 
-  # Symptom: an upstream runs a request that no caller sent. Sequence: a request
-  # states its length in two ways. Cause: two readers find different ends.
+  # Guards against an upstream that runs a request no caller sent. A request
+  # states its length in two ways, and two readers find different ends.
   Scenario Outline: A request that can be read in two ways is refused and closed
     Given a gateway with 1 upstream
     When the bytes of a request with "<header>" are sent
@@ -69,8 +69,9 @@
       | Content-Length: 5\r\nContent-Length: 6          |
       | Transfer-Encoding: gzip                         |
 
-  # Symptom: a gateway runs out of descriptors. Sequence: callers stop in the
-  # middle of a head and keep their connections. Cause: nothing ended the wait.
+  # Guards against a gateway that runs out of file descriptors. Callers stop in
+  # the middle of a request head and keep their connections, and no timeout
+  # ended the wait.
   Scenario: A head that does not end is waited for no longer than the limit
     Given a gateway with 1 upstream
     When half of a head is sent
--- a/features/gateway_change_lines.feature
+++ b/features/gateway_change_lines.feature
@@ -1,20 +1,20 @@
 Feature: Many registrations that change at once take one line
 
-  # Guards against a log that leaves out why requests fail.
+  # Guards against a log without the reasons why requests fail.
   Scenario: The first listing of a large fleet takes a few lines
     Given an entry that follows a store with 539 upstreams and 195 entries
     When it takes the first listing
     Then it has written 3 lines at most
     And one of them counts 734 changes, by service and zone
 
-  # Guards against a change of one upstream that is lost in a sum.
+  # Guards against a change of one upstream that is hidden in an aggregate.
   Scenario: A few changes have their own lines
     Given an entry that follows a store with 539 upstreams and 195 entries
     When it takes the first listing
     And 3 upstreams drain
     Then it has written a line for each of them
 
-  # Guards against a fleet that starts anew: its ends are counted, too.
+  # Guards against a restarted fleet whose ended upstreams are not counted.
   Scenario: Beyond twenty changes of one answer the rest is counted
     Given an entry that follows a store with 539 upstreams and 195 entries
     When it takes the first listing
--- a/features/gateway_core.feature
+++ b/features/gateway_core.feature
@@ -1,7 +1,8 @@
 Feature: The gateway's decisions keep their bounds
 
-  # Symptom: a split sends a part several percent off its weight. Sequence: some
-  # hundred requests of a route with two parts. Cause: parts drawn by chance.
+  # Guards against a traffic split that deviates from its weights by several
+  # percent. A route with two destinations gets some hundred requests, and
+  # destinations were drawn at random.
   Scenario: A split route deals its requests out by weight
     When 300 requests are dealt out over parts of 70, 20 and 10
     Then each part is within 1 request of its weight
@@ -13,8 +14,8 @@
     Given the routes "/a/", "/a/b/" and "/c/"
     Then the longest one decides for "/a/b/x", "/a/bc" and "/d/x"
 
-  # Symptom: many requests change their region at once. Sequence: one upstream
-  # goes. Cause: keys dealt out by their number among the upstreams.
+  # Guards against many requests that change their region at once when one
+  # upstream goes. Keys were assigned by their number modulo the upstreams.
   Scenario: Losing an upstream moves only its keys
     Given 12 upstreams in 3 regions and 400 keys
     When one upstream goes
@@ -25,8 +26,8 @@
     Then the small region keeps between 0.3 and 0.5 of its keys
     And the region with 50 slots keeps all of its keys
 
-  # Symptom: second tries of all entries exceed the operators' bound.
-  # Sequence: every entry uses its budget at once. Cause: budgets of their own.
+  # Guards against retries of all entries that exceed the operators' limit.
+  # Every entry used its whole budget at once, since budgets were separate.
   Scenario Outline: Second tries of all entries keep under the bound
     Then <entries> entries with 20 requests each take at most the bound of 56
 
@@ -45,14 +46,14 @@
       | 8       |
       | 81      |
 
-  # Symptom: a version that was in force is replaced by an older one. Sequence:
-  # a peer or a late read serves it. Cause: the newest word was taken.
+  # Guards against a version in force that is replaced by an older one. A peer
+  # or a late read serves the old version, and the latest message was applied.
   Scenario: An older configuration is never put in force
     When versions 5, 3 and 8 arrive in this order
     Then versions 5 and 8 were put in force, and 3 was not
 
-  # Symptom: requests wait behind each other while their object would have been
-  # known. Sequence: a service is full. Cause: new objects spread over it.
+  # Guards against requests that queue although an upstream has their object
+  # cached. A service is full, and new objects were spread over its upstreams.
   Scenario: In a crowd an object runs at its home or where it is known
     Given a service whose upstreams have 90 of 100 slots in use
     Then a new object is sent to its home only
@@ -65,31 +66,31 @@
     When 30 s go by
     Then requests go to the first one again
 
-  # Symptom: requests are refused as there is no room, with a whole region idle.
-  # Sequence: all callers come through one region. Cause: what waits in that
-  # region's queues was counted as slots in use of the service.
+  # Guards against requests refused for lack of capacity while a whole region is
+  # idle. All callers use one region, and requests in its queues were counted as
+  # slots of the service in use.
   Scenario: One region's queues do not make a service look full
     Given a service with 2 upstreams of 3 slots each
     When one of them holds 12 requests and the other none
     Then half of the service's slots are in use
 
-  # Symptom: the operators' bound on changes of region is broken when a burst
-  # begins, and again when it ends. Cause: only one of the two was looked at.
+  # Guards against violations of the operators' limit on region changes at the
+  # start and the end of a burst. Only one of the two was checked.
   Scenario: Requests come back to their region step by step, too
     Given an entry that sent 0.4 of its requests to another region for 4 s
     When its own region has room for all of them
     Then from one 2 s window to the next at most 0.15 of them come back
 
-  # Symptom: requests are refused for seconds after a zone was lost. Cause: they
-  # were held to their region although its upstreams had gone.
+  # Guards against requests refused for seconds after the loss of a zone. They
+  # were restricted to their region although its upstreams were gone.
   Scenario: After an upstream has gone requests may move at once
     Given an entry that sent 0 of its requests to another region for 4 s
     When an upstream has gone
     Then no region is barred
 
-  # Symptom: uploads through some VMs are several times slower than through
-  # others. Sequence: a region has VMs of very different links; callers pick any
-  # of those that look-ups name. Cause: all were named to all.
+  # Guards against uploads that are several times slower through some VMs than
+  # through others. The VMs of a region have very different links, and lookups
+  # named all of them to all callers, which pick any.
   Scenario: Look-ups name VMs to callers by what the VMs can carry
     Given a region of 2 zones with 2 large VMs and 12 small ones each
     When 2000 callers look up and pick any of the named
@@ -101,25 +102,25 @@
     Given a region of 2 zones with 3 large VMs and 0 small ones each
     Then each look-up names 6 VMs
 
-  # Symptom: callers give up their connections whenever a VM comes or goes.
-  # Cause: lists drawn anew for everybody.
+  # Guards against callers that drop their connections whenever a VM comes or
+  # goes. The lists of all callers were drawn again.
   Scenario: A VM's end changes the lists of its own callers only
     Given a region of 2 zones with 2 large VMs and 12 small ones each
     When a small VM ends
     Then only lists that named it have changed, by one VM each
 
-  # Symptom: an upstream that left gets requests. Sequence: it says that it
-  # leaves, its registration is removed, and a write from before is made late.
-  # Cause: nothing was remembered of an upstream that is gone.
+  # Guards against requests to an upstream that has left. It reports that it
+  # leaves, its registration is removed, and an earlier write arrives late. No
+  # record of removed upstreams was kept.
   Scenario: A late word does not bring back an upstream that left
     Given a service with 2 upstreams of 3 slots each
     When one of them drains and is removed, and an older word of it comes
     Then only the other one gets new work
 
-  # Symptom: hundreds of lines say that upstreams came and went; requests meet
-  # upstreams that are long gone. Sequence: an upstream's address has another
-  # incarnation; its registration stays while the store's leases stand still.
-  # Cause: it was dropped, and each listing brought it back.
+  # Guards against hundreds of log lines on upstreams that come and go, and
+  # requests to upstreams long gone. An upstream's address has a new incarnation
+  # while the old registration stays as long as the store's leases do not
+  # expire. The upstream was dropped, and each listing added it again.
   Scenario: An upstream that was found replaced does not come back
     Given a service with 2 upstreams of 3 slots each
     When one of them is found replaced here, and a listing still has it
--- a/features/gateway_crashing.feature
+++ b/features/gateway_crashing.feature
@@ -1,6 +1,7 @@
 Feature: A request that crashes upstreams is stopped by every gateway
 
-  # Guards against upstreams that end one after the other by a request that is resent faster than its word.
+  # Guards against upstreams that crash one after the other because a request is
+  # resent faster than its crash report arrives.
   Scenario Outline: A crashing request is resent at any pace through all gateways
     Given <gateways> gateways in <zones> zones with 8 upstreams
     And requests to "<path>" end the upstreams that run them
@@ -21,19 +22,21 @@
       | 8        | 3     | GET    | /unsafe/poison | 6     | 20    | 0.4   |
       | 2        | 3     | POST   | /safe/poison   | 4     | 20    | 2     |
 
-  # Guards against a look-up being refused because it ran where upstreams ended for another reason.
+  # Guards against a lookup that is refused because it ran on upstreams that
+  # ended for another reason.
   Scenario: Upstreams that end together do not put a look-up under suspicion
     Given 3 gateways in 3 zones with 9 upstreams
     When 3 upstreams are killed while they run the same look-up
     Then that look-up is answered through every gateway within 1.0 s
     And of 60 of that look-up, 6 at a time, at most 3 are not answered
 
-  # Guards against the same where some of the look-ups had just begun.
+  # Guards against the same when some of the lookups had just started.
   Scenario: Look-ups that had just begun where three upstreams end refuse nothing
     When 3 upstreams end within 10 ms, each with a look-up that ran 200 ms and one that ran 1 ms
     Then that look-up is suspect, and not refused
 
-  # Guards against look-ups being refused because live upstreams lost answers.
+  # Guards against lookups that are refused because live upstreams lost
+  # responses.
   Scenario: Lost answers of live upstreams refuse a look-up for a moment only
     Given 3 gateways in 3 zones with 9 upstreams
     And every upstream loses one answer in 4
@@ -41,7 +44,8 @@
     Then at most 12 of them are refused as quarantined
     And that look-up is answered through every gateway within 1.0 s
 
-  # Guards against entries of several regions that send one crashing request to an upstream each.
+  # Guards against entries of several regions that each send a crashing request
+  # to one upstream.
   Scenario Outline: A crashing request is resent through 195 entries of three regions
     Given 195 entries in 9 zones of 3 regions, 539 upstreams and a route <placed>
     When one request that ends its upstreams is resent by <callers> callers for 4 s
--- a/features/gateway_explaining.feature
+++ b/features/gateway_explaining.feature
@@ -1,7 +1,7 @@
 Feature: A failed request can be explained from its id
 
-  # Symptom: the process answers nobody. Sequence: what reads its log stops
-  # reading; the pipe fills. Cause: a write to the log that waits.
+  # Guards against a process that stops answering. The reader of its log stops
+  # reading, the pipe fills, and writes to the log block.
   Scenario: A log that nobody reads slows nothing
     Given a gateway whose log goes to a pipe that nobody reads
     When 3000 requests go to "/safe/x" in a hurry
@@ -26,8 +26,8 @@
     When 1 requests go to "/safe/x"
     Then "why" tells of a 200 "was slow"
 
-  # Symptom: "why" refuses an id that stands in the log. Sequence: the id has
-  # only digits, or digits and one e. Cause: it was read as a number.
+  # Guards against "why" refusing an ID from the log. The ID has only digits, or
+  # digits and one e, and was parsed as a number.
   Scenario Outline: A request id that looks like a number
     Given a log with a refusal of request "<id>"
     Then "why" tells of that request "refused, not run"
@@ -43,10 +43,10 @@
     When the second gateway is killed
     Then "gateway status" shows the first one's picture and the second's silence
 
-  # Symptom: a caller complains of a look-up that never came; the log says that
-  # it was answered in time. Sequence: a caller sends a slow request and a quick
-  # one together on a connection. Cause: answers leave in the order of the
-  # requests, and nothing told how long the quick one's lay ready.
+  # Guards against a log that reports a lookup as answered in time although the
+  # caller did not get it. A caller sends a slow request and a quick one
+  # together on a connection. Responses leave in the order of the requests, and
+  # the log did not show how long the quick response waited.
   Scenario Outline: An answer that waited behind another one of its connection
     Given a gateway with 1 upstream that works 0.6 s
     When a new object's request and a known one's are sent together, and the caller <leaves>
@@ -58,17 +58,17 @@
       | waits for both       | answered 200                             |
       | leaves after 0.4 s   | and the caller left before it was sent   |
 
-  # Symptom: a refusal is put down to a lack of room while another region's
-  # upstreams are idle. Sequence: a burst; requests change their region step by
-  # step. Cause: the line did not say which regions had had their part.
+  # Guards against a refusal attributed to a lack of capacity while upstreams of
+  # another region are idle. In a burst, requests change their region step by
+  # step, and the log line did not name the regions whose share was used up.
   Scenario: A refusal names the regions that it was held back from
     Given a gateway with 1 upstream in its own region and 1 in another
     When 30 requests a second are sent for 5 s and then 200 a second for 2 s
     Then a refusal's line names the other region as held back, and "why" says so
 
-  # Symptom: a service is late for many, and nobody knows whether it lacks slots,
-  # sends badly, or waits on its upstreams. Sequence: any. Cause: logs tell of
-  # requests one by one.
+  # Guards against a service that is late for many requests without a way to
+  # tell whether it lacks slots, distributes requests badly, or waits for its
+  # upstreams. Logs describe single requests only.
   Scenario Outline: Lost and late requests are told by cause
     Given a log with a request that <ended>
     Then "losses" counts 1 request, "<cause>"
--- a/features/gateway_fleet.feature
+++ b/features/gateway_fleet.feature
@@ -20,8 +20,8 @@
     When the configuration before that is written again
     Then "/new/x" is answered 200 for 1.5 s
 
-  # Symptom: the gateway misses what changed. Sequence: the store drops its
-  # history between two polls. Cause: only changes were asked for.
+  # Guards against a gateway that misses changes. The store drops its history
+  # between two polls, and the gateway polled changes only.
   Scenario: A store that forgets its history is listed anew
     Given a gateway with 2 upstreams
     When the store drops its history while the first upstream drains
@@ -39,17 +39,17 @@
       | reset  |
       | silent |
 
-  # Symptom: after an outage of the store, callers find no upstream. Sequence:
-  # registrations lapse while the store is away. Cause: each removal was taken
-  # for the end of an upstream.
+  # Guards against callers that find no upstream after an outage of the store.
+  # Registrations expire while the store is down, and each removal was taken for
+  # the end of an upstream.
   Scenario: Registrations that lapse with the store are kept for a moment
     Given a gateway with 2 upstreams
     When the store is "silent" for 2 s and forgets the upstreams meanwhile
     Then every request meanwhile was answered 200
 
-  # Symptom: a gateway that starts while the store is away serves nobody until
-  # it is back. Sequence: a process is killed during an outage. Cause: only the
-  # store was asked.
+  # Guards against a gateway started during an outage of the store that serves
+  # nobody until the store is back. A process is killed during the outage, and
+  # its successor asked only the store.
   Scenario: A gateway that starts during an outage learns from another
     Given 2 gateways with 1 upstream that know each other
     When the store is "reset" and the second gateway is started anew
@@ -60,8 +60,8 @@
     When the store is "reset" for 4 s and on, and the second gateway starts anew
     Then the second gateway serves "/safe/x" within 3 s
 
-  # Symptom: a zone's gateways run an old configuration. Sequence: the one that
-  # asks the store for the zone freezes. Cause: the others waited for it.
+  # Guards against gateways of a zone that run an old configuration. The one
+  # that reads the store for the zone freezes, and the others waited for it.
   Scenario: A configuration reaches a zone whose reader of the store is frozen
     Given 2 gateways with 1 upstream that know each other
     When the zone's reader of the store freezes and a configuration adds "/more/"
@@ -73,9 +73,9 @@
     When the first configuration is written
     Then "/safe/x" is answered 200 within 2.0 s
 
-  # Symptom: after a loss of power requests are refused although the store
-  # answers. Sequence: a process listens and has not yet listed the store; a
-  # request comes. Cause: it was refused at once, with no other entry to go to.
+  # Guards against requests refused after a power loss although the store
+  # answers. A process listens before its first listing of the store. A request
+  # was refused at once when there was no other entry to retry at.
   Scenario: A request that comes just before the first listing is served
     Given 2 gateways with 1 upstream
     When the second gateway starts anew while the store is silent for 0.3 s more
@@ -87,17 +87,17 @@
     When the second gateway is killed
     Then look-ups name 1 gateways within 6 s
 
-  # Symptom: a live gateway drops out of look-ups, and callers give up their
-  # connections to it. Sequence: the store is away for a moment, when a renewal
-  # is due. Cause: the next renewal came after the lease had ended.
+  # Guards against a live gateway that disappears from lookups, so that callers
+  # drop their connections to it. The store is briefly down when a renewal is
+  # due, and the next renewal came after the end of the lease.
   Scenario: A gateway whose renewal was lost stays in look-ups
     Given 2 gateways with 1 upstream that know each other
     When the store is "silent" for 1 s of each 4 s, three times, and leases run on
     Then look-ups named 2 gateways all the time
 
-  # Symptom: a cold upstream gets more than it bears. Sequence: a gateway starts
-  # while another deals the bound out among those it knows. Cause: the new one
-  # took its part before the others knew of it.
+  # Guards against a cold upstream that gets more than its limit. A gateway
+  # starts while another one divides the limit among the gateways it knows, and
+  # the new one used its share before the others knew of it.
   Scenario: Gateways that do not know each other yet keep to a cold upstream's bound
     Given 2 gateways with 1 upstream that is cold for 3 s
     When requests are sent through both for 2 s
--- a/features/gateway_following.feature
+++ b/features/gateway_following.feature
@@ -1,9 +1,10 @@
 Feature: An entry follows the store through others
 
-  # Symptom: an entry runs an old configuration for seconds, or for good, while
-  # its peer has the newer one. Sequence: the peer's word is too old to be relied
-  # on when the change is in it; the next word is fresh and has only what changed
-  # since. Cause: the old word was dropped whole, and the change with it.
+  # Guards against an entry that runs an old configuration for seconds, or for
+  # good, while its peer has the newer one. The peer's report that contains the
+  # change is too old to be relied on; the next report is fresh and contains
+  # only later changes. The old report was dropped completely, and the change
+  # with it.
   Scenario: A change that came in an old word is in force
     Given an entry at configuration 2 that follows a peer
     When the peer gets configuration 4, and its word is 2 s old when it is asked
@@ -16,18 +17,19 @@
     Then configuration 4 is in force
     And the entry does not count as in touch with the store
 
-  # Symptom: entries of one zone have a large configuration seconds after the
-  # others. Sequence: 1,400 routes are added; a reader behind a small link gives
-  # hundreds of kilobytes to each entry of its zone. Cause: it was told as it was stored.
+  # Guards against entries of one zone that get a large configuration seconds
+  # after the others. 1,400 routes are added, and a reader behind a small link
+  # sends hundreds of kilobytes to each entry of its zone. The configuration was
+  # sent in its stored form.
   Scenario: A large configuration is told in few bytes
     Given an entry at configuration 2 that follows a peer
     When the peer gets configuration 4 with 1400 routes, and is asked
     Then configuration 4 is in force
     And the peer told it in less than a tenth of its size
 
-  # Symptom: an entry behind a small link never has a large configuration.
-  # Sequence: the store's answer takes longer than the time for a call. Cause: one
-  # time for the whole answer, after which it began anew.
+  # Guards against an entry behind a small link that never gets a large
+  # configuration. The store's response takes longer than the timeout of a call.
+  # One timeout covered the whole response, and then the call started again.
   Scenario Outline: An answer that keeps coming is waited for
     Given a server that sends its answer in <pieces> pieces, <pause> s apart
     When it is called with a time of 0.4 s
@@ -42,19 +44,20 @@
     Given entries of a zone with links of 10, 100 and 10 Mbit/s
     Then the one with 100 Mbit/s works for the zone, whatever the names
 
-  # Symptom: while the store is away a service refuses many times as much.
-  # Sequence: an entry asks a peer for the first time and is told everything.
-  # Cause: what upstreams said of their cold start was taken as of now.
+  # Guards against a service that refuses many times as many requests while the
+  # store is down. An entry queries a peer for the first time and gets the
+  # complete state. The cold starts of upstreams in it were counted from the
+  # time of the query.
   Scenario: What is known already is not taken again from another peer
     Given an entry at configuration 2 that follows a peer
     And an upstream that registered with 3 s of coldness, which are over
     When another peer is asked for the first time, and its word is 2 s old
     Then the upstream is not cold
 
-  # Symptom: requests reach an upstream seconds after it said that it leaves.
-  # Sequence: the store's watches hear nothing for a second, then its history is
-  # dropped; the listing after that has what was missed, written before the
-  # revision that the entry thinks it is at. Cause: it was taken for known.
+  # Guards against requests to an upstream seconds after it reported that it
+  # leaves. The store's watches receive nothing for a second, then its history
+  # is dropped. The next listing contains the missed changes, with revisions
+  # below the one the entry has reached, and they were taken for known.
   Scenario: A listing is taken whole, whatever its changes' revisions
     Given an entry at configuration 2 that follows a peer
     And an upstream that registered with 3 s of coldness, which are over
--- a/features/gateway_incarnations.feature
+++ b/features/gateway_incarnations.feature
@@ -1,8 +1,8 @@
 Feature: An upstream that starts again begins with nothing known of it
 
-  # Symptom: an upstream that is back is left alone, or flooded. Sequence: it
-  # crashes and starts again under its id. Cause: load, pauses, known objects and
-  # its leaving were kept by id.
+  # Guards against a restarted upstream that gets no requests or too many. It
+  # crashes and restarts under its ID. Its load, backoff, cached objects and
+  # leaving state were stored by ID.
   Scenario: A newer start of an upstream begins anew
     Given an entry that follows the store, with upstream "i-1" born at 1000
     And it was slow, failed, was left alone, knew object "o" and drains
@@ -11,18 +11,18 @@
     And no kept connection of the earlier start is used
     And a word of another entry on the earlier start changes nothing
 
-  # Symptom: an upstream that has just come back gets more than it bears while
-  # cold. Sequence: it crashes and starts again under its id and at its address;
-  # its registration is read 0.6 s later. Cause: it was taken for the warm one
-  # that could not be reached for a moment.
+  # Guards against a restarted cold upstream that gets more requests than it can
+  # carry. It crashes and restarts under its ID and at its address, and its
+  # registration is read 0.6 s later. It was taken for the warm upstream after a
+  # brief connection failure.
   Scenario: An upstream that could not be reached may come back cold
     Given an entry that follows the store, with upstream "i-1" born at 1000
     When "i-1" cannot be reached, and takes a connection 4 s later
     Then "i-1" is taken for cold for 3 s from then
 
-  # Symptom: a warm upstream gets next to nothing for its service's cold time.
-  # Sequence: its registration lapses, and it registers again. Cause: what was not
-  # registered a moment ago was taken for a new start.
+  # Guards against a warm upstream that gets hardly any requests during the cold
+  # time of its service. Its registration expires, and it registers again. Any
+  # upstream without a previous registration counted as newly started.
   Scenario: An upstream whose registration lapsed and is made again is as it was
     Given an entry that follows the store, with upstream "i-1" born at 1000
     When "i-1" is removed, and its registration born at 1000 comes
@@ -34,13 +34,13 @@
     And "i-1" is removed, and its registration born at 1000 comes
     Then "i-1" is cold
 
-  # Symptom: every request is refused with no_slot for a second, though all
-  # upstreams are warm and have slots free. Sequence: an entry lists everything from
-  # a peer, which tells the registration that it noted first. Cause: only a word of
-  # the very revision that was known lost its cold time, not an older one. What
-  # showed it: listings from peers (420), six upstreams with 0.998 s of cold time at
-  # revisions 3 to 8 where 12 to 17 were known (430), and refusals with 6 upstreams
-  # and a use of 1.0 (412) for 0.3 to 1.3 s after.
+  # Guards against all requests refused with no_slot for a second although all
+  # upstreams are warm and have free slots. An entry reads a full listing from a
+  # peer, which sends the registration it stored first. Only a report of exactly
+  # the known revision lost its cold time, not an older one. The signs are
+  # listings from peers (420), six upstreams with 0.998 s of cold time at
+  # revisions 3 to 8 where 12 to 17 were known (430), and refusals with 6
+  # upstreams and a utilisation of 1.0 (412) for 0.3 to 1.3 s after.
   Scenario: An older word of an upstream's cold start does not make it cold
     Given an entry that follows the store, with upstream "i-1" born at 1000
     When "i-1" says that it is cold for 2 s
@@ -53,9 +53,9 @@
     When "i-1" is removed, and its registration born at 2000 comes
     Then "i-1" is cold
 
-  # Symptom: requests go to the address of an upstream that is long gone.
-  # Sequence: "i-1" starts again; a peer's page, a listing or a late write brings
-  # its registration from before. Cause: the word that came last was taken.
+  # Guards against requests to the address of an upstream that is long gone.
+  # "i-1" restarts; a peer's page, a listing or a late write delivers its
+  # earlier registration. The registration that arrived last was applied.
   Scenario Outline: An older word does not bring an earlier start back
     Given an entry that follows the store, with upstream "i-1" born at 2000
     When <happens>
@@ -76,9 +76,9 @@
       | "i-1" is found replaced, and its registration born at 2000 comes | not there    |
       | "i-1" is found replaced, and its registration born at 3000 comes | born at 3000 |
 
-  # Symptom: requests go to an address that is none; an upstream vanishes; every
-  # entry loses touch with the store. Sequence: another writer leaves keys among
-  # the upstreams'. Cause: what could be decoded at all was taken.
+  # Guards against requests to an invalid address, upstreams that disappear, and
+  # entries that lose contact with the store. Another writer stores keys among
+  # those of the upstreams, and every decodable value was accepted.
   Scenario Outline: A registration of another writer names no upstream
     Given an entry that follows the store, with upstream "i-1" born at 2000
     When the store has a registration whose <field> is <value>
@@ -133,7 +133,7 @@
     Given an entry that follows the store, with upstream "i-1" born at 2000
     Then 300 mutated registrations of upstreams and entries leave only usable ones
 
-  # Symptom: a scan that is lost on the way is answered as an unknown outcome.
-  # Cause: a kind of route that was not known counted as not repeatable.
+  # Guards against a lost scan that is answered as an unknown outcome. An
+  # unknown kind of route counted as not repeatable.
   Scenario: Large answers may be tried again like other safe work
     Then a route of kind "download" is idempotent, and one of kind "other" is not
--- a/features/gateway_once.feature
+++ b/features/gateway_once.feature
@@ -1,8 +1,8 @@
 Feature: What must not repeat runs once, and a refusal is true
 
-  # Symptom: a payment is approved twice. Sequence: an upstream runs a request
-  # and its answer is lost; the request is sent to another one. Cause: no answer
-  # was taken for not run.
+  # Guards against a payment that is approved twice. An upstream runs a request
+  # and its response is lost. A missing response was taken for "not run", and
+  # the request was sent to another upstream.
   Scenario Outline: Work whose answer is lost is not sent again
     Given a gateway with 2 upstreams
     And the second upstream's fault "<fault>" strikes every 1 requests
@@ -23,9 +23,9 @@
     Then every one is answered 200
     And each of them ran once
 
-  # Symptom: a service runs another service's requests. Sequence: an upstream
-  # ends and its address goes to another service. Cause: the address was
-  # trusted. Each request names the incarnation that it is meant for.
+  # Guards against a service that runs requests of another service. An upstream
+  # ends and its address is reused by the other service. The address alone was
+  # trusted; each request names the incarnation it is meant for.
   Scenario: An address that another service took over runs nothing of the old one
     Given a gateway with 1 upstream
     When the upstream is killed and its address goes to another service
@@ -38,8 +38,8 @@
     Then some are refused with 503 and a time to come back within 0.2 s
     And no refused request ran
 
-  # Symptom: upstreams go on working for callers that are gone. Sequence: a
-  # caller closes its connection. Cause: nobody told the upstream.
+  # Guards against upstreams that work for disconnected callers. A caller closes
+  # its connection, and the upstream was not notified.
   Scenario: A caller that leaves frees its upstream
     Given a gateway with 1 upstream that works 1 s
     When a caller sends "/safe/x" and leaves after 0.2 s
@@ -62,9 +62,9 @@
     Then every one is answered 504
     And the answer came after 2.0 s and before 2.4 s
 
-  # Symptom: upstreams end one after the other. Sequence: a request crashes the
-  # upstream that runs it; its caller sends it again, through any gateway.
-  # Cause: nobody remembered what had been running there.
+  # Guards against upstreams that crash one after the other. A request crashes
+  # the upstream that runs it, and its caller retries through any gateway. No
+  # record was kept of what had been running there.
   Scenario: A request that crashes upstreams ends three at most
     Given 2 gateways with 6 upstreams
     And requests to "/unsafe/poison" end the upstreams that run them
--- a/features/gateway_regions.feature
+++ b/features/gateway_regions.feature
@@ -1,8 +1,8 @@
 Feature: Requests stay in the regions that they belong to
 
-  # Symptom: a request that law or contract keeps to a region runs elsewhere.
-  # Sequence: the region's upstreams are full, slow or gone. Cause: room was
-  # looked for everywhere.
+  # Guards against a request that runs outside the region required by law or
+  # contract. The region's upstreams are full, slow or gone, and capacity was
+  # searched in all regions.
   Scenario: A route that is kept to a region runs nowhere else
     Given a gateway with an upstream in its own region and one in another
     When a route is kept to the own region and its upstream becomes 20 times slower
@@ -10,8 +10,8 @@
     Then the other region's upstream got none of them
     And each of them was answered 200, 502, 503 or 504
 
-  # Symptom: bodies reach machines of a region that is neither the caller's nor
-  # one of the route's. Sequence: callers look up an entry. Cause: look-ups named
+  # Guards against bodies that reach VMs of a region that is neither the
+  # caller's nor one of the route's. Callers look up an entry, and lookups named
   # entries of every region.
   Scenario: Look-ups name entries of the caller's region while it has any
     Given two gateways in one region and one in another
@@ -19,27 +19,27 @@
     When the gateway of the other region is killed
     Then look-ups from there name the two that are left within 6 s
 
-  # Symptom: more than the operators' 0.15 of a region's requests run in another
-  # region from one 2 s window to the next, and the objects there are all new.
-  # Sequence: traffic rises past what the own region can carry. Cause: the
-  # surplus moves at one moment.
+  # Guards against more than the operators' 0.15 of a region's requests running
+  # in another region from one 2 s window to the next, with no object cached
+  # there. Traffic rises above the capacity of the own region, and the surplus
+  # moved all at once.
   Scenario: A burst moves a region's requests step by step
     Given a gateway with 2 upstreams in its own region and 2 in another
     When 45 requests a second are sent for 6 s and then 180 a second for 8 s
     Then from one 2 s window to the next at most 0.15 of them changed their region
     And at least 0.8 of them were answered 200
 
-  # Symptom: requests of a route that may run in one other region only are
-  # refused while their upstreams are idle. Sequence: their traffic grows beside
-  # that of other routes. Cause: they were held to the shares of the window before.
+  # Guards against requests of a route that may run in only one other region
+  # being refused while its upstreams are idle. Their traffic grows beside that
+  # of other routes, and they were limited to the shares of the previous window.
   Scenario: Requests that cannot stay are not held back
     Given a gateway with 2 upstreams in its own region and 2 in another
     When 40 requests a second are sent for 6 s, then 40 more a second to a route kept to the other region for 6 s
     Then at least 0.99 of them were answered 200
 
-  # Symptom: the system does not come back after a loss of power. Sequence: every
-  # process ends while the store is away; the store comes last. Cause: a process
-  # that ends, or stops asking, when its first call fails.
+  # Guards against a system that does not recover from a power loss. Every
+  # process restarts while the store is down, and the store comes last. A
+  # process ended, or stopped retrying, when its first call failed.
   Scenario: Everything ends while the store is down, and comes back
     Given 2 gateways with 1 upstream that know each other
     When the store is "reset", and every gateway and upstream is killed and started anew
--- a/features/gateway_settings.feature
+++ b/features/gateway_settings.feature
@@ -1,9 +1,9 @@
 Feature: A settings file that changes while a gateway runs
-  The platform may rewrite the file with a signal or without one.
+  The platform may rewrite the file with or without a signal.
 
-  # Symptom: a gateway runs by bounds, zones or a store's address that are no
-  # longer true, until its next start. Sequence: the file changes; no signal
-  # comes, or one that is only noted. Cause: the file was read at the start only.
+  # Guards against a gateway that runs with outdated limits, zones or store
+  # address until its next start. The file changes without a signal, or with one
+  # that was only recorded. The file was read only at the start.
   Scenario: A bound that changes without a signal is kept to
     Given a gateway with 1 upstream
     When its settings say that look-ups are kept 1.5 s
@@ -21,8 +21,8 @@
     When a second store with a newer configuration takes the first one's place
     Then "/later/x" is answered 200 within 4.0 s
 
-  # Symptom: a gateway ends, or forgets its bounds, at a bad edit. Sequence: the
-  # file is cut short while it is written, or a bound is missing.
+  # Guards against a gateway that ends, or loses its limits, on a bad edit. The
+  # file is truncated while it is written, or a limit is missing.
   Scenario: A settings file that cannot be read changes nothing
     Given a gateway with 1 upstream
     When its settings file is cut short and it gets SIGHUP
@@ -36,9 +36,9 @@
     And its log says that "listen" needs a restart
     And "/safe/y" is answered 200 within 3.0 s
 
-  # Symptom: a gateway that was just restarted ends again. Sequence: the platform
-  # says that the settings file changed, or stops it, while its modules are still
-  # being imported. Cause: nothing had taken the signal yet.
+  # Guards against a gateway that ends again right after a restart. The platform
+  # signals a change of the settings file, or a stop, while its modules are
+  # being imported and no signal handler was installed yet.
   Scenario Outline: A signal comes while the gateway is being started
     When <signal> comes as the gateway's modules are imported
     Then the process <ends>
--- a/features/gateway_stop.feature
+++ b/features/gateway_stop.feature
@@ -6,10 +6,9 @@
     Then the request is answered 200
     And the gateway is gone within 4.0 s with code 0
 
-  # Symptom: a request that was sent seconds after SIGTERM ends without an
-  # answer. Sequence: a caller goes on using its connection; its request is
-  # passed on shortly before the process has to be gone. Cause: requests were
-  # taken until the end.
+  # Guards against a request sent seconds after SIGTERM that ends without a
+  # response. A caller keeps using its connection, and its request is forwarded
+  # shortly before the process must end. Requests were accepted until the end.
   Scenario: A request that comes too late is refused and not cut
     Given a gateway with 1 upstream that works 1 s
     When the gateway gets SIGTERM and a caller keeps sending on open connections
--- a/features/gateway_views.feature
+++ b/features/gateway_views.feature
@@ -27,9 +27,9 @@
     And "gateway config history" lists versions 2 and 4 with their ages
     And "gateway config diff" against version 2 shows that "/more/" was added
 
-  # Symptom: a caller gets 404 for a route that was added, on one VM only.
-  # Sequence: the store turns one VM away while the configuration changes.
-  # Cause: found by the commands of docs/OPERATIONS.md, from the addresses alone.
+  # Guards against a 404 for a newly added route on one VM only. The store
+  # refuses one VM while the configuration changes. The commands of
+  # docs/OPERATIONS.md find it from the addresses alone.
   Scenario: A configuration that is not in force on one VM is explained
     Given 2 gateways that follow different stores
     When a configuration reaches the first one's store only and the other's fails
--- a/features/gateway_waiting.feature
+++ b/features/gateway_waiting.feature
@@ -1,8 +1,9 @@
 Feature: Short runs are not kept out by long ones
 
-  # Symptom: nine in ten short requests of a service are refused or late, and
-  # hardly a long one. Sequence: more is asked than there are slots. Cause: long
-  # ones, whose aims allow for much, made queues that no short one can bear.
+  # Guards against nine in ten short requests of a service being refused or
+  # late, while hardly any long one is. The demand exceeds the slots, and long
+  # requests with generous latency targets made queues that no short one can
+  # accept.
   Scenario Outline: More is asked of a service than its slots
     Given 4 upstreams of 5 slots that get short runs of 0.1 s and long ones of 0.45 s
     When <times> times their slots are asked for 12 s, with waits at the entry
@@ -24,15 +25,16 @@
     Then 0.95 of the short requests are answered in their aim
     And 0.95 of the long requests are answered in their aim
 
-  # Symptom: an entry's memory or processor is used up by what waits. Cause:
-  # nothing bounded how many wait, with how long bodies, and how often they look.
+  # Guards against an entry whose memory or processor is exhausted by waiting
+  # requests. Their number, the size of their bodies and the rate of their
+  # attempts had no limit.
   Scenario: What waits at an entry is bounded
     Then at most 64 requests and 8388608 bytes wait, and look 134 times a second
     And a request waits no longer than 2 s, and not when it cannot be timely
 
-  # Symptom: work that must not repeat is lost, or runs twice, after a wait at the
-  # entry; or it stands in an upstream's queue in front of short work. Sequence:
-  # more of it comes at once than there are slots.
+  # Guards against requests that must not repeat being lost or run twice after a
+  # wait at the entry, or standing in an upstream's queue ahead of short
+  # requests. More of them arrive at once than there are slots.
   Scenario: Requests that wait at the entry run once, each in a slot of its own
     Given a gateway with 1 upstream that works 0.15 s
     And a route "/short/" with an aim of 0.3 s and "/long/" with one of 1.5 s
--- a/features/http.feature
+++ b/features/http.feature
@@ -1,16 +1,16 @@
 Feature: Requests pass through entries as they are
 
-  Entry cnx-e0 has no upstream in its region, so it forwards to bkk-e0, which
-  has the only one: a request to bkk-e0 goes through one entry and a request to
-  cnx-e0 through two. The processes are shared by the scenarios.
+  Entry cnx-e0 has no upstream in its region and forwards to bkk-e0, which has
+  the only one. A request to bkk-e0 goes through one entry, a request to cnx-e0
+  through two. The scenarios share the processes.
 
   Background:
     Given an upstream in bkk, and an entry each in bkk and cnx
 
   Scenario Outline: A long body streams, byte for byte, in little memory
-    # Symptom: an entry's memory grows with the body until the VM is out of it.
-    # Sequence: a fast sender, a slow reader behind the entry.
-    # Cause: an entry that reads faster than it writes and keeps the rest.
+    # Guards against an entry whose memory grows with the body until its VM runs
+    # out. A fast sender meets a slow reader behind the entry, and the entry
+    # read faster than it wrote and buffered the rest.
     When 64 MiB are sent to <entry> with <framing>
     Then the upstream got them byte for byte
     And a statement of 64 MiB through <entry> arrives byte for byte
@@ -24,9 +24,9 @@
       | cnx-e0 | chunks         |
 
   Scenario Outline: A slow reader does not fill the entry
-    # Symptom: as above, while the caller reads nothing at all for a while.
-    # Sequence: a caller asks for a long statement and pauses.
-    # Cause: back-pressure that ends at the caller's connection.
+    # Guards against the same while the caller reads nothing for a while. A
+    # caller requests a long statement and pauses. Back-pressure ended at the
+    # caller's connection.
     When a caller of <entry> pauses after the head of a 64 MiB statement
     Then no entry's resident memory grew by 16 MiB
 
@@ -45,9 +45,9 @@
       | cnx-e0 |
 
   Scenario Outline: A body that stops arriving does not hold its connection
-    # Symptom: an entry runs out of connections while it looks idle.
-    # Sequence: callers send a head and a part of a small body, then nothing.
-    # Cause: a deadline that counts only from the end of the body.
+    # Guards against an entry that runs out of connections while it looks idle.
+    # Callers send a head and part of a small body, then nothing. The deadline
+    # counted only from the end of the body.
     When <size> of 100 bytes of a body are sent to <entry> with 300 ms left
     Then the answer is a 504 and the connection is closed
     And no upstream has seen a request
@@ -71,9 +71,9 @@
       | bkk-e0 | 100-Continue |
 
   Scenario Outline: Answers without a body keep the connection in step
-    # Symptom: the next answer on a connection is taken for a body.
-    # Sequence: an answer that has no body by its kind, then another.
-    # Cause: a length that one side counts and the other does not.
+    # Guards against the next response on a connection being taken for a body. A
+    # response that never has a body is followed by another. One side counted
+    # the stated length and the other did not.
     When "<method> /matching/orders/1?<query>" and a look-up go to <entry> on one connection
     Then the answers are <status> without a body and 200 with one
 
@@ -89,9 +89,9 @@
       | bkk-e0 | GET    | answer_bytes=0                 | 200    |
 
   Scenario Outline: A caller that leaves takes its work along
-    # Symptom: upstreams run work whose answer nobody reads, until none is free.
-    # Sequence: a caller closes its connection while the upstream works.
-    # Cause: an entry that does not look at its caller while it waits.
+    # Guards against upstreams that are fully used by requests whose responses
+    # nobody reads. A caller closes its connection while the upstream works, and
+    # the entry did not check its caller while it waited.
     When a caller of <entry> leaves while the upstream works for 5000 ms
     Then the upstream's journal says "cancelled" within 2 s
     And every slot of the upstream is free within 2 s
@@ -122,9 +122,9 @@
       | cnx-e0 |
 
   Scenario Outline: Requests whose end is doubtful reach no upstream
-    # Symptom: a journal shows requests that no caller sent.
-    # Sequence: an entry and an upstream find the end of a body at two places.
-    # Cause: two lengths, or a length that one of them cannot read.
+    # Guards against requests in a journal that no caller sent. An entry and an
+    # upstream find the end of a body at different places, because of two
+    # lengths or a length that one of them cannot read.
     When <shape> is sent to <entry>
     Then the answer is a 400 and the connection is closed
     And no upstream has seen a request
@@ -176,10 +176,10 @@
     And no upstream has seen a request
 
   Scenario: Every slot is used right after an answer
-    # Symptom: a third of the slots of three stand idle under load.
-    # Sequence: answers state the upstream's load; more work comes at once.
-    # Cause: a load that counts the answered request was compared with the
-    # entry's own requests without it, so one seemed to be somebody else's.
+    # Guards against one of three slots staying idle under load. Responses
+    # report the upstream's load while more requests arrive. The report counts
+    # the answered request and was compared with the entry's own requests
+    # without it, so one seemed to belong to another entry.
     Given quick work has opened every slot of the upstream
     When as many slow look-ups as it has slots come right after an answer
     Then all of them run at once
@@ -190,9 +190,9 @@
     Then the problem has a Retry-After
 
   Scenario Outline: An answer cut in the middle does not look whole
-    # Symptom: a caller takes half a statement for the whole.
-    # Sequence: the upstream's connection ends within its answer.
-    # Cause: the entry ends its own answer properly.
+    # Guards against a truncated statement taken for a complete one. The
+    # upstream's connection ends within its response, and the entry ended its
+    # own response normally.
     Given the upstream cuts its next answer after 200000 bytes
     When a statement of 400000 bytes <framing> is read from <entry>
     Then the caller's connection ends without the end of the body
@@ -205,9 +205,9 @@
       | cnx-e0 | in chunks      |
 
   Scenario Outline: An answer without a length is not called whole
-    # Symptom: a caller takes what came before a crash for the whole answer.
-    # Sequence: an upstream answers without a length and closes.
-    # Cause: the closing of a connection is the same after an end and a crash.
+    # Guards against a caller that takes the data before a crash for the
+    # complete response. An upstream responds without a length and closes; a
+    # normal end and a crash both close the connection.
     Given the upstream answers without a length
     When "GET /raw/orders/1" goes to <entry> with headers "" and 0 bytes
     Then the problem is upstream_lost with 3001, status 502, ran "unknown"
--- a/features/http_retries.feature
+++ b/features/http_retries.feature
@@ -1,18 +1,17 @@
 Feature: A cut answer is tried again only where that does no harm
 
   Scenario: A cut before the first byte is tried again when that is idempotent
-    # Symptom: callers see failures that another region could have spared them.
-    # Sequence: the upstream near the caller dies before it answers.
-    # Cause: an entry that passes its upstream's failure on.
+    # Guards against failures that a retry in another region would have avoided.
+    # The upstream near the caller dies before it answers, and the entry
+    # forwarded the failure.
     Given an entry and an upstream each in bkk and cnx
     And bkk-u0 cuts its answers before the first byte
     When orders go to bkk-e0 until an answer is cut
     Then the answer is whole nevertheless
 
   Scenario: Work that may have run is not tried again
-    # Symptom: an approval takes effect twice.
-    # Sequence: the upstream runs it and dies before it answers.
-    # Cause: a retry of work that must not repeat.
+    # Guards against an approval that takes effect twice. The upstream runs it
+    # and dies before it answers. A request that must not repeat was retried.
     Given an entry and an upstream each in bkk and cnx
     And bkk-u0 cuts its answers before the first byte
     When approvals go to bkk-e0 until an answer is cut
@@ -20,18 +19,17 @@
     And it ran once in all
 
   Scenario: A cut behind the second entry is tried again by the first
-    # Symptom: a caller sees a failure though another upstream was free.
-    # Sequence: the upstream behind the second entry dies before it answers.
-    # Cause: the first entry takes the second's problem for a whole answer.
+    # Guards against a failure although another upstream was free. The upstream
+    # behind the second entry dies before it answers, and the first entry took
+    # the error response of the second for a final one.
     Given two entries of bkk with upstreams, and an entry in cnx
     And the upstreams of one entry cut their answers before the first byte
     When orders go to cnx-e0 until an answer is cut
     Then the answer is whole nevertheless
 
   Scenario: A connection that is said to be closed is closed
-    # Symptom: a caller keeps a connection to an entry that is going away.
-    # Sequence: the entry leaves; it answers with "Connection: close".
-    # Cause: an answer that says so on a connection that stays open.
+    # Guards against a caller that keeps a connection to a leaving entry. The
+    # entry answers with "Connection: close" but leaves the connection open.
     Given an entry and an upstream each in bkk and cnx
     When bkk-e0 is told to stop
     Then its answers to callers end their connections
--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -1,9 +1,9 @@
 Feature: What leaves gets no new work, and nothing in flight is cut off
-  Every part is a process of its own: platform, upstreams, entries, callers.
+  Each component is a separate process: platform, upstreams, entries, callers.
 
   Scenario: Upstreams leave by the operator, by the VM list, by their own word
-    # Symptom: a VM that is stopped after its drain takes requests along.
-    # Cause: one of the three sources was not heard, or outweighed by another.
+    # Guards against a VM that is stopped after its drain and takes requests
+    # with it. One of the three sources was ignored or overruled by another.
     Given a steady deployment of 2 entries and 4 upstreams in bkk
     And look-ups arrive at 40 a second
     When long work runs on upstream "bkk-u0", "bkk-u1" and "bkk-u2"
@@ -16,28 +16,27 @@
     And no look-up failed
 
   Scenario: A home starts while the VM list is out
-    # Symptom: a leaving VM gets work again from an entry that restarted.
-    # Sequence: the VM list marks an upstream, then goes out; its home restarts
-    # and cannot read the mark.
-    # Cause: the list's silence was taken for a list without marks.
+    # Guards against a leaving VM that gets new requests from a restarted entry.
+    # The VM list marks an upstream, then goes down; its home restarts and
+    # cannot read the mark. The missing list was taken for a list without marks.
     Given a steady deployment of 2 entries and 1 upstreams in bkk
     When the VM list marks "bkk-u0" and goes out, and its home restarts
     Then requests through each entry are refused and "bkk-u0" starts no work
 
   Scenario: A duty does not come before the word on who leaves
-    # Symptom: as above, in one of ten runs or so.
-    # Sequence: a peer's heartbeat and its report of duties come together, just
-    # before the restarted home has the table that both are in.
-    # Cause: the heartbeat, with the list's marks, did not count; the report did.
+    # Guards against the same, in about one of ten runs. A peer's heartbeat and
+    # its home report arrive together, just before the restarted home has the
+    # table that lists both entries. The heartbeat, with the marks of the list,
+    # was ignored, and the report was applied.
     Given a home that has just started, without the VM list and the entry table
     When a peer's heartbeat and its report of duties come
     Then the duty was taken, with the peer's mark known before
 
   Scenario: A mark that only one entry has read outlives that entry
-    # Symptom: as above, in one of thirty runs or so.
-    # Sequence: one entry reads the mark; the VM list goes out before another
-    # one has read it; the first one restarts.
-    # Cause: the other forgot its word with it.
+    # Guards against the same, in about one of thirty runs. One entry reads the
+    # mark; the VM list goes down before another entry has read it; the first
+    # entry restarts. The other entry discarded the mark reported by the first
+    # one.
     Given a home that has just started, without the VM list and the entry table
     When a peer's heartbeat and its report of duties come
     And the VM list, read before that word, goes out, and the peer leaves
@@ -49,9 +48,9 @@
     Then the upstream takes its share of work here
 
   Scenario: Rolling restarts under load with callers that cache look-ups
-    # Symptom: a planned stop cuts requests off.
-    # Causes: callers still come to an entry that their cached look-up names;
-    # the entry ends before its requests; its upstreams stand idle.
+    # Guards against a planned stop that interrupts requests. Callers still use
+    # an entry that their cached lookup names, the entry ends before its
+    # requests, or its upstreams stay idle.
     Given a steady deployment of 3 entries and 3 upstreams in bkk
     When callers send 60 requests a second while 4 entries restart in turn
     Then each stop ended with exit code 0
@@ -59,28 +58,30 @@
     And no key ran twice, and no upstream had more than its slots
 
   Scenario: A home gives its upstream away while claims are on their way
-    # Symptom: an approval that did not run is answered 409, may have run.
-    # Sequence: the home of an upstream claims keys and leaves; it refuses what
-    # it has not dispatched, which is sent on to the next home at once.
-    # Cause: the refusal was told before the release of the key was written.
+    # Guards against an approval that did not run but is answered 409, may have
+    # run. The home of an upstream claims keys and leaves; it refuses requests
+    # it has not dispatched, and they go to the next home at once. The refusal
+    # was sent before the release of the key was written.
     Given a steady deployment of 2 entries and 1 upstreams in bkk
     And the platform takes 200 ms for a call
     When approvals arrive every 60 ms for 3 s while the home of "bkk-u0" stops
     Then each approval was answered 200, or refused as not run
 
   Scenario: Uploads and downloads are under way when their entry stops
-    # Symptom: an inspector's upload breaks off whenever an entry is replaced.
+    # Guards against an upload that is interrupted whenever an entry is
+    # replaced.
     Given a steady deployment of 2 entries and 2 upstreams in bkk
     When a slow upload, a slow download and long work run through "bkk-e0"
     And "bkk-e0" is stopped
     Then each of them ends whole
     And "bkk-e0" ended with exit code 0 after them
 
-  # Symptom: an upload is refused with no_slot, though four of six slots are free.
-  # Sequence: upstreams have just started; a download that its caller reads slowly
-  # holds a slot of one, long work a slot of the other. Cause: slow start opens slots
-  # by answers, and these two gave none. What showed it: 1 and 2 usable slots of 3 at
-  # each refusal, and the same with a quick download never.
+  # Guards against an upload refused with no_slot although four of six slots are
+  # free. The upstreams have just started; a download that its caller reads
+  # slowly holds a slot of one, a long request a slot of the other. Slow start
+  # opens slots when responses arrive, and these two requests gave none. The
+  # signs are 1 and 2 usable slots of 3 at each refusal, and no refusal with a
+  # quick download.
   Scenario: An upload comes while a download and long work hold cold upstreams
     Given a steady deployment of 2 entries and 2 upstreams in bkk
     When a slow upload, a slow download of 40 MB and long work run through "bkk-e0"
@@ -96,9 +97,9 @@
     Then the homes of "bkk-e0" are taken over within 10 s
 
   Scenario: An entry is killed and the VM list drops it
-    # Symptom: upstreams of a dead entry stay idle, or get more than their
-    # slots from its heir.
-    # Sequence: SIGKILL with work running; the list drops the VM later.
+    # Guards against upstreams of a dead entry that stay idle or get more
+    # requests than slots from its successor. The entry gets SIGKILL with
+    # requests in flight, and the VM list removes its VM later.
     Given a steady deployment of 3 entries and 3 upstreams in bkk with short deadlines
     When the home of "bkk-u0" is killed with work running, and the VM list drops it
     Then "bkk-u0" takes work again within 12 s
--- a/features/ledger.feature
+++ b/features/ledger.feature
@@ -1,5 +1,6 @@
 Feature: A request that must not repeat runs at most once
-  A key is claimed in the platform's service before its request is dispatched.
+  A key is claimed in the platform's key-value service before its request is
+  dispatched.
 
   Background:
     Given entries A, B and C over one service in memory
@@ -26,10 +27,9 @@
     Then entry B is refused with key_reused and ran no
 
   Scenario: Two keys whose short hashes are equal
-    # Symptom: a caller gets the answer of another caller's request.
-    # Sequence: two keys hash to one place in the service; their requests are
-    # equal to the byte.
-    # Cause: only the request was compared, not the key.
+    # Guards against a caller that gets the response to another caller's
+    # request. Two keys hash to one store key in the service, and their requests
+    # are identical byte for byte. Only the request was compared, not the key.
     When entry A claims the key
     And the record is moved to the place of the key "other"
     And entry B claims the key "other"
@@ -49,9 +49,9 @@
     Then entry B is refused with outcome_unknown and ran yes
 
   Scenario: The claim takes effect and its answer is lost
-    # Symptom: the key is claimed for good and the request never runs.
-    # Sequence: the service applies the claim; its answer is lost.
-    # Cause: a lost answer taken for a failed write.
+    # Guards against a key that stays claimed while its request never runs. The
+    # service applies the claim and its response is lost. A lost response was
+    # taken for a failed write.
     Given the service's next write is answer lost
     When entry A claims the key
     Then entry A holds the claim
@@ -64,12 +64,11 @@
     And the service was written to 2 times
 
   Scenario: A claim given up arrives after all
-    # Symptom: a key nobody holds, answered outcome_unknown to every repeat,
-    # though its request never ran.
-    # Sequence: the claim is delayed; the service goes down before the read
-    # back; the caller is told "not run"; the service comes back; the claim
-    # arrives.
-    # Cause: the release found nothing to delete, and the claim came later.
+    # Guards against a key that no entry holds but that is answered
+    # outcome_unknown on every repeat, although its request never ran. The claim
+    # is delayed, the service goes down before the read back, the caller is told
+    # "not run", the service comes back, and the claim arrives. The release
+    # found nothing to delete, and the claim came later.
     Given the service's next write is late
     And the service goes down after the next write
     When entry A claims the key
@@ -81,8 +80,8 @@
     Then entry B holds the claim
 
   Scenario: A claim given up is still there when its own entry is asked again
-    # Sequence: the claim takes effect, its answer is lost, the service goes
-    # down; the same entry gets the repeat before its release is through.
+    # The claim takes effect, its response is lost, and the service goes down;
+    # the same entry gets the repeated request before its release has completed.
     Given the service's next write is answer lost
     And the service goes down after the next write
     When entry A claims the key
@@ -103,10 +102,10 @@
     Then entry B holds the claim
 
   Scenario: The service is out when the answer is there
-    # Symptom: the caller waits for its answer until the service is back, or a
-    # repeat runs a second time.
-    # Sequence: claim, dispatch, service out, answer, repeat at the same entry,
-    # service back, repeat at another entry.
+    # Guards against a caller that waits for its response until the service is
+    # back, and against a repeated request that runs again. The order is claim,
+    # dispatch, service outage, response, repeat at the same entry, service
+    # back, repeat at another entry.
     When entry A claims the key
     And entry A dispatches
     And the service goes down
@@ -128,17 +127,17 @@
     Then entry B gets the answer 201 "paid"
 
   Scenario: A service too slow to grant a lease
-    # Symptom: the first claim of an hour waits for as long as the service
-    # takes. Cause: only the write had a time limit.
+    # Guards against a first claim of an hour that waits as long as the service
+    # takes. Only the write had a timeout.
     Given the service takes 1.0 s
     When entry A claims the key
     Then entry A is refused with claim_unavailable and ran no
     And the refusal took less than 0.5 s
 
   Scenario: A slow service
-    # Symptom: a caller waits for as long as the service takes.
-    # Sequence: the service takes a second for a write; an entry gives a claim
-    # up after 0.3 s; the claim takes effect after that.
+    # Guards against a caller that waits as long as the service takes. The
+    # service takes a second for a write, an entry abandons a claim after 0.3 s,
+    # and the claim takes effect after that.
     When entry A claims the key "first"
     Given the service takes 1.0 s
     When entry A claims the key
@@ -150,10 +149,10 @@
     Then entry B holds the claim
 
   Scenario: A service that hangs
-    # Symptom: slots are taken and nothing runs at the upstreams.
-    # Sequence: the service hangs; each request waits for its claim, holding a
-    # slot, and is refused late.
-    # Cause: each claim found out for itself that nothing answers.
+    # Guards against used slots while nothing runs at the upstreams. The service
+    # hangs; each request holds a slot while it waits for its claim, and is
+    # refused late. Each claim detected separately that the service does not
+    # answer.
     When entry A claims the key "first"
     Given the service takes 0.5 s
     When entry A claims 5 keys at once
@@ -168,8 +167,8 @@
     Then all 5 claims are held
 
   Scenario Outline: The entry dies after the claim
-    # Sequence: claim, perhaps dispatch, death. Which of the two is known to
-    # nobody, so no other entry may run it.
+    # The entry claims the key, perhaps dispatches, and dies. Nobody knows
+    # whether it dispatched, so no other entry may run the request.
     When entry A claims the key
     And entry A <step>
     And entry A dies
@@ -190,8 +189,8 @@
     Then entry B is refused with outcome_unknown and ran unknown
 
   Scenario: The entry freezes between claim and dispatch
-    # Symptom: a request runs long after its caller was told that it timed out.
-    # Cause: nobody looks at the clock after the claim.
+    # Guards against a request that runs long after its caller was told that it
+    # timed out. The deadline was not checked after the claim.
     When entry A claims the key with 100 ms left
     And 200 ms pass
     And entry A dispatches
@@ -211,18 +210,17 @@
     Then entry B holds the claim
 
   Scenario: A request that is sent on when its first entry gave it up
-    # Symptom: an approval that did not run is answered 409, may have run.
-    # Sequence: an entry claims the key, loses its upstream to a planned stop
-    # before it dispatches, and refuses; the request goes to another entry at
-    # once, which claims the key.
-    # Cause: the refusal was told before the release was written.
+    # Guards against an approval that did not run but is answered 409, may have
+    # run. An entry claims the key, loses its upstream to a planned stop before
+    # it dispatches, and refuses. The request goes at once to another entry,
+    # which claims the key. The refusal was sent before the release was written.
     When entry A claims the key
     And entry A releases
     And entry B claims the key
     Then entry B holds the claim
 
   Scenario Outline: A claim is given up while the service does not answer
-    # Symptom: a refused caller waits until the service is back.
+    # Guards against a refused caller that waits until the service is back.
     When entry A claims the key
     Given the service <trouble>
     When entry A releases
@@ -257,7 +255,7 @@
     And the service was written to at most 6 times
 
   Scenario: One batch refused as a whole
-    # Symptom: one bad write fails every claim of its batch.
+    # Guards against a bad write that fails every claim of its batch.
     Given the service takes 0.02 s
     And the service's writes from the third on are lease gone for 1 call
     When entry A claims 40 keys at once
@@ -271,7 +269,7 @@
     Then all 40 claims are held
 
   Scenario: A long outage does not take all memory
-    # Sequence: 20 answers of 60 KB while the service is out, and room for 10.
+    # There are 20 responses of 60 KB during the outage, and capacity for 10.
     Given room for 600000 bytes of outcomes
     When entry A claims 20 keys at once
     And the service goes down
--- a/features/links_path.feature
+++ b/features/links_path.feature
@@ -1,13 +1,12 @@
 Feature: The entries of a zone keep a link under its cap together
 
-  Two entries in zone bkk-1 and one in cnx-1, all real processes. Each link has
-  a cap of 4 MB/s each way. The upstreams count the bytes of bodies by zone of
-  the caller in bins of 0.1 s; every ten adjacent bins are a window.
+  Two entries run in zone bkk-1 and one in cnx-1, all as real processes. Each
+  link has a cap of 4 MB/s in each direction. The upstreams count body bytes by
+  zone of the caller in bins of 0.1 s; every ten adjacent bins form a window.
 
   Scenario Outline: A busy entry uses the share of its idle peer
-    # Symptom: a link is half empty while requests wait for it.
-    # Sequence: one entry of two has all the callers.
-    # Cause: shares that are not lent.
+    # Guards against a half-empty link while requests wait for it. One of two
+    # entries has all the callers, and shares were not lent.
     Given two entries of bkk-1 with links of 4 MB/s
     And only bkk has an upstream
     When callers of bkk-e0 keep <way> under way for 3 s
@@ -20,10 +19,9 @@
       | downloads |
 
   Scenario Outline: Traffic shifts to another region while <what>
-    # Symptom: a link is over its cap for a second or two.
-    # Sequence: bkk's upstream leaves, so both entries send to cnx at once,
-    # where one had lent to the other; then <what>.
-    # Cause: a share that is used twice: by its borrower and its lender.
+    # Guards against a link over its cap for a second or two. The upstream in
+    # bkk leaves, so both entries send to cnx at once, where one had lent to the
+    # other; then <what>. A share was used by both its borrower and its lender.
     Given two entries of bkk-1 with links of 4 MB/s
     And callers of bkk-e0 and bkk-e1 keep both ways busy
     When the upstream of bkk is marked as leaving
@@ -40,10 +38,10 @@
       | bkk-e1 is frozen   |
 
   Scenario Outline: A loan's other side fails
-    # Symptom: as above, after a death or a freeze of <who>.
-    # Sequence: bkk-e0 borrows all that bkk-e1 does not use; <who> <fails>;
-    # bkk-e1 gets work of its own as soon as it can.
-    # Cause: a borrower that goes on, or a lender that takes back too early.
+    # Guards against the same after a death or a freeze of <who>. bkk-e0 borrows
+    # all that bkk-e1 does not use; <who> <fails>; bkk-e1 gets requests of its
+    # own as soon as it can. A borrower continued, or a lender reclaimed its
+    # share too early.
     Given two entries of bkk-1 with links of 4 MB/s
     And callers of bkk-e0 keep uploads under way for 1 s
     When <who> is frozen for 1.5 s as bkk-e1 gets callers of its own
@@ -55,9 +53,9 @@
       | bkk-e1 |
 
   Scenario: What a link cannot carry in time is refused at once
-    # Symptom: uploads crawl for their whole deadline and then fail.
-    # Sequence: callers offer ten times what the link carries.
-    # Cause: an entry that looks at the queue and not at the bytes to come.
+    # Guards against slow uploads that fail at their deadline. Callers offer ten
+    # times the capacity of the link, and the entry considered the queue but not
+    # the bytes still to come.
     Given two entries of bkk-1 with links of 4 MB/s
     When 30 uploads of 4 MB with a deadline of 6 s come to bkk-e0 at once
     Then some are done, the rest is refused within 1 s
--- a/features/lookup.feature
+++ b/features/lookup.feature
@@ -1,5 +1,5 @@
 Feature: Look-ups order entries by the caller's block
-  The pure core only; callers are in zone home-a of three regions.
+  Uses only the core; callers are in zone home-a of three regions.
 
   Scenario: Look-ups name the nearest first and one of another zone last
     Given 10 entries in each of the zones home-a, home-b and near-a
--- a/features/membership.feature
+++ b/features/membership.feature
@@ -4,11 +4,10 @@
     Given entries "a, b, c" in the entry table, all heard
 
   Scenario: A silent entry takes no new work and keeps its row
-    # Symptom: two entries held one duty, and an upstream got more work than it
-    #   has slots for.
-    # Sequence: an entry was frozen, its row was dropped for silence, another
-    #   entry took its duties over, the frozen one woke up and went on.
-    # Cause: silence was taken for death.
+    # Guards against two entries that are home of the same upstream, which then
+    # gets more requests than slots. An entry freezes, its row is removed for
+    # its silence, another entry becomes home, and the frozen one wakes and
+    # continues. Silence was taken for death.
     When "c" is not heard for 600 seconds
     Then the live entries are "a, b"
     And "a" plans no change
@@ -25,20 +24,18 @@
     Then "a" plans no change
 
   Scenario: A list that lags behind the registration drops nobody
-    # Symptom: a new entry was dropped seconds after it had registered.
-    # Sequence: it registered; the list, some seconds old, did not hold its VM
-    #   yet.
-    # Cause: absence from an old list was taken for the VM's end.
+    # Guards against a new entry that is removed seconds after it registers. The
+    # VM list is some seconds old and does not contain its VM yet. Absence from
+    # an old list was taken for the end of the VM.
     Given entry "d" registers, and no heartbeat of it came yet
     When the VM list holds "a, b, c", 30 seconds old
     And the VM list holds "a, b, c", 29 seconds old
     Then "a" plans no change
 
   Scenario: An older replica of the list does not count
-    # Symptom: a living entry was dropped.
-    # Sequence: a new list held its VM; the next answer came from a replica of
-    #   the list that was further behind, twice.
-    # Cause: answers were taken in the order in which they were read.
+    # Guards against a live entry that is removed. A new list contains its VM,
+    # and then two responses come from a replica of the list that lags further
+    # behind. Responses were applied in the order of arrival.
     Given entry "d" registers
     When "d" is not heard for 60 seconds
     And the VM list holds "a, b, c, d", 1 second old
@@ -81,10 +78,10 @@
     Then "a" plans no change
 
   Scenario: Late frames of the old process do not drop the restarted one
-    # Symptom: an entry was dropped right after its restart.
-    # Sequence: it finished leaving and started again; the last frame of the old
-    #   process was read after the first of the new one.
-    # Cause: the later read frame was taken for the newer word.
+    # Guards against an entry that is removed right after its restart. It
+    # finishes leaving and starts again, and the last frame of the old process
+    # is read after the first frame of the new one. The frame read later was
+    # taken for the newer report.
     When "c" restarts and its last frame is read after the new first
     Then "a" plans no change
     And the live entries are "a, b, c"
@@ -95,12 +92,12 @@
     And "a" plans no change
 
   Scenario: What an entry said while it joined does not stand for ever
-    # Symptom: with 32 entries some were never named in look-ups of other
-    #   availability zones.
-    # Sequence: an entry sent its first heartbeats to all, since the table was
-    #   still small; they said that it takes no work yet. The table grew, and
-    #   its later heartbeats went to its own zone only.
-    # Cause: relayed digests, all that came from then on, undid nothing.
+    # Guards against entries that are never named in lookups of other
+    # availability zones, seen with 32 entries. While the table is small, an
+    # entry sends its first heartbeats to all entries, and they report that it
+    # accepts no work yet. The table grows, and later heartbeats go to its own
+    # zone only. Relayed digests, all that arrived from then on, did not update
+    # that report.
     When "b" says that it is leaving
     And "b" is heard through digests only for 4 seconds
     Then the live entries are "a, c"
@@ -137,10 +134,10 @@
     Then the platform's table is "a, b, c, d" with epoch 2
 
   Scenario: A restarted process has no duty before its row is replaced
-    # Symptom: an upstream got more work than it has slots for.
-    # Sequence: an entry was killed with requests in flight; its next process
-    #   found its name in the table and took the duties up with all slots free.
-    # Cause: the row of the killed process was taken for its own.
+    # Guards against an upstream that gets more requests than slots. An entry is
+    # killed with requests in flight; its next process finds its name in the
+    # table and acts as home with all slots free. The row of the killed process
+    # was taken for its own.
     When "c" restarts and registers
     Then the entry table has epoch 2 and "a, b, c"
     And the table tells that work was lost under epoch 2
@@ -150,9 +147,9 @@
     Then the registration is refused
 
   Scenario: A platform rolled back does not bring an older table back
-    # Symptom: duties went back to an entry that had handed them over.
-    # Sequence: the platform was restored from a backup with a lower epoch.
-    # Cause: an entry took whatever table the platform served.
+    # Guards against home roles that return to an entry that handed them over.
+    # The platform is restored from a backup with a lower epoch, and entries
+    # applied any table it served.
     Given entry "d" registers
     When the platform serves the table "a, b, c" with epoch 1
     Then the entry table has epoch 2 and "a, b, c, d"
@@ -177,8 +174,8 @@
     And no entry has sent to more than 80 entries
 
   Scenario: In a zone of the target size relays keep every word fresh
-    # The entry's own turn comes each ten to fifteen seconds; relays must not
-    # let a living entry look silent in between.
+    # The entry's own turn comes every ten to fifteen seconds; relays must not
+    # let a live entry look silent in between.
     When 55 entries of one zone exchange heartbeats for 12 seconds
     Then no word on any entry is older than 3 seconds
     And no entry sent more than 1800 bytes a second
@@ -195,24 +192,24 @@
     Then a reader of the digest learns that "e3" lacks version 7
 
   Scenario: The mark of a request that crashes upstreams leaves the zone
-    # Symptom: a resend through an entry of another zone crashed a third
-    #   upstream.
-    # Sequence: two upstreams died of it in one zone of a large table; the
-    #   marks stayed in the heartbeats of that zone.
-    # Cause: far zones got digests only.
+    # Guards against a retry through an entry of another zone that crashes a
+    # third upstream. Two upstreams crash by the request in one zone of a large
+    # table. The marks stayed in the heartbeats of that zone, since far zones
+    # got digests only.
     Given 40 entries in 4 availability zones
     When one entry has marked a request and sends heartbeats for 3 seconds
     Then entries of all 4 availability zones have the mark
 
   Scenario: Entries talk over real sockets, and a dead peer costs nothing
-    # Symptom: an entry grew or stalled while a peer was dead.
-    # Sequence: the peer's process was killed; sends to it went on.
-    # Cause: sends waited for, or piled up behind, the dead connection.
+    # Guards against an entry that grows or stalls while a peer is dead. The
+    # peer's process is killed and sends to it continue. Sends waited for the
+    # dead connection, or queued up behind it.
     Given two entries with real sockets
     When they hear each other within 2 seconds and one stops
     Then 2000 sends to it take less than 1 second and are counted as dropped
 
-  # Guards against an entry that stalls before its sockets' thread has seen the end of a peer.
+  # Guards against an entry that stalls before its socket thread has seen the
+  # end of a peer.
   Scenario: Sends to a peer that stops this moment do not stall
     Given two entries with real sockets
     When they hear each other within 2 seconds and one stops this moment
@@ -222,10 +219,10 @@
     Then these frames are refused as "bad_request": empty, unknown tag, cut short
 
   Scenario: A platform that lost the table is not followed
-    # Symptom: running entries lost their duties to one new process.
-    # Sequence: the platform was wiped; a process registered in the empty table;
-    #   its change, made from the platform's rows, got an epoch above all.
-    # Cause: a change started from an older table than the one in force.
+    # Guards against running entries that lose their home roles to a new
+    # process. The platform is wiped, and a process registers in the empty
+    # table. Its change, based on the platform's rows, got the highest epoch: a
+    # change started from a table older than the one in force.
     Then a change on the platform's table of epoch 0 starts from "a, b, c"
     When "c" is not heard for 5 seconds
     Then no change is made on the platform's table of epoch 0
--- a/features/not_run.feature
+++ b/features/not_run.feature
@@ -1,11 +1,11 @@
 Feature: What a caller is told was not run, was not run
-  Real processes, as in at_most_once.feature. Every answer with `ran: no` is
-  looked for in the journals of all upstreams, by the trace of its sending.
+  Runs real processes, as in at_most_once.feature. Every response with `ran: no`
+  is searched in the journals of all upstreams by the trace of its request.
 
   Scenario: A look-up is lost at one upstream and refused at the next
-    Symptom: "not run" of a request that an upstream has in its journal.
-    Sequence: bkk runs it and cuts its answer; the retry finds no slot in dmk.
-    Cause: the refusal of the second try was taken for the whole request.
+    Guards against a response "not run" for a request that an upstream has in
+    its journal. bkk runs it and truncates its response; the retry finds no slot
+    in dmk. The refusal of the retry was taken for the whole request.
     Given a deployment for work that runs at most once, with 1 slots
     And 40 look-ups through bkk and through cnx, which leave room for retries
     When the slot of dmk-u0 is taken for 1500 ms
@@ -15,8 +15,9 @@
     And what ran agrees with every answer
 
   Scenario: The refusal of a second dispatch says nothing of the first
-    The same as above in the core alone: over real processes steering draws
-    the order of the two tries, and only one of the orders meets this.
+    Covers the same case in the core alone: with real processes, steering
+    chooses the order of the two attempts at random, and only one order leads to
+    it.
     Given a request that was dispatched and lost
     When it is dispatched again and refused
     Then it may have run
@@ -32,9 +33,9 @@
     And what ran agrees with every answer
 
   Scenario: More is sent than the upstreams can run
-    Symptom: a refusal under load for a request that runs a moment later.
-    Sequence: queues fill, deadlines pass in them, refused work is sent on.
-    Cause: a request is answered while a part of the system still has it.
+    Guards against a refusal under load for a request that runs shortly after.
+    Queues fill, deadlines pass in them, and refused requests are forwarded. A
+    request was answered while a part of the system still held it.
     Given a deployment for work that runs at most once, with 2 slots
     When 240 requests that take 40 ms are sent through all entries in 2000 ms
     Then at least 20 were not run and at least 20 were answered
@@ -48,9 +49,8 @@
     And what ran agrees with every answer
 
   Scenario: Kills, freezes, losses and outages in a random order
-    Symptom: any key that ran twice, any "not run" that ran.
-    Sequence: drawn from a seed.
-    Cause: an order of events that nobody thought of.
+    Guards against any key that runs twice and any "not run" that ran, in event
+    orders drawn from a seed that no other scenario covers.
     Given a deployment for work that runs at most once, with 4 slots
     When keys are sent and repeated for 10 s under random faults of seed 1
     Then what ran agrees with every answer
--- a/features/operating.feature
+++ b/features/operating.feature
@@ -1,13 +1,13 @@
 Feature: An edit that an operator saw accepted is in force everywhere and stays
-  Every part is a process of its own: platform, upstreams, entries.
+  Each component is a separate process: platform, upstreams, entries.
 
   Background:
     Given an operated deployment of two entries in bkk and one in cnx
 
   Scenario: Two operators race
-    # Symptom: an operator's change is gone, and nobody was told.
-    # Sequence: two read the same version and edit through two entries at once.
-    # Cause: the later write goes over the earlier one unseen.
+    # Guards against an operator's change that is lost without notice. Two
+    # operators read the same version and edit through two entries at once; the
+    # later write overwrites the earlier one.
     When two operators edit profile local through two entries at once, 3 times
     Then each time one edit was accepted and one told edit_conflict
     And each loser was told that "profiles.local.ramp_fraction_per_s" changed
@@ -15,22 +15,23 @@
     And the history holds the winners alone, each as a version of its own
 
   Scenario: The answer to an edit is lost
-    # Symptom: an operator is told of a failure, edits again, and applies twice.
-    # Sequence: the platform takes the write and the answer never arrives.
+    # Guards against an edit that is applied twice because its operator is told
+    # of a failure and edits again. The platform applies the write, and its
+    # response never arrives.
     When an operator edits while the platform loses 1 answer
     Then the edit is accepted
     And the history has the edit once
-    # Symptom: an edit told to be undone is in force later.
-    # Sequence: as before, but nobody can read back what became of the write.
+    # Guards against an edit reported as undone that is in force later. The
+    # platform applies the write as before, but no entry can read back the
+    # outcome.
     When an operator edits and the platform goes out after the lost answer
     Then the edit is told as edit_unknown, also when asked by its id
     When the platform answers again
     Then the edit asked by its id through every entry becomes accepted
     And the history has the edit once
-    # Symptom: an edit is told to be surely undone while its write is on its
-    # way.
-    # Sequence: the call is lost. Until another edit takes its base away it
-    # could still arrive.
+    # Guards against an edit reported as surely undone while its write is in
+    # flight. The call is lost, and it could still arrive until another edit
+    # replaces its base.
     When an operator edits and the platform goes out after the lost call
     Then the edit is told as edit_unknown, also when asked by its id
     When the platform answers again
@@ -39,8 +40,8 @@
     Then the edit asked by its id is not_found
 
   Scenario: One entry is frozen
-    # Symptom: an edit was told as accepted, and an entry acts on the old one.
-    # Cause: what the platform holds was taken for what is in force.
+    # Guards against an edit reported as accepted while an entry uses the old
+    # configuration. The content of the platform was taken for what is in force.
     When an operator edits while entry "bkk-e1" is frozen
     Then the edit is told as edit_pending, lacking "bkk-e1"
     When the frozen entry goes on
@@ -48,13 +49,12 @@
     And every entry has the edit in force
 
   Scenario Outline: The platform loses what it held
-    # Symptom: an accepted edit is undone by itself; or entries lose their
-    # duties to one that starts, and an upstream gets more than its slots.
-    # Sequence: the platform comes back without its latest data, and an entry
-    # restarts. The epoch of the platform's entry table is below the one in
-    # force.
-    # Cause: entries followed the platform; the one that registered went over
-    # the lost rows.
+    # Guards against an accepted edit that is undone without an operator, and
+    # against entries that lose home roles to a starting one, so that an
+    # upstream gets more requests than slots. The platform comes back without
+    # its latest data, and an entry restarts. The epoch of the platform's entry
+    # table is below the one in force. Entries followed the platform, and the
+    # registering entry overwrote the lost rows.
     When an edit is accepted
     And the platform is <loss>, and entry "bkk-e1" is killed and started
     Then the edit stays in force on every entry for 2 s
@@ -70,7 +70,7 @@
       | rolled back to its old state |
 
   Scenario: An entry starts while the platform is out
-    # Symptom: an entry that restarts during an outage serves an old
+    # Guards against an entry that restarts during an outage and serves an old
     # configuration or none.
     When an edit is accepted
     And the platform is out, and entry "bkk-e1" is killed and started
--- a/features/operations.feature
+++ b/features/operations.feature
@@ -3,16 +3,17 @@
   Background:
     Given two regions with an entry and two upstreams each
 
-  # Symptom: every upstream without traffic reads as unknown. Sequence: the
-  # upstream reports `draining` as 0 or 1, and the report is thrown away. Cause:
-  # a reader that takes only true and false.
+  # Guards against every upstream without traffic being shown as unknown. The
+  # upstream reports `draining` as 0 or 1, and a parser that accepts only true
+  # and false discarded the report.
   Scenario: The status shows the reports of upstreams without traffic
     Then within 5 s the status has a report of every upstream
     And the status has an answer of every entry
 
-  # Symptom: a VM that the platform calls leaving still gets work. Sequence: the
-  # list is asked under a wrong path and never answers. Cause: a URL in the
-  # settings that already ended in the path which the entry added.
+  # Guards against a VM that the platform lists as leaving but that still gets
+  # requests. The list is requested under a wrong path and never answers,
+  # because the URL in the settings already ended in the path that the entry
+  # appends.
   Scenario: A VM that leaves by the platform's list is shown as leaving
     When the platform's list says that upstream "r1-u0" leaves
     Then within 5 s the drain of "r1-u0" is leaving
@@ -32,8 +33,8 @@
     Then the exit code is 0
     And the output says "r1-u0 takes work again"
 
-  # Symptom: an operator takes a lost region for a quiet one. Sequence: its entry
-  # is frozen and says nothing. Cause: silence taken for calm.
+  # Guards against a lost region that an operator takes for an idle one. Its
+  # entry is frozen and sends nothing. Silence was taken for low load.
   Scenario: A frozen entry is said not to answer
     When entry "r2-e0" is frozen
     And the operator of "r1-e0" runs `status`
--- a/features/overload.feature
+++ b/features/overload.feature
@@ -1,16 +1,17 @@
 Feature: Overload does not feed on itself
-  Real processes; the load is open, so it comes whatever the answers are.
+  Runs real processes with an open load, which does not depend on the responses.
 
   Background:
     Given three entries and two upstreams with 60 look-ups/s of capacity
 
-  # Symptom: a system at twice its load answers less than at its load. Events:
-  # requests are refused or fail, each is sent again by the entries, and the
-  # upstreams are busy with repeats. Cause: retries without a bound.
+  # Guards against a system that answers fewer requests at twice its capacity
+  # than at its capacity. Requests are refused or fail, the entries retry each
+  # of them, and the upstreams are busy with retries. Retries had no limit.
   Scenario: Twice the load that all slots can serve
     When 120 requests/s come for 5 s, a third of them batch
     Then the upstreams saw at most 1.1 times the requests that came
-    # Of 1.1 tries a request some two thirds go to another of three entries.
+    # Of 1.1 attempts per request, about two thirds go to another of three
+    # entries.
     And the entries forwarded at most 0.95 times the requests that came
     And the answers are at least 0.75 of capacity
     And batch work was refused more than look-ups
--- a/features/pages.feature
+++ b/features/pages.feature
@@ -1,8 +1,7 @@
 Feature: The pages agree with the code
 
-  # Symptom: an operator sets a key by the page, and the daemon refuses it.
-  # Sequence: a key, default or limit changes in the code alone. Cause: a page
-  # that nothing compares with the code.
+  # Guards against a key on the page that the daemon refuses. A key, default or
+  # limit changes only in the code, and the page is not compared with the code.
   Scenario Outline: Each key, type, unit, default and range is on the page
     Then the table "<heading>" of SETTINGS.md has just the keys of the <part>
 
--- a/features/replay.feature
+++ b/features/replay.feature
@@ -46,7 +46,8 @@
       | --constants=choosing.NOTHING=1      | choosing.NOTHING=1          |
       | --constants=choosing.CROWDED_USE=x  | choosing.CROWDED_USE=x      |
 
-  # Each of these replays the load that a mechanism answers, and fails without it.
+  # Each example replays the load that a mechanism handles, and fails without
+  # it.
   Scenario Outline: A mechanism is worth something under the load that it answers
     When "<pattern>" is replayed with seeds 1 to 8, with and without "<mechanism>"
     Then the <figure> is higher with it by at least <least>
@@ -57,7 +58,7 @@
       | shift-beside-free-slots | moves-of-keys    | credit     | 0.02  |
       | burst-at-2-4            | admission-by-aim | credit     | 0.05  |
 
-  # Guards against objects that are run as new at place after place.
+  # Guards against objects that run uncached at one upstream after another.
   Scenario: Told places spare a large fleet runs as new while every object is new
     When "large-start" is replayed with seeds 1 to 1, with and without "places-told"
     Then the credit is higher with it by at least 0.02
--- a/features/retries.feature
+++ b/features/retries.feature
@@ -1,10 +1,10 @@
 Feature: Retries stay a small part of first tries
-  The pure core is driven with a clock of the test's own.
+  Drives the core with the test's own clock.
 
   Scenario: Retries at twice the capacity
-    # Symptom: overload outlasts its cause; retries outnumber first tries.
-    # Events: half of the first tries are refused, and so are retries.
-    # Cause: each refusal was answered with a retry.
+    # Guards against an overload that outlasts its cause, with more retries than
+    # first attempts. Half of the first attempts are refused, and so are
+    # retries. Each refusal was answered with a retry.
     Given a retry budget of 0.1
     When for 60 s 200 first tries a second come and each refused one is retried
     Then retries are at most 0.1 of first tries
@@ -22,11 +22,10 @@
     Then retries are at least 0.4 of first tries
 
   Scenario: The first request after a start may be tried again
-    # Symptom: an approval that did not run is refused while another region is
-    # idle, in one of ten plays or so.
-    # Sequence: an entry starts; its first request is sent to an entry that has
-    # just died, which nobody knows yet.
-    # Cause: the budget began empty and earns a token after ten requests.
+    # Guards against an approval that did not run and is refused while another
+    # region is idle, in about one of ten runs. An entry starts; its first
+    # request goes to an entry that has just died, which nobody knows yet. The
+    # retry budget started empty and earns a token after ten requests.
     Given a retry budget of 0.1
     When one first try comes and is refused
     Then it may be retried once, and not twice
--- a/features/silence.feature
+++ b/features/silence.feature
@@ -1,10 +1,11 @@
 Feature: Silence and lies draw no work
-  Real processes; what upstreams and entries say differs from what they do.
+  Runs real processes; the reports of upstreams and entries differ from their
+  behaviour.
 
-  # Symptom: an upstream answers every request with an error and gets more and
-  # more of them. Events: it fails at once, so its slots are always free, and its
-  # load report says idle, its health endpoint well. Cause: free slots believed
-  # before answers.
+  # Guards against an upstream that answers every request with an error and gets
+  # more and more of them. It fails at once, so its slots are always free, its
+  # load report says idle, and its health endpoint reports well. Free slots
+  # outweighed responses.
   Scenario: Answers fail at once while health says well
     Given a region with an entry and three upstreams
     When look-ups come for 2 s
@@ -12,9 +13,9 @@
     And look-ups come for 4 s
     Then the share of "r1-u0" fell below half of what it was
 
-  # Symptom: an upstream that is slow gets no less work. Events: its load report
-  # stops, stays at idle, or always says idle. Cause: silence taken for calm, or
-  # a claim for a measurement.
+  # Guards against a slow upstream that keeps its share of requests. Its load
+  # report stops, stays at idle, or always says idle. Silence was taken for low
+  # load, or a claim for a measurement.
   Scenario: Load reports stop, freeze and lie while answers get slow
     Given a region with an entry and four upstreams
     When look-ups come for 2 s
@@ -25,9 +26,9 @@
     Then the shares of "r1-u0, r1-u1, r1-u2" are below 0.6 of a fair share
     And no upstream of the deployment exceeded its slots
 
-  # Symptom: callers of a region wait for another that is not there. Events: all
-  # entries of a region freeze; their last reports said idle. Cause: the last
-  # word of a silent entry taken for its state.
+  # Guards against callers that wait for a region that is down. All entries of
+  # the region freeze, and their last reports said idle. The last report of a
+  # silent entry was taken for its state.
   Scenario: The entries of a region fall silent
     Given two regions, spread, with an entry and two upstreams each
     When look-ups come to "r1-e0" for 2 s
@@ -38,9 +39,9 @@
     And no upstream of the deployment exceeded its slots
     And no caller waited for a silent entry, and refusals say when to come back
 
-  # Symptom: a third of all answers are errors although other regions work.
-  # Events: each upstream of a region fails quickly, so the region looks the
-  # least loaded. Cause: whole answers counted as good ones.
+  # Guards against errors in a third of all responses while other regions work.
+  # Each upstream of a region fails quickly, so the region looks least loaded.
+  # Complete responses were counted as successful ones.
   Scenario: All answers of a region fail while it reports idle
     Given two regions, spread, with an entry and two upstreams each
     When look-ups come to "r1-e0" for 2 s
--- a/features/slots.feature
+++ b/features/slots.feature
@@ -1,11 +1,11 @@
 Feature: An upstream never has more in flight than its slots
 
-  Three entries and two upstreams of three slots each in one region, all real
-  processes. Callers at every entry keep far more requests under way than there
-  are slots, long and short. The upstreams would take five more each, so their
-  own journals show every request too many. A closed connection ends nothing at
-  an upstream that is made deaf: as when a network breaks, it runs on until the
-  deadline that it was given.
+  Three entries and two upstreams of three slots each run in one region, all as
+  real processes. Callers at every entry keep far more requests in flight than
+  there are slots, short and long ones. The upstreams accept five more each, so
+  their journals show every excess request. An upstream with `deaf` set ignores
+  closed connections: as after a network failure, a request runs until its
+  deadline.
 
   Scenario: Load above the slots
     Given a region with callers above its slots
@@ -15,10 +15,10 @@
     And every refusal says that nothing ran and when to come back
 
   Scenario: The home of an upstream is killed with work in flight
-    # Symptom: an upstream runs more than its slots just after a VM has died.
-    # Sequence: the home is killed; its work goes on at the upstream, which
-    # sees no closed connection; the new home starts from an empty count.
-    # Cause: slots of a dead home counted as free.
+    # Guards against an upstream that runs more requests than slots just after a
+    # VM has died. The home is killed, and its requests continue at the
+    # upstream, which sees no closed connection. The new home starts from an
+    # empty count. Slots of a dead home were counted as free.
     Given a region with callers above its slots
     When the home of bkk-u0 is killed while bkk-u0 does not notice
     And the VM list says that it is gone
@@ -28,10 +28,10 @@
     And no upstream and no region had more in flight than its slots
 
   Scenario: The home of an upstream is killed and starts again at once
-    # Symptom: as above, though no VM is gone.
-    # Sequence: the process dies; the new one of the same name holds every slot
-    # back; an entry that held the duty before the dead one reports nothing.
-    # Cause: that report taken for word of the dead process's work.
+    # Guards against the same while no VM is gone. The process dies, and its
+    # successor of the same name holds every slot back. An entry that was home
+    # before the dead process reports nothing, and that report was taken for one
+    # on the dead process's requests.
     Given a region with callers above its slots
     When the home of bkk-u0 is killed while bkk-u0 does not notice
     And it starts again
@@ -58,10 +58,10 @@
     And no upstream and no region had more in flight than its slots
 
   Scenario: The home of an upstream is frozen and wakes up
-    # Symptom: an upstream runs one more than its slots when a VM wakes up.
-    # Sequence: the home is frozen; its successor uses the reserve; the home
-    # wakes up, believes what it believed, and uses the reserve as well.
-    # Cause: a home that does not look how old its successor's word is.
+    # Guards against an upstream that runs one request more than its slots when
+    # a VM wakes up. The home is frozen and its successor uses the reserve; the
+    # home wakes up with its old state and uses the reserve as well. The home
+    # did not check the age of its successor's report.
     Given a region with callers above its slots and long work
     When the home of bkk-u0 is frozen with work in flight for 5.5 s
     Then its successor served short work of bkk-u0 meanwhile
@@ -69,9 +69,9 @@
     And no upstream and no region had more in flight than its slots
 
   Scenario Outline: Entries that do not hear each other
-    # Symptom: as above, while every process is well.
-    # Sequence: messages are lost <way>; both count on the reserve.
-    # Cause: silence taken for a death, or a word that is not answered.
+    # Guards against the same while every process is healthy. Messages are lost
+    # <way>, and both entries count on the reserve. Silence was taken for death,
+    # or a report was not acknowledged.
     Given a region with callers above its slots and long work
     When the home of bkk-u0 is cut off from the others <way> for 5.5 s
     Then every slot of bkk-u0 is used again within 6 s
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -21,13 +21,14 @@
     Then two plans of seed 7 are equal, and seed 8's differs
 
   Scenario: A pause of the soak's own loop is noted
-    # Symptom: gateways look broken on a busy machine. Sequence: the loop gets
-    # no processor; calls through its proxies time out. Cause: it could not be
-    # told from a gateway that fails.
+    # Guards against gateways that look broken on a busy host. The event loop
+    # gets no processor time, and calls through its proxies time out. That could
+    # not be distinguished from a failing gateway.
     When the soak's own loop stands still for 0.3 s
     Then a pause of at least 0.25 s was noted
 
-  # Guards against a gateway that cannot bind its address, as a connection or another run has its port.
+  # Guards against a gateway that cannot bind its address because a connection
+  # or another run uses its port.
   Scenario: Processes get ports that no connection and no other worker takes
     Then ports of processes lie below those of outgoing connections
     And no two workers share a port
--- a/features/standins.feature
+++ b/features/standins.feature
@@ -1,7 +1,7 @@
 Feature: The stand-ins behave as the things they stand for
 
-  Every proof under failure rests on what the stand-ins do and record, so the
-  behaviour that those proofs rely on is shown here by itself.
+  All failure tests rely on what the stand-ins do and record, so these scenarios
+  test that behaviour separately.
 
   Scenario: Of two creations of one key only the first holds
     Given a platform
@@ -25,9 +25,9 @@
     And "claims/k1" is absent
 
   Scenario: A write takes effect while its answer is lost
-    # Symptom: the writer sees its connection closed and cannot tell.
-    # Sequence: the write is applied, then the connection closes unanswered.
-    # Cause: the platform, or the path to it, fails between the two.
+    # Covers a write whose outcome the writer cannot know. The write is applied,
+    # then the connection closes without a response, because the platform or the
+    # path to it fails between the two.
     Given a platform
     And the platform's fault "lose_answers" is 1
     When "mine" is created at "claims/k1"
@@ -35,9 +35,9 @@
     And "claims/k1" holds "mine" at version 1
 
   Scenario: A write is lost before it takes effect
-    # Symptom: the same closed connection as above; this time nothing holds.
-    # Sequence: the connection closes before the write is applied.
-    # Cause: the writer cannot tell this from a lost answer, so it must ask.
+    # Covers the same closed connection when nothing is applied. The connection
+    # closes before the write takes effect; the writer cannot distinguish this
+    # from a lost response, so it must ask.
     Given a platform
     And the platform's fault "lose_calls" is 1
     When "mine" is created at "claims/k1"
@@ -45,9 +45,8 @@
     And "claims/k1" is absent
 
   Scenario: A lease lapses and a watch tells of it
-    # Symptom: a holder finds its key gone.
-    # Sequence: it is granted one second, and does not keep the lease alive.
-    # Cause: a pause longer than the lease.
+    # Covers a holder whose key is gone. It is granted a lease of one second and
+    # does not renew it, as in a pause longer than the lease.
     Given a platform
     And a watch on "members/" from the first revision
     When "a" is put at "members/a" under a lease of 1 s
@@ -56,9 +55,8 @@
     And the platform counts 1 waiting watch
 
   Scenario: An outage closes calls and waiting watches
-    # Symptom: nothing of the platform answers.
-    # Sequence: a watch waits; the platform goes down; it comes back.
-    # Cause: an outage of the service.
+    # Covers an outage of the service, in which nothing of the platform answers.
+    # A watch waits; the platform goes down; it comes back.
     Given a platform
     And a watch on "members/" from the first revision
     When the platform's fault "down" is true
@@ -90,9 +88,9 @@
     And the running request is answered 200
 
   Scenario: A caller that leaves frees the slot
-    # Symptom: slots stay taken though nobody waits for the work.
-    # Sequence: a caller closes its connection 200 ms into 5 s of work.
-    # Cause: an upstream that does not notice the closed connection.
+    # Covers slots that stay in use although nobody waits for the work. A caller
+    # closes its connection 200 ms into 5 s of work, and an upstream could miss
+    # the closed connection.
     Given an upstream with 1 slots
     When a caller leaves after 200 ms of 5000 ms
     Then the journal's last run is "cancelled" after at most 1 s
@@ -105,9 +103,8 @@
     And the journal's last run is "deadline" after at most 1 s
 
   Scenario: A marked request stops the upstream
-    # Symptom: the upstream is gone and the connection closed unanswered.
-    # Sequence: one request, well formed, is run.
-    # Cause: that request's own content.
+    # Covers an upstream that ends and closes the connection without a response.
+    # It runs one well-formed request whose content causes the crash.
     Given an upstream with 1 slots
     When a request marked as crashing is sent
     Then the call got no answer
@@ -139,9 +136,9 @@
     Then the caller recorded 1 answer of unknown outcome after 1 attempt
 
   Scenario: A caller goes on to the next entry when one refuses connections
-    # Symptom: an entry in the caller's cached look-up takes no connection.
-    # Sequence: the entry's process ends; the caller sends its next request.
-    # Cause: a cached look-up outlives the entry that it names.
+    # Covers an entry in the caller's cached lookup that accepts no connection.
+    # The entry's process ends, and the caller sends its next request. A cached
+    # lookup outlives the entry that it names.
     Given an upstream with 20 slots
     And an entry that takes no connections comes first
     When a caller sends 10 requests straight to it
--- a/features/steering.feature
+++ b/features/steering.feature
@@ -1,6 +1,6 @@
 Feature: Steering keeps work where it can be done
-  The pure core is driven here with a clock of the test's own. Three regions
-  (home, near, far) have 20 slots each; the caller is in zone home-a.
+  Drives the core with the test's own clock. Three regions (home, near, far)
+  have 20 slots each; the caller is in zone home-a.
 
   Background:
     Given steering over home, near and far by the profile "local"
@@ -28,10 +28,9 @@
     Then the weight of "home" is 0.33
 
   Scenario: A shift lands on cold caches
-    # Symptom: after a large shift the receiving region slows down just when
-    # its capacity is needed.
-    # Events: the own region fills up, all work moves at once.
-    # Cause: nothing bounded how fast a weight may grow.
+    # Guards against a receiving region that slows down after a large shift,
+    # when its capacity is needed. The own region fills up and all requests move
+    # at once. The growth of a weight had no limit.
     When all regions report 15 free slots for 5 s
     And for 20 s the free slots are home 0, near 20, far 20
     Then no weight grew by more than 0.1 in any second
@@ -44,43 +43,42 @@
     And batch work goes to "near" first
 
   Scenario: Low priority does not jump to a cold region
-    # Symptom: one report of a full region, and all overnight work starts in
-    # the next region within the same moment.
-    # Events: the own region has no slot for batch work; the others have no
-    # weight yet.
-    # Cause: a fallback was used as a place to start.
+    # Guards against all overnight work starting in the next region at the same
+    # moment after one report of a full region. The own region has no slot for
+    # batch work, and the others have no weight yet. A fallback was used as the
+    # initial target.
     When all regions report 15 free slots for 5 s
     And one report gives the free slots home 5, near 20, far 20
     Then at most 0.03 of batch work goes to "near", the rest to "home" alone
     And interactive work goes to "home" first
 
   Scenario: Load reports stop
-    # Symptom: a region that says nothing is sent as much as before, or more.
-    # Events: reports from "home" stop while its last one said it was idle.
-    # Cause: an old report was read as a fresh one.
+    # Guards against a silent region that gets as many requests as before, or
+    # more. Reports from "home" stop while its last one said it was idle. An old
+    # report was read as a fresh one.
     When all regions report 20 free slots for 5 s
     And only near and far report 20 free slots for 60 s
     Then the weight of "home" never grew after the limit
     And the weight of "home" is 0.02
 
   Scenario: A silent region with little weight gets no more
-    # Events: "near" has a small weight, falls silent, then "home" fills up.
+    # "near" has a small weight and falls silent, then "home" fills up.
     When for 60 s the free slots are home 1.9, near 15, far 15
     And only home and far report 0 free slots for 30 s
     Then the weight of "near" never grew after the limit
 
   Scenario: All reports stop
-    # With nothing known, nothing may move: every region looks as idle as the
-    # others, and none of it is true.
+    # Without any report nothing may move: every region looks as idle as the
+    # others, and none of them is known to be.
     When for 60 s the free slots are home 1, near 15, far 15
     And nobody reports for 60 s
     Then the weight of "home" is 0.50
     And the weight of "near" is 0.50
 
   Scenario: Reports frozen at idle while answers fail
-    # Symptom: the load endpoint says idle, the health endpoint says well, and
-    # every request sent there fails.
-    # Cause: the claim was believed before the answers.
+    # Guards against requests to an upstream that fails all of them while its
+    # load endpoint says idle and its health endpoint reports well. These claims
+    # outweighed the responses.
     When all regions report 20 free slots for 5 s
     And all regions report 20 free slots for 10 s while "home" fails requests
     Then the weight of "home" never grew
@@ -105,7 +103,8 @@
     Then the weight of "home" is at most 0.35
 
   Scenario: Work for a failing region does not cross the ramp of its health
-    # Symptom: a region that fails everything is left and taken back by turns.
+    # Guards against a region that fails everything and is left and used again
+    # in turns.
     When all regions report 20 free slots for 5 s
     And all regions report 20 free slots for 120 s while "home" fails requests
     Then the weight of "home" never grew
@@ -119,9 +118,9 @@
     And the weight of "home" is 1.00
 
   Scenario: A region is lost
-    # Symptom: work goes on to a region where nobody lives, or all of it falls
-    # on a neighbour that has no room.
-    # Events: every entry of "home" falls silent; "near" has few slots left.
+    # Guards against requests that go to a region without live entries, or that
+    # all fall on a neighbour without capacity. Every entry of "home" falls
+    # silent; "near" has few slots left.
     When all regions report 15 free slots for 5 s
     And one report gives the free slots home 15, near 4, far 20
     And the region "home" is lost
@@ -130,10 +129,10 @@
     And interactive work goes to "near" first
 
   Scenario: A process starts and hears the far region first
-    # Symptom: for seconds after each start callers are served from far away.
-    # Events: "home" has no slots until its duties are taken over, "near" has
-    # them already; then "home" has them too.
-    # Cause: what was first heard got all the work and kept it by the ramp.
+    # Guards against callers served from far away for seconds after each start.
+    # "home" has no slots until its home roles are assigned, and "near" has
+    # slots already; then "home" has them too. The region heard first got all
+    # requests and kept them because of the ramp.
     When "home" reports that it has no slots
     And only near and far report 20 free slots for 1 s
     Then the weight of "near" is 1.00
@@ -155,18 +154,17 @@
     Then the weight of "near" is 0.00
 
   Scenario: Every request between two reports does not see the same slot
-    # Symptom: bursts past the slots of a region each time it reports.
-    # Cause: requests sent since the last report were not counted.
+    # Guards against bursts above the slots of a region at each of its reports.
+    # Requests sent since the last report were not counted.
     When one report gives the free slots home 5, near 0, far 0
     Then upload work goes to "home" first
     When 3 requests are sent to "home"
     Then upload work has "home" as its only choice
 
   Scenario: A digest that takes long over its relays counts for its own limit
-    # Symptom: in a large fleet no spilled work ever crosses to a far region.
-    # Events: a far zone's load arrives by digests 5 s old, older than the
-    # limit for reports of the entries nearby.
-    # Cause: one limit for both.
+    # Guards against a large fleet in which no excess work ever reaches a far
+    # region. The load of a far zone arrives by digests 5 s old, older than the
+    # limit for reports of the entries nearby. One limit was used for both.
     When for 30 s a digest 5 s old with a limit of 15 s gives "near" 15 free
     And for 30 s the same digest comes while "home" reports 0 free
     Then the weight of "near" is 1.00
