--- a/features/support/sendings.py
+++ b/features/support/sendings.py
@@ -176,7 +176,7 @@
         outcomes_by_key: dict[str, set[str]] = {}
         for sending in self.all:
             if sending.ran == "no" and sending.trace in traces:
-                faults.append(f"reported as not run, but ran: {sending.told}")
+                faults.append(f"reported not run, but ran: {sending.told}")
             outcomes_by_key.setdefault(sending.key, set()).add(sending.ran)
         for key, outcomes in outcomes_by_key.items():
             if key in keys and outcomes == {"no"}:
