--- a/features/support/platform_standin.py
+++ b/features/support/platform_standin.py
@@ -303,8 +303,8 @@
         self.faults: Message = {
             "down": False,  # closes every connection, including watches
             "delay_ms": 0,  # delay before a call takes effect
-            "lose_answers": 0,  # next writes applied without a response
-            "lose_calls": 0,  # next writes lost before they are applied
+            "lose_answers": 0,  # number of next writes applied unanswered
+            "lose_calls": 0,  # number of next writes lost before they apply
             "down_after_loss": False,  # goes down after a lost response or call
             "lose_prefix": "",  # limits losses to writes of such keys
             "vm_list_lag_ms": 0,
--- a/features/support/upstream_standin.py
+++ b/features/support/upstream_standin.py
@@ -51,8 +51,8 @@
         self.control: dict[str, Any] = {
             "draining": False,
             "load": "true",  # or lie (reports idle), freeze, stop
-            "fail": 0,  # next responses that are a 500, after the work
-            "cut": 0,  # next responses truncated after cut_after_bytes
+            "fail": 0,  # number of next responses that are 500, after the work
+            "cut": 0,  # number of next responses cut after cut_after_bytes
             "cut_after_bytes": 0,  # 0: no byte of a response
             "cold_requests": options.cold_requests,
             "cold_ms": options.cold_ms,
