--- a/soak/callers.py
+++ b/soak/callers.py
@@ -5,10 +5,10 @@
 import time
 import uuid
 
-from emulator.caller_wire import Ask
-from emulator.caller_wire import read_reply
-from emulator.caller_wire import write_ask
-from soak.checks import Sent
+from emulator.caller_wire import EmulatedRequest
+from emulator.caller_wire import encode_request
+from emulator.caller_wire import read_response
+from soak.checks import SentRequest
 
 RESPONSE_TIMEOUT_S = 4.0
 DEADLINE_MS = 3000
@@ -31,7 +31,7 @@
           rng: random numbers of this caller.
         """
         self._rng = rng
-        self.sent: list[Sent] = []
+        self.sent: list[SentRequest] = []
         self.gateway_by_request: dict[str, str] = {}
 
     async def run(
@@ -84,33 +84,34 @@
         """Sends one outgoing; returns whether the connection stays usable."""
         prefix = self._rng.choice(prefixes)
         key = str(self._rng.randrange(KEY_COUNT))
-        repeatable = not prefix.startswith("/unsafe")
-        outgoing = Ask(
+        idempotent = not prefix.startswith("/unsafe")
+        outgoing = EmulatedRequest(
             request=uuid.uuid4().hex[:16],
             path=f"{prefix}{key}",
             key=key,
             deadline_ms=DEADLINE_MS,
-            body=b"" if repeatable else b"x" * self._rng.randrange(1, 3000),
+            body=b"" if idempotent else b"x" * self._rng.randrange(1, 3000),
         )
         sent_s = time.monotonic()
         response = None
         try:
-            writer.write(write_ask(outgoing))
+            writer.write(encode_request(outgoing))
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                response = await read_reply(reader)
+                response = await read_response(reader)
         except (OSError, EOFError, ValueError, TimeoutError):
             response = None
         self.gateway_by_request[outgoing.request] = name
         self.sent.append(
-            Sent(
+            SentRequest(
                 request=outgoing.request,
                 path=outgoing.path,
-                repeatable=repeatable,
+                idempotent=idempotent,
                 sent_s=sent_s,
                 ended_s=time.monotonic(),
                 status=response.status if response else 0,
                 seal=response.seal if response else "",
-                whole=response is not None and response.whole(outgoing.request),
+                complete=response is not None
+                and response.is_complete(outgoing.request),
             )
         )
-        return response is not None and response.goes_on
+        return response is not None and response.keeps_alive
