--- a/benchmarks/edits.py
+++ b/benchmarks/edits.py
@@ -18,8 +18,8 @@
 from features.support.deployment import Deployment
 from features.support.deployment import Shape
 from features.support.harness import Processes
-from features.support.operating import Operator
-from features.support.operating import set_ramp
+from features.support.operator_actions import Operator
+from features.support.operator_actions import set_ramp
 
 ENTRIES = {"bkk": 5, "cnx": 5}
 POLL_S = 0.005
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -34,8 +34,8 @@
 from features.support.harness import free_address
 from features.support.harness import get
 from features.support.harness import wait_until
-from features.support.operating import Operator
-from features.support.operating import set_ramp
+from features.support.operator_actions import Operator
+from features.support.operator_actions import set_ramp
 
 FEW_UPSTREAMS = 8
 ENTRY_SERIES = (
--- a/benchmarks/heartbeats.py
+++ b/benchmarks/heartbeats.py
@@ -36,7 +36,7 @@
 from almondstair.messages import TableDocument
 from features.support.heartbeat_entries import INTERVAL_MS
 from features.support.heartbeat_entries import Entry
-from features.support.heartbeat_entries import Steps
+from features.support.heartbeat_entries import HeartbeatSimulation
 from features.support.heartbeat_entries import make_table
 from features.support.heartbeat_entries import oldest_age_s
 from features.support.heartbeat_entries import two_services
@@ -184,7 +184,7 @@
 
 
 def report_spread(title: str, count: int, zones: int, warm_s: float) -> None:
-    steps = Steps(count, zones)
+    steps = HeartbeatSimulation(count, zones)
     steps.run(warm_s)
     steps.sent_bytes = 0
     near_s, far_s = [], []
@@ -213,7 +213,7 @@
     report_edit(steps)
 
 
-def report_edit(steps: Steps) -> None:
+def report_edit(steps: HeartbeatSimulation) -> None:
     """Gives a new version to two entries a zone, as watches would."""
     started_s = steps.now_s
     per_zone: dict[str, int] = {}
@@ -224,7 +224,7 @@
             entry.configuration.apply_if_newer(
                 StoredConfiguration(2, "2", "", "", "")
             )
-    steps.pulls = True
+    steps.pulls_configuration = True
     in_force_s = None
     first = next(iter(steps.entries.values()))
     while steps.now_s - started_s < 40.0:
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -314,7 +314,7 @@
         records: list[Record] = []
         for name in names:
             self.deployment.processes.children[name].wait(limit_s=40)
-            records.extend(self.deployment.processes.answers_of(name))
+            records.extend(self.deployment.processes.caller_records(name))
         return records
 
     def edit_matching(self, profile: str) -> None:
--- a/benchmarks/rolling_restarts.py
+++ b/benchmarks/rolling_restarts.py
@@ -12,11 +12,11 @@
 from features.support.deployment import Deployment
 from features.support.deployment import Shape
 from features.support.harness import Processes
-from features.support.leaving import APPROVE
-from features.support.leaving import LOOK_UP
-from features.support.leaving import keys_run_twice
-from features.support.leaving import read_ends
-from features.support.leaving import start_load
+from features.support.leaving_load import APPROVE
+from features.support.leaving_load import LOOK_UP
+from features.support.leaving_load import keys_run_twice
+from features.support.leaving_load import read_load_outcome
+from features.support.leaving_load import start_load
 
 ENTRIES = {"bkk": 3, "cnx": 2}
 UPSTREAMS = {"bkk": 4, "cnx": 2}
@@ -36,13 +36,14 @@
 
 def report(deployment: Deployment, codes: list[int], stops_s: list[float]):
     """Prints what came of it."""
-    ends = read_ends(deployment)
+    ends = read_load_outcome(deployment)
     total = len(ends.latencies_ms)
     print(f"{len(codes)} restarts, exit codes {sorted(set(codes))}")
     print(f"stop: longest {max(stops_s):.1f} s, shortest {min(stops_s):.1f} s")
     print(
-        f"{total} requests: {ends.answered} answered 200, {ends.later} of them "
-        f"after a refusal as not run; {len(ends.failed)} not"
+        f"{total} requests: {ends.answered} answered 200, "
+        f"{ends.retried} of them after a refusal as not run; "
+        f"{len(ends.failed)} not"
     )
     for record in ends.failed[:5]:
         print("  ", record["class"], record["attempts"])
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -27,8 +27,8 @@
 from almondstair.core.model import Upstream
 from almondstair.core.slot_tracker import SlotTracker
 from almondstair.errors import ErrorKind
-from features.support.homes_run import Counts
-from features.support.homes_run import Run
+from features.support.homes_simulation import Counts
+from features.support.homes_simulation import HomesSimulation
 
 LONG_S = 10.0
 SHORT_S = 1.0
@@ -183,7 +183,7 @@
 
 @when("entries run for {seconds:d} s from seed {seed:d}")
 def run_from_seed(context, seconds, seed):
-    context.counts = Run(seed=seed).go(seconds=seconds)
+    context.counts = HomesSimulation(seed=seed).run(seconds=seconds)
 
 
 @when(
@@ -193,20 +193,20 @@
 def run_without(context, guard, seconds, first, last):
     context.counts = Counts()
     for seed in range(first, last + 1):
-        run = Run(seed=seed, homes_class=WITHOUT[guard])
-        context.counts = run.go(seconds=seconds)
-        if context.counts.most_over_slots > 0:
+        run = HomesSimulation(seed=seed, homes_class=WITHOUT[guard])
+        context.counts = run.run(seconds=seconds)
+        if context.counts.max_over_slots > 0:
             return
 
 
 @then("no upstream had more in flight than its slots")
 def none_over(context):
-    assert context.counts.most_over_slots == 0, context.counts
+    assert context.counts.max_over_slots == 0, context.counts
 
 
 @then("some upstream had more in flight than its slots")
 def some_over(context):
-    assert context.counts.most_over_slots > 0, context.counts
+    assert context.counts.max_over_slots > 0, context.counts
 
 
 @then("nothing was written after its deadline")
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -15,7 +15,7 @@
 from features.support.harness import get
 from features.support.harness import post
 from features.support.harness import wait_until
-from features.support.sendings import Sendings
+from features.support.request_sender import RequestSender
 
 STEP_LIMIT_S = 10.0
 SETTLE_S = 0.5
@@ -34,7 +34,7 @@
     )
     context.deployment = Deployment(processes=context.processes, shape=shape)
     context.deployment.start()
-    context.sendings = Sendings(deployment=context.deployment)
+    context.sendings = RequestSender(deployment=context.deployment)
     context.by_key = {}
     for entry in context.deployment.entries:
         # The first claim of an entry asks for its lease; from here on the
@@ -281,7 +281,7 @@
 
 @when("its caller leaves")
 def step_leave(context):
-    context.last.leave()
+    context.last.disconnect()
 
 
 @when("upstreams cut their next answer after {size_bytes:d} bytes")
@@ -329,21 +329,21 @@
 @then("the answer is from an upstream")
 def step_from_upstream(context):
     first = _first(context)
-    assert first.ran == "yes" and first.status == 200, first.told
+    assert first.ran == "yes" and first.status == 200, first.summary
 
 
 @then("the last answer is from an upstream")
 def step_last_from_upstream(context):
     last = context.last.wait()
-    assert last.ran == "yes" and last.status == 200, last.told
+    assert last.ran == "yes" and last.status == 200, last.summary
 
 
 @then("the last answer is the same as the first")
 def step_same(context):
     last = context.last.wait()
     first = _first(context)
-    assert last.status == first.status == 200, last.told
-    assert last.body == first.body, (last.told, first.told)
+    assert last.status == first.status == 200, last.summary
+    assert last.body == first.body, (last.summary, first.summary)
     for name in ("Content-Type", "Content-Length"):
         assert last.headers[name] == first.headers[name], name
 
@@ -351,20 +351,20 @@
 @then("the answer is {kind:w} with ran {ran:w}")
 def step_answer(context, kind, ran):
     first = _first(context)
-    assert (first.kind, first.ran) == (kind, ran), first.told
+    assert (first.kind, first.ran) == (kind, ran), first.summary
 
 
 @then("the last answer is {kind:w} with ran {ran:w}")
 def step_last_answer(context, kind, ran):
     last = context.last.wait()
-    assert (last.kind, last.ran) == (kind, ran), last.told
+    assert (last.kind, last.ran) == (kind, ran), last.summary
 
 
 @then("each answer is {kind:w} with ran {ran:w} within {limit_ms:d} ms")
 def step_each(context, kind, ran, limit_ms):
     for sending in context.sendings.all:
         sending.wait()
-        assert (sending.kind, sending.ran) == (kind, ran), sending.told
+        assert (sending.kind, sending.ran) == (kind, ran), sending.summary
         assert sending.latency_s < limit_ms / 1000, sending.latency_s
 
 
@@ -372,25 +372,25 @@
 def step_retry_after(context):
     for sending in context.sendings.all:
         sending.wait()
-        assert int(sending.headers["Retry-After"]) > 0, sending.told
+        assert int(sending.headers["Retry-After"]) > 0, sending.summary
 
 
 @then("the answer may have run")
 def step_may_have_run(context):
     first = _first(context)
-    assert first.ran in ("unknown", "yes"), first.told
+    assert first.ran in ("unknown", "yes"), first.summary
 
 
 @then("the last answer was not run")
 def step_was_not_run(context):
     last = context.last.wait()
-    assert last.ran == "no", last.told
+    assert last.ran == "no", last.summary
 
 
 @then("the last answer is cut")
 def step_is_cut(context):
     last = context.last.wait()
-    assert (last.status, last.ran) == (0, "unknown"), last.told
+    assert (last.status, last.ran) == (0, "unknown"), last.summary
 
 
 def _repeat_until(context, key, region, is_wanted):
@@ -401,8 +401,8 @@
         sending = _send(context, key, region, query=query).wait()
         if is_wanted(sending):
             return
-        assert sending.status in (409, 503), sending.told
-        assert time.monotonic() < end_s, sending.told
+        assert sending.status in (409, 503), sending.summary
+        assert time.monotonic() < end_s, sending.summary
         time.sleep(REPEAT_INTERVAL_S)
 
 
@@ -453,7 +453,11 @@
 def step_agrees(context):
     for sending in context.sendings.all:
         sending.wait()
-    assert not context.sendings.faults_found(), context.sendings.faults_found()
+    assert not context.sendings.find_violations(), (
+        context.sendings.find_violations()
+    )
     # Whatever still waited somewhere would have run by now.
     time.sleep(SETTLE_S)
-    assert not context.sendings.faults_found(), context.sendings.faults_found()
+    assert not context.sendings.find_violations(), (
+        context.sendings.find_violations()
+    )
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -18,8 +18,8 @@
 
 
 def _script(context, method, path, *, status=200, body=None, lost=False):
-    answer = operator_fake.Answer(status, body, lost)
-    context.fake.answer(method, path, answer)
+    answer = operator_fake.ScriptedResponse(status, body, lost)
+    context.fake.add_response(method, path, answer)
 
 
 def _body(context):
@@ -40,7 +40,7 @@
 
 @given("an entry at version {version:d} of the Tallow Brae configuration")
 def step_entry(context, version):
-    context.fake = operator_fake.FakeOperators()
+    context.fake = operator_fake.FakeOperatorServer()
     context.add_cleanup(context.fake.stop)
     context.configuration_text = _DEPLOYMENT.read_text(encoding="utf-8")
     _script(
@@ -71,14 +71,14 @@
 
 @given("another entry")
 def step_other_entry(context):
-    context.other_fake = operator_fake.FakeOperators()
+    context.other_fake = operator_fake.FakeOperatorServer()
     context.add_cleanup(context.other_fake.stop)
 
 
 @given('the other entry answers "{method} {path}" with')
 def step_other_answer(context, method, path):
-    answer = operator_fake.Answer(body=_body(context))
-    context.other_fake.answer(method, path, answer)
+    answer = operator_fake.ScriptedResponse(body=_body(context))
+    context.other_fake.add_response(method, path, answer)
 
 
 @given('the entry loses its answer to "{method} {path}"')
--- a/features/steps/gateway_loads_steps.py
+++ b/features/steps/gateway_loads_steps.py
@@ -4,8 +4,8 @@
 from behave import then
 from behave import when
 
-from features.support.telling_world import BETWEEN_REGIONS_S
-from features.support.telling_world import TellingWorld
+from features.support.load_exchange_world import BETWEEN_REGIONS_S
+from features.support.load_exchange_world import LoadExchangeWorld
 
 LOOK_S = 0.01
 LONGEST_S = 3.0
@@ -13,7 +13,7 @@
 
 
 def _make(context, link_mbps):
-    context.world = TellingWorld(link_mbps=link_mbps, **context.size)
+    context.world = LoadExchangeWorld(link_mbps=link_mbps, **context.size)
 
 
 @given(
@@ -59,7 +59,7 @@
     world = context.world
     end_s = world.now_s + span_s
     while waiting and world.now_s < end_s:
-        world.pass_time(LOOK_S)
+        world.advance(LOOK_S)
         for name, (member, started_s) in list(waiting.items()):
             if _all_count(world, name, member):
                 context.took_s.append(world.now_s - started_s)
@@ -90,8 +90,8 @@
     context.span_s = span_s
     world = context.world
     with world.running(busy=True):
-        world.weigh_all()
-        world.pass_time(span_s)
+        world.set_varied_weights()
+        world.advance(span_s)
         context.plan = world.first_reporter().fleet.plan
 
 
@@ -99,7 +99,7 @@
 def step_nothing(context, span_s):
     context.span_s = span_s
     with context.world.running(busy=False):
-        context.world.pass_time(span_s)
+        context.world.advance(span_s)
 
 
 @then("every entry has that plan")
@@ -140,7 +140,7 @@
     world = context.world
     reporters = {}
     for member in world.members.values():
-        reporter = member.sharing._reporter(world.now_s)
+        reporter = member.load_exchange._reporter(world.now_s)
         reporters[member.zone] = reporter.name
     for member in world.members.values():
         pair = (member.name, reporters[member.zone])
--- a/features/steps/gateway_waiting_steps.py
+++ b/features/steps/gateway_waiting_steps.py
@@ -11,8 +11,8 @@
 from almondstair.core.entry_waits import EntryQueue
 from emulator import documents
 from features.support import harness
-from features.support.mixed_load import Kind
 from features.support.mixed_load import MixedLoad
+from features.support.mixed_load import RequestKind
 
 # Parts of the slots that each kind asks for at a load of 1.
 _SHORT_SHARE = 0.3
@@ -37,8 +37,8 @@
     work = times * context.upstreams * context.slots
     runs_s = context.runs_s
     context.kinds = [
-        Kind("short", _SHORT_SHARE * work / runs_s["short"], 0.1, 0.25),
-        Kind("long", _LONG_SHARE * work / runs_s["long"], 0.45, 1.0),
+        RequestKind("short", _SHORT_SHARE * work / runs_s["short"], 0.1, 0.25),
+        RequestKind("long", _LONG_SHARE * work / runs_s["long"], 0.45, 1.0),
     ]
     context.span_s = span_s
     context.found = MixedLoad(
@@ -46,20 +46,20 @@
         slots=context.slots,
         kinds=context.kinds,
         waits=True,
-    ).play(span_s=span_s)
+    ).run(span_s=span_s)
 
 
 @then("{share:g} of the {name} requests are answered in their aim")
 def step_in_aim(context, share, name):
     found = context.found[name]
-    assert found.in_aim >= share * found.asked, context.found
+    assert found.in_target >= share * found.asked, context.found
 
 
 @then("what is answered in its aim takes {share:g} of the slots")
 def step_work(context, share):
     work_s = 0.0
     for kind in context.kinds:
-        work_s += context.found[kind.name].in_aim * kind.run_s
+        work_s += context.found[kind.name].in_target * kind.run_s
     used = work_s / context.span_s / context.upstreams / context.slots
     assert used >= share, (used, context.found)
 
--- a/features/steps/heartbeat_steps.py
+++ b/features/steps/heartbeat_steps.py
@@ -26,7 +26,7 @@
 from almondstair.messages import Heartbeat
 from almondstair.peers import Peers
 from features.support.entry_rows import row
-from features.support.heartbeat_entries import Steps
+from features.support.heartbeat_entries import HeartbeatSimulation
 from features.support.heartbeat_entries import oldest_age_s
 
 SILENCE_LIMIT_S = 1.5
@@ -78,7 +78,7 @@
     "{count:d} entries of one zone exchange heartbeats for {seconds:d} seconds"
 )
 def step_exchange(context, count, seconds):
-    context.steps = Steps(count, 1)
+    context.steps = HeartbeatSimulation(count, 1)
     context.steps.run(seconds)
     context.sent_per_s = context.steps.sent_bytes / count / seconds
 
--- a/features/steps/http_slots_steps.py
+++ b/features/steps/http_slots_steps.py
@@ -12,10 +12,10 @@
 from features.support.harness import post
 from features.support.harness import send
 from features.support.harness import wait_until
-from features.support.http_parts import UPSTREAM
-from features.support.http_parts import address
-from features.support.http_parts import journal
-from features.support.http_parts import open_wire
+from features.support.http_helpers import UPSTREAM
+from features.support.http_helpers import address
+from features.support.http_helpers import journal
+from features.support.http_helpers import open_wire
 
 # Quick work before slow work, and how long all of that may take to start.
 QUICK_LOOK_UPS = 30
--- a/features/steps/http_steps.py
+++ b/features/steps/http_steps.py
@@ -16,10 +16,10 @@
 from features.support.harness import free_address
 from features.support.harness import send
 from features.support.harness import wait_until
-from features.support.http_parts import UPSTREAM
-from features.support.http_parts import address
-from features.support.http_parts import journal
-from features.support.http_parts import open_wire
+from features.support.http_helpers import UPSTREAM
+from features.support.http_helpers import address
+from features.support.http_helpers import journal
+from features.support.http_helpers import open_wire
 
 MIB = 1 << 20
 RAW_UPSTREAM = "bkk-raw"
@@ -190,7 +190,7 @@
 def step_stalled(context, entry):
     context.resident_before = _resident(context, "VmRSS")
     context.raw.stalls = True
-    context.raw.going.clear()
+    context.raw.resume.clear()
     context.add_cleanup(_resume, context.raw)
     head = f"PUT /raw/batches/1 HTTP/1.1\r\nContent-Length: {64 * MIB}\r\n"
 
@@ -206,7 +206,7 @@
 
 def _resume(raw):
     raw.stalls = False
-    raw.going.set()
+    raw.resume.set()
 
 
 @then("no entry's resident memory grew by 16 MiB")
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -11,20 +11,20 @@
 from features.support.deployment import Shape
 from features.support.harness import get
 from features.support.harness import wait_until
-from features.support.leaving import APPROVE
-from features.support.leaving import BUSY_LOOK_UP
-from features.support.leaving import LOOK_UP
-from features.support.leaving import Background
-from features.support.leaving import keys_run_twice
-from features.support.leaving import long_work
-from features.support.leaving import read_ends
-from features.support.leaving import restart_in_turn
-from features.support.leaving import slow_download
-from features.support.leaving import slow_upload
-from features.support.leaving import start_load
-from features.support.leaving import starts_after
-from features.support.leaving import wait_running
-from features.support.sendings import Sendings
+from features.support.leaving_load import APPROVE
+from features.support.leaving_load import BUSY_LOOK_UP
+from features.support.leaving_load import LOOK_UP
+from features.support.leaving_load import BackgroundRequest
+from features.support.leaving_load import keys_run_twice
+from features.support.leaving_load import long_work
+from features.support.leaving_load import read_load_outcome
+from features.support.leaving_load import restart_in_turn
+from features.support.leaving_load import slow_download
+from features.support.leaving_load import slow_upload
+from features.support.leaving_load import start_load
+from features.support.leaving_load import starts_after
+from features.support.leaving_load import wait_running
+from features.support.request_sender import RequestSender
 
 LONG_WORK_MS = 3000
 LEAVE_LIMIT_S = 3.0
@@ -86,7 +86,7 @@
 
 def end_load(context):
     context.load.terminate()
-    return read_ends(context.deployment)
+    return read_load_outcome(context.deployment)
 
 
 @when('long work runs on upstream "bkk-u0", "bkk-u1" and "bkk-u2"')
@@ -95,7 +95,9 @@
     address = context.deployment.callers()[0]
     busy = set()
     for number in range(LONG_WORK_TRIES):
-        work = Background(long_work, address, LONG_WORK_MS, f"long{number}")
+        work = BackgroundRequest(
+            long_work, address, LONG_WORK_MS, f"long{number}"
+        )
         found = wait_until(
             lambda call=f"/long{number}?", work=work: (
                 work.end_s or ran_at(context.deployment, call)
@@ -306,9 +308,9 @@
     context.download_bytes = download_bytes
     address = context.deployment.entries[name]["caller"]
     context.works = [
-        Background(slow_upload, address, 50, 0.1),
-        Background(slow_download, address, download_bytes, 0.5),
-        Background(long_work, address, 5000, "long"),
+        BackgroundRequest(slow_upload, address, 50, 0.1),
+        BackgroundRequest(slow_download, address, download_bytes, 0.5),
+        BackgroundRequest(long_work, address, 5000, "long"),
     ]
     time.sleep(1.0)
 
@@ -321,7 +323,7 @@
     deployment = context.deployment
     home = deployment.home_of(name, asked="bkk-e0")
     (other,) = set(deployment.entries) - {home}
-    sendings = Sendings(deployment=deployment)
+    sendings = RequestSender(deployment=deployment)
     stopping = threading.Thread(
         target=context.processes.children[home].terminate
     )
@@ -340,7 +342,7 @@
     for answer in context.answers:
         served += answer.status == 200
         if answer.status != 200:
-            assert answer.ran == "no", answer.told
+            assert answer.ran == "no", answer.summary
     print("served", served, "of", len(context.answers))
 
 
@@ -406,7 +408,9 @@
     address = deployment.entries[other]["caller"]
     works = []
     while not deployment.journal(name)["busy"]:
-        works.append(Background(long_work, address, 1500, f"k{len(works)}"))
+        works.append(
+            BackgroundRequest(long_work, address, 1500, f"k{len(works)}")
+        )
         assert len(works) < 12, "no work came to it"
         time.sleep(0.1)
     wait_running(deployment, name)
--- a/features/steps/not_run_steps.py
+++ b/features/steps/not_run_steps.py
@@ -151,8 +151,8 @@
 @then("the last answer is not from an upstream and may have run")
 def step_unknown(context):
     last = context.last.wait()
-    assert last.ran == "unknown", last.told
-    assert last.status != 200, last.told
+    assert last.ran == "unknown", last.summary
+    assert last.status != 200, last.summary
 
 
 @then(
--- a/features/steps/observing_steps.py
+++ b/features/steps/observing_steps.py
@@ -14,7 +14,7 @@
 from almondstair.gateway.gateway_metrics import GatewayMetrics
 from almondstair.log import Event
 from almondstair.metrics import Metric
-from features.support import documented
+from features.support import documentation_rows
 from features.support.deployment import Deployment
 from features.support.deployment import Shape
 from features.support.harness import ROOT
@@ -28,7 +28,7 @@
 
 def _page(name):
     text = (ROOT / "docs" / name).read_text(encoding="utf-8")
-    return documented.page_rows(text, heading="## The table")
+    return documentation_rows.page_rows(text, heading="## The table")
 
 
 def _source():
@@ -81,7 +81,7 @@
 @then("the table of the gateway's metrics has just those of the code")
 def step_gateway_metrics(context):
     text = (ROOT / "docs" / "METRICS.md").read_text(encoding="utf-8")
-    rows = documented.page_rows(text, heading="## The gateway")
+    rows = documentation_rows.page_rows(text, heading="## The gateway")
     page = {}
     for row in rows:
         labels = tuple(part.strip("` ") for part in row[2].split(","))
--- a/features/steps/operating_steps.py
+++ b/features/steps/operating_steps.py
@@ -13,15 +13,15 @@
 from features.support.harness import free_address
 from features.support.harness import get
 from features.support.harness import wait_until
-from features.support.operating import CONFIGURATION_KEY
-from features.support.operating import TABLE_KEY
-from features.support.operating import Operator
-from features.support.operating import platform_value
-from features.support.operating import put_platform_value
-from features.support.operating import restart_killed
-from features.support.operating import restart_platform_empty
-from features.support.operating import set_ramp
-from features.support.operating import wait_answers
+from features.support.operator_actions import CONFIGURATION_KEY
+from features.support.operator_actions import TABLE_KEY
+from features.support.operator_actions import Operator
+from features.support.operator_actions import platform_value
+from features.support.operator_actions import put_platform_value
+from features.support.operator_actions import restart_killed
+from features.support.operator_actions import restart_platform_empty
+from features.support.operator_actions import set_ramp
+from features.support.operator_actions import wait_for_version
 
 LOST = {"lose_prefix": CONFIGURATION_KEY}
 WELL = {"down": False, "down_after_loss": False}
@@ -73,7 +73,7 @@
                 )
             answers = [one.result() for one in told]
         context.races.append((operators, answers))
-        wait_answers(context.operator, "bkk-e1", shown["version"] + 1)
+        wait_for_version(context.operator, "bkk-e1", shown["version"] + 1)
 
 
 def parts(race):
@@ -138,7 +138,7 @@
 
 @then("the edit is told as edit_unknown, also when asked by its id")
 def step_unknown(context):
-    told = context.operator.told
+    told = context.operator.last_response
     assert told.status == 503, told
     assert told.json()["kind"] == "edit_unknown", told
     assert told.json()["ran"] == "unknown", told
@@ -155,14 +155,16 @@
     for entry in context.deployment.entries:
 
         def is_accepted(entry=entry):
-            return context.operator.fate(entry).get("state") == "accepted"
+            return (
+                context.operator.edit_status(entry).get("state") == "accepted"
+            )
 
         wait_until(is_accepted, limit_s=SETTLE_LIMIT_S, what=entry)
 
 
 @then("the edit asked by its id is {kind}")
 def step_fate_kind(context, kind):
-    fate = context.operator.fate("bkk-e0")
+    fate = context.operator.edit_status("bkk-e0")
     assert fate["kind"] == kind, fate
 
 
@@ -187,7 +189,7 @@
 
 @then("the edit is accepted")
 def step_is_accepted(context):
-    told = context.operator.told
+    told = context.operator.last_response
     assert told.status == 200, told
     assert told.json()["state"] == "accepted", told
     context.version = told.json()["version"]
@@ -221,11 +223,11 @@
 
 @then('the edit is told as edit_pending, lacking "{name}"')
 def step_pending(context, name):
-    told = context.operator.told
+    told = context.operator.last_response
     assert told.status == 202, told
     assert told.json()["kind"] == "edit_pending", told
     assert told.json()["lacking"] == [name], told
-    fate = context.operator.fate("cnx-e0")
+    fate = context.operator.edit_status("cnx-e0")
     assert fate["kind"] == "edit_pending", fate
     assert fate["lacking"] == [name], fate
 
@@ -272,7 +274,7 @@
 def step_out_and_start(context, name):
     context.deployment.faults(down=True)
     restart_killed(context.deployment, name)
-    wait_answers(context.operator, name, context.version)
+    wait_for_version(context.operator, name, context.version)
 
 
 @when('an entry "{name}" that the table lacks is started as well')
@@ -284,13 +286,13 @@
     context.deployment.publish_vms()
     context.deployment.write_settings(name)
     context.deployment.start_entry(name)
-    wait_answers(context.operator, name, context.version)
+    wait_for_version(context.operator, name, context.version)
 
 
 @then("the edit stays in force on every entry for {time_s:d} s")
 def step_stays(context, time_s):
     for entry in context.deployment.entries:
-        wait_answers(context.operator, entry, context.version)
+        wait_for_version(context.operator, entry, context.version)
     until_s = time.monotonic() + time_s
     while time.monotonic() < until_s:
         step_in_force(context)
--- a/features/steps/pages_steps.py
+++ b/features/steps/pages_steps.py
@@ -4,12 +4,12 @@
 
 from behave import then
 
-from features.support import documented
+from features.support import documentation_rows
 
 _DOCS = Path(__file__).parents[2] / "docs"
 _ROOT_TYPES = {
-    "settings": documented.SETTINGS_TYPE,
-    "configuration": documented.CONFIGURATION_TYPE,
+    "settings": documentation_rows.SETTINGS_TYPE,
+    "configuration": documentation_rows.CONFIGURATION_TYPE,
 }
 
 
@@ -28,16 +28,16 @@
 @then('the table "{heading}" of SETTINGS.md has just the keys of the {part}')
 def step_settings(context, heading, part):
     text = (_DOCS / "SETTINGS.md").read_text(encoding="utf-8")
-    page = documented.page_rows(text, heading=heading)
+    page = documentation_rows.page_rows(text, heading=heading)
     for index, row in enumerate(page):
         page[index] = (row[0].strip("`"), *row[1:])
-    _compare(page=page, code=documented.setting_rows(_ROOT_TYPES[part]))
+    _compare(page=page, code=documentation_rows.setting_rows(_ROOT_TYPES[part]))
 
 
 @then("the table of ERRORS.md has just the rows of the error table")
 def step_errors(context):
     text = (_DOCS / "ERRORS.md").read_text(encoding="utf-8")
-    page = documented.page_rows(text, heading="## The table")
+    page = documentation_rows.page_rows(text, heading="## The table")
     for index, row in enumerate(page):
         page[index] = (row[0].strip("`"), *row[1:])
-    _compare(page=page, code=documented.error_rows())
+    _compare(page=page, code=documentation_rows.error_rows())
--- a/features/steps/slots_steps.py
+++ b/features/steps/slots_steps.py
@@ -8,7 +8,7 @@
 from behave import when
 
 from features.support.bounded import BoundedDeployment
-from features.support.bounded import most_at_once
+from features.support.bounded import max_concurrent_runs
 from features.support.closed_loop import ClosedLoop
 from features.support.closed_loop import LoadRequest
 from features.support.deployment import Shape
@@ -263,7 +263,7 @@
         assert most <= SLOTS, f"{upstream} had {most} in flight"
         assert journal["refused"]["over_slots"] == 0, journal["refused"]
         runs.extend(journal["runs"])
-    most = most_at_once(runs)
+    most = max_concurrent_runs(runs)
     assert most <= SLOTS * len(context.deployment.upstreams), most
 
 
--- a/features/steps/standins_steps.py
+++ b/features/steps/standins_steps.py
@@ -399,7 +399,7 @@
         name=name,
     )
     assert child.wait() == 0, child.log_text()
-    context.records = context.processes.answers_of(name)
+    context.records = context.processes.caller_records(name)
 
 
 @then("the caller recorded {count:d} whole answers to its own requests")
--- a/features/support/bounded.py
+++ b/features/support/bounded.py
@@ -83,7 +83,7 @@
         return [name for name in self.entries if name != home]
 
 
-def most_at_once(runs: list[dict[str, Any]]) -> int:
+def max_concurrent_runs(runs: list[dict[str, Any]]) -> int:
     """Returns the largest number of overlapping runs."""
     changes = []
     for run in runs:
--- a/features/support/closed_loop.py
+++ b/features/support/closed_loop.py
@@ -29,7 +29,7 @@
     timeout_s: float = 10.0
 
 
-class Record(NamedTuple):
+class RequestRecord(NamedTuple):
     """The outcome of a request; `status` is 0 without a complete response."""
 
     entry: str
@@ -50,7 +50,7 @@
         self._stopping = threading.Event()
         self._threads: list[threading.Thread] = []
         self._lock = threading.Lock()
-        self.records: list[Record] = []
+        self.records: list[RequestRecord] = []
         self.read_bytes: dict[str, Counter[int]] = {}
 
     def add(
@@ -72,7 +72,7 @@
             thread.join(max(0.0, limit_end_s - time.monotonic()))
             assert not thread.is_alive(), "a caller did not stop in time"
 
-    def answered(self, *, since_s: float = 0.0) -> list[Record]:
+    def answered(self, *, since_s: float = 0.0) -> list[RequestRecord]:
         """Returns the requests answered with 200 since `since_s`."""
         found = []
         for record in tuple(self.records):
@@ -80,7 +80,7 @@
                 found.append(record)
         return found
 
-    def refused(self, *, kind: str) -> list[Record]:
+    def refused(self, *, kind: str) -> list[RequestRecord]:
         """Returns the requests refused with an error kind."""
         found = []
         for record in tuple(self.records):
@@ -144,7 +144,7 @@
         message = {}
         if body[:1] == b"{":
             message = json.loads(body)
-        record = Record(
+        record = RequestRecord(
             entry,
             request.path,
             start_s,
--- a/features/support/crashing_world.py
+++ b/features/support/crashing_world.py
@@ -24,10 +24,10 @@
 from almondstair.gateway import crash_reports
 from almondstair.gateway.crash_reports import CrashReports
 from almondstair.gateway.upstream_connector import LOSS_PROBE_PAUSE_S
-from features.support.telling_world import BETWEEN_REGIONS_S
-from features.support.telling_world import IN_ZONE_S
-from features.support.telling_world import Member
-from features.support.telling_world import TellingWorld
+from features.support.load_exchange_world import BETWEEN_REGIONS_S
+from features.support.load_exchange_world import IN_ZONE_S
+from features.support.load_exchange_world import LoadExchangeWorld
+from features.support.load_exchange_world import Member
 
 REQUEST = 7
 CALLER_DELAY_S = 0.008
@@ -36,7 +36,7 @@
 DEADLINE_S = 2.0
 
 
-class CrashingWorld(TellingWorld):
+class CrashingWorld(LoadExchangeWorld):
     """Simulates entries, callers, and upstreams that one request crashes.
 
     Attributes:
@@ -86,7 +86,7 @@
         name = member.name
         self._crash_reports[name] = CrashReports(
             suspects=self._suspects[name],
-            load_exchange=member.sharing,
+            load_exchange=member.load_exchange,
             own_name=name,
         )
         self._placers[name] = RequestPlacer(
@@ -115,11 +115,11 @@
         first = next(iter(self.members.values()))
         self._receive_request(
             first,
-            lambda: self.later(
+            lambda: self.schedule(
                 CALLER_DELAY_S, lambda: self._start_callers(callers)
             ),
         )
-        self.pass_time(span_s + DEADLINE_S)
+        self.advance(span_s + DEADLINE_S)
 
     def _start_callers(self, callers: int) -> None:
         for _ in range(callers):
@@ -134,9 +134,11 @@
             delay_s += BETWEEN_REGIONS_S
 
         def on_response() -> None:
-            self.later(delay_s, self._send_again)
+            self.schedule(delay_s, self._send_again)
 
-        self.later(delay_s, lambda: self._receive_request(member, on_response))
+        self.schedule(
+            delay_s, lambda: self._receive_request(member, on_response)
+        )
 
     def _receive_request(self, member: Member, on_response: Any) -> None:
         reports = self._crash_reports[member.name]
@@ -155,7 +157,7 @@
             return
         upstream = placed.choice.upstream
         delay_s = self._delay_s(member, upstream)
-        self.later(
+        self.schedule(
             delay_s,
             lambda: self._run_at_upstream(member, upstream, on_response),
         )
@@ -193,27 +195,27 @@
                 self._report_unreachable(member, upstream)
                 self._receive_request(member, on_response)
 
-            self.later(delay_s, on_unreachable)
+            self.schedule(delay_s, on_unreachable)
             return
         start_s = self.now_s
         ends_s = self._run_start_s.setdefault(name, start_s) + RUN_S
 
         def crash() -> None:
             self.ended.setdefault(name, self.now_s)
-            self.later(delay_s, lose_connection)
+            self.schedule(delay_s, lose_connection)
 
         def lose_connection() -> None:
             ran_s = self.now_s - start_s
             self._crash_reports[member.name].report_lost(
                 REQUEST, upstream, ran_s=ran_s
             )
-            self.later(
+            self.schedule(
                 LOSS_PROBE_PAUSE_S + 2 * delay_s,
                 lambda: self._report_unreachable(member, upstream),
             )
             on_response()
 
-        self.later(ends_s - self.now_s, crash)
+        self.schedule(ends_s - self.now_s, crash)
 
     def _report_unreachable(
         self, member: Member, upstream: UpstreamState
--- a/features/support/gateway_world.py
+++ b/features/support/gateway_world.py
@@ -10,8 +10,8 @@
 from emulator.documents import HOST
 from emulator.documents import route
 from features.support import harness
-from features.support.harness import Answer
 from features.support.harness import Child
+from features.support.harness import HttpResponse
 from features.support.harness import Processes
 
 ZONES = {"a1": "east", "a2": "east", "b1": "west"}
@@ -216,7 +216,7 @@
 
     def send(
         self, method: str, path: str, *, gateway: str = "g1", **options: Any
-    ) -> Answer:
+    ) -> HttpResponse:
         """Sends one request as a caller."""
         headers = self.headers(**options.pop("headers", {}))
         address = self.gateways[gateway]["callers"]
--- a/features/support/harness.py
+++ b/features/support/harness.py
@@ -27,7 +27,7 @@
 LOG_TAIL_BYTES = 2000
 
 
-class Answer(NamedTuple):
+class HttpResponse(NamedTuple):
     """A complete HTTP response."""
 
     status: int
@@ -57,7 +57,7 @@
         time.sleep(POLL_INTERVAL_S)
 
 
-def answers(address: str) -> bool:
+def accepts_connections(address: str) -> bool:
     """Returns whether a connection to an address is accepted."""
     ip, port = address.split(":")
     try:
@@ -81,7 +81,7 @@
     body: Any = None,
     headers: dict[str, str] | None = None,
     timeout_s: float = 10.0,
-) -> Answer:
+) -> HttpResponse:
     """Sends a request on a new connection and reads the complete response.
 
     Args:
@@ -102,17 +102,19 @@
     try:
         connection.request(method, path, body=body, headers=headers or {})
         response = connection.getresponse()
-        return Answer(response.status, response.headers, response.read())
+        return HttpResponse(response.status, response.headers, response.read())
     finally:
         connection.close()
 
 
-def get(address: str, path: str, **options: Any) -> Answer:
+def get(address: str, path: str, **options: Any) -> HttpResponse:
     """Sends a GET."""
     return send("GET", address, path, **options)
 
 
-def post(address: str, path: str, body: Any = None, **options: Any) -> Answer:
+def post(
+    address: str, path: str, body: Any = None, **options: Any
+) -> HttpResponse:
     """Sends a POST."""
     return send("POST", address, path, body=body, **options)
 
@@ -243,7 +245,7 @@
 
         def is_ready() -> bool:
             assert child.is_running(), f"{name} ended: {child.log_text()}"
-            return answers(address)
+            return accepts_connections(address)
 
         wait_until(is_ready, limit_s=limit_s, what=f"{name} at {address}")
         return child
@@ -273,14 +275,14 @@
         classes: list[dict[str, Any]],
         name: str = "caller",
     ) -> Child:
-        """Starts a caller stand-in; `answers_of` returns its records."""
+        """Starts a caller stand-in; `caller_records` returns its records."""
         script = str(SUPPORT / "caller_standin.py")
         out = str(self.directory / f"{name}.jsonl")
         arguments = ["--entries", ",".join(entries), "--service", service]
         arguments += ["--classes", json.dumps(classes), "--out", out]
         return self.start(name, script, *arguments, *options)
 
-    def answers_of(self, name: str = "caller") -> list[dict[str, Any]]:
+    def caller_records(self, name: str = "caller") -> list[dict[str, Any]]:
         """Returns the request outcomes that a caller has recorded."""
         path = self.directory / f"{name}.jsonl"
         records = []
--- a/features/support/heartbeat_entries.py
+++ b/features/support/heartbeat_entries.py
@@ -101,22 +101,22 @@
     return oldest_s
 
 
-class Steps:
+class HeartbeatSimulation:
     """Runs the entries of a table in simulated time without sockets.
 
     Each entry sends once per interval, each at a different time; messages
     arrive immediately.
 
     Attributes:
-      pulls: whether an entry copies a newer configuration from the sender of
-        a heartbeat.
+      pulls_configuration: whether an entry copies a newer configuration from
+        the sender of a heartbeat.
     """
 
     def __init__(self, count: int, zones: int) -> None:
         """Creates the entries; none has sent yet."""
         self.now_s = 0.0
         self.sent_bytes = 0
-        self.pulls = False
+        self.pulls_configuration = False
         self.entries: dict[str, Entry] = {}
         table = make_table(count, zones)
         for row in table.entries:
@@ -135,12 +135,12 @@
                 entry.heartbeats.send_round()
 
     def deliver(self, sender_name: str, name: str, frame: bytes) -> None:
-        """Delivers a frame, and a newer configuration if `pulls`."""
+        """Delivers a frame, with the configuration if `pulls_configuration`."""
         entry = self.entries[name]
         heartbeat = messages.decode(frame)
         entry.receive(sender_name, 1, heartbeat)
         newer = heartbeat.configuration_version > entry.configuration.version
-        if self.pulls and newer:
+        if self.pulls_configuration and newer:
             sender = self.entries[sender_name]
             entry.configuration.apply_if_newer(sender.configuration.in_force)
 
@@ -148,7 +148,7 @@
 class SimulatedPeers:
     """Replaces the sockets of one entry."""
 
-    def __init__(self, steps: Steps, name: str) -> None:
+    def __init__(self, steps: HeartbeatSimulation, name: str) -> None:
         """Creates the peers of the entry `name`."""
         self.steps = steps
         self.name = name
--- a/features/support/homes_run.py
+++ b/features/support/homes_simulation.py
@@ -95,7 +95,7 @@
     """An entry process with its own clock."""
 
     def __init__(
-        self, *, run: "Run", name: str, homes_class: type[Homes]
+        self, *, run: "HomesSimulation", name: str, homes_class: type[Homes]
     ) -> None:
         """Starts a process without a table or reports of peers."""
         self.name = name
@@ -146,7 +146,7 @@
 
     dispatched: int = 0
     in_reserve: int = 0
-    most_over_slots: int = 0
+    max_over_slots: int = 0
     deaths: int = 0
     freezes: int = 0
     epochs: int = 0
@@ -168,7 +168,7 @@
 USUAL_FAULTS = Faults()
 
 
-class Run:
+class HomesSimulation:
     """Simulates the entries of one region from a seed."""
 
     def __init__(
@@ -194,7 +194,7 @@
         self._platform_down_until_s = 0.0
         self._running: list[Running] = []
 
-    def go(self, *, seconds: float) -> Counts:
+    def run(self, *, seconds: float) -> Counts:
         """Runs up to a simulated time and returns the event counts."""
         while self.now_s < seconds:
             self.now_s += STEP_S
@@ -392,8 +392,8 @@
             if other.upstream == upstream:
                 in_flight += 1
         over_slots = in_flight - UPSTREAM_SLOTS[upstream]
-        max_over_slots = max(self.counts.most_over_slots, over_slots)
-        self.counts = self.counts._replace(most_over_slots=max_over_slots)
+        max_over_slots = max(self.counts.max_over_slots, over_slots)
+        self.counts = self.counts._replace(max_over_slots=max_over_slots)
 
     def _end_written(self, entry: Entry, clock_s: float) -> None:
         still_running = []
--- a/features/support/leaving.py
+++ b/features/support/leaving_load.py
@@ -8,8 +8,8 @@
 
 from features.support.deployment import SERVICE
 from features.support.deployment import Deployment
-from features.support.harness import Answer
 from features.support.harness import Child
+from features.support.harness import HttpResponse
 from features.support.harness import get
 from features.support.harness import wait_until
 
@@ -58,23 +58,23 @@
     )
 
 
-class Ends(NamedTuple):
+class LoadOutcome(NamedTuple):
     """Outcomes of the requests of a load.
 
     Attributes:
       answered: number of requests with a complete 200 response.
-      later: how many of them were first refused as not run.
+      retried: how many of them were first refused as not run.
       failed: records of all other requests.
       latencies_ms: latencies of all requests, sorted.
     """
 
     answered: int
-    later: int
+    retried: int
     failed: list[dict[str, Any]]
     latencies_ms: list[float]
 
 
-def read_ends(deployment: Deployment) -> Ends:
+def read_load_outcome(deployment: Deployment) -> LoadOutcome:
     """Returns the outcomes that the callers recorded.
 
     A request counts as answered only if every attempt before the last was
@@ -84,7 +84,7 @@
     later = 0
     failed = []
     latencies_ms = []
-    for record in deployment.processes.answers_of():
+    for record in deployment.processes.caller_records():
         latencies_ms.append(record["latency_ms"])
         earlier_outcomes = {
             attempt["ran"] for attempt in record["attempts"][:-1]
@@ -95,7 +95,7 @@
             continue
         answered += 1
         later += len(record["attempts"]) > 1
-    return Ends(answered, later, failed, sorted(latencies_ms))
+    return LoadOutcome(answered, later, failed, sorted(latencies_ms))
 
 
 def restart_in_turn(deployment: Deployment, count: int) -> list[int]:
@@ -137,14 +137,14 @@
     return repeated
 
 
-class Background:
+class BackgroundRequest:
     """A request on a separate thread."""
 
     def __init__(self, work: Any, *arguments: Any) -> None:
         """Starts `work`, a function that returns a response."""
         self._work = work
         self._arguments = arguments
-        self.answer: Answer | None = None
+        self.answer: HttpResponse | None = None
         self.error: Exception | None = None
         self.end_s = 0.0
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -157,7 +157,7 @@
             self.error = error
         self.end_s = time.monotonic()
 
-    def wait(self, *, limit_s: float = 30.0) -> Answer:
+    def wait(self, *, limit_s: float = 30.0) -> HttpResponse:
         """Waits for the response and returns it.
 
         Raises:
@@ -169,7 +169,7 @@
         return self.answer
 
 
-def slow_upload(address: str, chunks: int, pause_s: float) -> Answer:
+def slow_upload(address: str, chunks: int, pause_s: float) -> HttpResponse:
     """Uploads chunks with pauses between them."""
     chunk = b"u" * 10_000
 
@@ -186,10 +186,12 @@
     with contextlib.suppress(BrokenPipeError, ConnectionResetError):
         connection.request("PUT", path, body=body(), headers=headers)
     response = connection.getresponse()
-    return Answer(response.status, response.headers, response.read())
+    return HttpResponse(response.status, response.headers, response.read())
 
 
-def slow_download(address: str, size_bytes: int, pause_s: float) -> Answer:
+def slow_download(
+    address: str, size_bytes: int, pause_s: float
+) -> HttpResponse:
     """Downloads in chunks with pauses, so that the response queues up."""
     ip, port = address.split(":")
     connection = http.client.HTTPConnection(ip, int(port), timeout=30)
@@ -200,10 +202,10 @@
     while chunk := response.read(size_bytes // 10):
         body += chunk
         time.sleep(pause_s)
-    return Answer(response.status, response.headers, body)
+    return HttpResponse(response.status, response.headers, body)
 
 
-def long_work(address: str, work_ms: int, call: str) -> Answer:
+def long_work(address: str, work_ms: int, call: str) -> HttpResponse:
     """Sends a request that takes `work_ms` at the upstream."""
     path = f"/{SERVICE}/statements/{call}?work_ms={work_ms}"
     return get(address, path, timeout_s=30)
--- a/features/support/telling_world.py
+++ b/features/support/load_exchange_world.py
@@ -46,7 +46,7 @@
     zone: str
     region: str
     fleet: Fleet
-    sharing: LoadExchange
+    load_exchange: LoadExchange
 
 
 class _Sleep:
@@ -66,15 +66,15 @@
 class _DatagramTransport:
     """Replaces the datagram transport of one entry."""
 
-    def __init__(self, world: "TellingWorld", name: str) -> None:
+    def __init__(self, world: "LoadExchangeWorld", name: str) -> None:
         self._world = world
         self._name = name
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
-        self._world.carry(self._name, f"e{address[1]}", data)
+        self._world.deliver_datagram(self._name, f"e{address[1]}", data)
 
 
-class TellingWorld:
+class LoadExchangeWorld:
     """Simulates entries in zones, upstreams, and messages in flight.
 
     Attributes:
@@ -103,7 +103,7 @@
         self._registered = self._make_registered(entries)
         for entry in self._registered:
             self._add_entry(entry)
-        self.forget_counts()
+        self.reset_counts()
 
     def _make_records(self) -> list[UpstreamRecord]:
         zones = itertools.cycle(self._regions)
@@ -168,13 +168,13 @@
         del name
         return mock.Mock(**{"recent_strikes.return_value": []})
 
-    def forget_counts(self) -> None:
+    def reset_counts(self) -> None:
         """Resets the counts of sent messages and bytes."""
         self.sent_bytes = dict.fromkeys(self.members, 0)
         self.sent_count: dict[tuple[str, str], int] = {}
         self.far_bytes = 0
 
-    def carry(self, sender: str, receiver: str, data: bytes) -> None:
+    def deliver_datagram(self, sender: str, receiver: str, data: bytes) -> None:
         """Delivers a datagram after the one-way latency."""
         source, target = self.members[sender], self.members[receiver]
         self.sent_bytes[sender] += len(data)
@@ -188,11 +188,11 @@
             self.far_bytes += len(data)
 
         def arrive() -> None:
-            target.sharing.datagram_received(data, ("10.0.0.1", 1))
+            target.load_exchange.datagram_received(data, ("10.0.0.1", 1))
 
-        self.later(delay_s, arrive)
+        self.schedule(delay_s, arrive)
 
-    def later(self, after_s: float, work: Callable[[], None]) -> None:
+    def schedule(self, after_s: float, work: Callable[[], None]) -> None:
         """Schedules work after a delay."""
         event = (self.now_s + after_s, next(self._numbers), work)
         heapq.heappush(self._events, event)
@@ -208,18 +208,18 @@
                 self._start_exchange(member)
                 if busy:
                     self._start_requests(member)
-            self.pass_time(SETTLE_S)
-            self.forget_counts()
+            self.advance(SETTLE_S)
+            self.reset_counts()
             yield
 
     def _start_exchange(self, member: Member) -> None:
-        work = member.sharing.run()
+        work = member.load_exchange.run()
 
         def resume() -> None:
-            self.later(work.send(None), resume)
+            self.schedule(work.send(None), resume)
 
         # The entries start at different times.
-        self.later(self.draws.random() / 2, resume)
+        self.schedule(self.draws.random() / 2, resume)
 
     def _start_requests(self, member: Member) -> None:
         busy = self.names[QUIET_UPSTREAMS:]
@@ -233,15 +233,15 @@
             self.state(member, in_flight_at.pop(0)).in_flight -= 1
             in_flight_at.append(self.draws.choice(busy))
             self.state(member, in_flight_at[-1]).in_flight += 1
-            self.later(MOVE_INTERVAL_S, move)
+            self.schedule(MOVE_INTERVAL_S, move)
 
-        self.later(self.draws.random() * MOVE_INTERVAL_S, move)
+        self.schedule(self.draws.random() * MOVE_INTERVAL_S, move)
 
     def state(self, member: Member, name: str) -> Any:
         """Returns the state of an upstream in an entry's view of the fleet."""
         return member.fleet.upstreams_by_hash[incarnation_hash(name)]
 
-    def pass_time(self, span_s: float) -> None:
+    def advance(self, span_s: float) -> None:
         """Runs all events of a time span."""
         end_s = self.now_s + span_s
         while self._events and self._events[0][0] <= end_s:
@@ -255,17 +255,17 @@
         for member in self.members.values():
             if member.zone != min(self._regions):
                 continue
-            reporter = member.sharing._reporter(self.now_s)
+            reporter = member.load_exchange._reporter(self.now_s)
             if reporter is not None and reporter.name == member.name:
                 found.append(member)
         [member] = found
         return member
 
-    def weigh_all(self) -> Plan:
+    def set_varied_weights(self) -> Plan:
         """Sets varied upstream weights in the plan of the first reporter."""
         weights = {}
         for number, name in enumerate(self.names):
             weights[incarnation_hash(name)] = 30 + number % 30
         plan = Plan(weights=weights)
-        self.first_reporter().sharing._planner.set_plan(plan)
+        self.first_reporter().load_exchange._planner.set_plan(plan)
         return plan
--- a/features/support/measured_load.py
+++ b/features/support/measured_load.py
@@ -68,7 +68,7 @@
         self.records = []
         for name in names:
             processes.children[name].wait(limit_s=length_s + 15)
-            self.records.extend(processes.answers_of(name))
+            self.records.extend(processes.caller_records(name))
         self.spans.append((started_s, time.monotonic()))
 
     def _open_gate(self, names: list[str], gate: Path) -> float:
--- a/features/support/mixed_load.py
+++ b/features/support/mixed_load.py
@@ -23,26 +23,26 @@
 _TICK_S = 0.005
 
 
-class Kind(NamedTuple):
+class RequestKind(NamedTuple):
     """A kind of request: its rate, run time and latency target."""
 
     name: str
     per_s: float
     run_s: float
-    aim_s: float
+    target_latency_s: float
 
 
 class _Request(NamedTuple):
     arrived_s: float
     number: int
-    kind: Kind
+    kind: RequestKind
 
 
-class Outcome(NamedTuple):
+class RequestKindOutcome(NamedTuple):
     """Counts of the requests of one kind by outcome."""
 
     asked: int
-    in_aim: int
+    in_target: int
     late: int
     refused: int
 
@@ -53,7 +53,7 @@
         hostname="h",
         prefix=f"/{kind.name}/",
         kind=RouteKind.SAFE,
-        target_latency_s=kind.aim_s,
+        target_latency_s=kind.target_latency_s,
         timeout_s=8.0,
         attempts=2,
         priority=2,
@@ -77,7 +77,7 @@
         """
         self._kinds = kinds
         self._waits = waits
-        self._min_target_s = min(kind.aim_s for kind in kinds)
+        self._min_target_s = min(kind.target_latency_s for kind in kinds)
         total = sum(kind.per_s for kind in kinds)
         work = sum(kind.per_s * kind.run_s for kind in kinds)
         self._mean_run_s = work / total
@@ -95,7 +95,7 @@
             own_name="e", rate_factor=1.5, slack=5
         )
 
-    def play(self, *, span_s):
+    def run(self, *, span_s):
         """Runs the simulation and returns the outcome of each kind by name."""
         numbers = {kind.name: 0 for kind in self._kinds}
         next_retry_s = 0.0
@@ -111,7 +111,9 @@
                     request = _Request(now_s, numbers[kind.name], kind)
                     self._counts[kind.name][0] += 1
                     self._send(request, now_s)
-        return {name: Outcome(*row) for name, row in self._counts.items()}
+        return {
+            name: RequestKindOutcome(*row) for name, row in self._counts.items()
+        }
 
     def _retry_waiting(self, now_s):
         waiting = self._waiting
@@ -129,7 +131,7 @@
             return
         kind = request.kind
         if self._waits and entry_waits.should_wait(
-            target_latency_s=kind.aim_s,
+            target_latency_s=kind.target_latency_s,
             shortest_target_s=self._min_target_s,
             age_s=now_s - request.arrived_s,
             run_s=kind.run_s,
@@ -146,7 +148,7 @@
         max_queue_s = float("inf")
         if self._waits:
             max_queue_s = entry_waits.max_queue_s(
-                target_latency_s=kind.aim_s,
+                target_latency_s=kind.target_latency_s,
                 shortest_target_s=self._min_target_s,
                 age_s=age_s,
             )
@@ -162,7 +164,7 @@
             ),
             service_run_s=self._mean_run_s,
             utilisation=1.0,
-            target_left_s=kind.aim_s - age_s,
+            target_left_s=kind.target_latency_s - age_s,
             remaining_s=8.0 - age_s,
             round_trips_s={},
             entry_names=frozenset(("e",)),
@@ -193,6 +195,8 @@
             while running and running[0][0] <= now_s:
                 end_s, name, _, request = heapq.heappop(running)
                 self._upstreams[index].in_flight -= 1
-                in_time = end_s - request.arrived_s <= request.kind.aim_s
+                in_time = (
+                    end_s - request.arrived_s <= request.kind.target_latency_s
+                )
                 self._counts[name][1 if in_time else 2] += 1
             self._start_runs(index, now_s)
--- a/features/support/operating.py
+++ b/features/support/operator_actions.py
@@ -6,7 +6,7 @@
 
 from features.support.deployment import Deployment
 from features.support.harness import SUPPORT
-from features.support.harness import Answer
+from features.support.harness import HttpResponse
 from features.support.harness import get
 from features.support.harness import post
 from features.support.harness import wait_until
@@ -23,7 +23,7 @@
         """Sends edits and queries to the entries of a deployment."""
         self.deployment = deployment
         self.edit_id = ""
-        self.told: Answer
+        self.last_response: HttpResponse
 
     def address(self, entry: str) -> str:
         """Returns the address of the operator listener of an entry."""
@@ -33,14 +33,14 @@
         """Returns the configuration in force on an entry."""
         return get(self.address(entry), "/v1/configuration").json()
 
-    def edit(self, entry: str, old: str, new: str) -> Answer:
+    def edit(self, entry: str, old: str, new: str) -> HttpResponse:
         """Replaces a part of the configuration in force on an entry."""
         current = self.read(entry)
         text = current["text"].replace(old, new)
         assert text != current["text"], f"{old!r} is not in the text"
         return self.put(entry, text, current["version"])
 
-    def put(self, entry: str, text: str, base_version: int) -> Answer:
+    def put(self, entry: str, text: str, base_version: int) -> HttpResponse:
         """Submits a configuration through an entry."""
         self.edit_id = f"edit-{uuid.uuid4().hex}"
         body = {
@@ -49,15 +49,15 @@
             "author": self.edit_id,
             "text": text,
         }
-        self.told = post(
+        self.last_response = post(
             self.address(entry),
             "/v1/configuration",
             body,
             timeout_s=REQUEST_TIMEOUT_S,
         )
-        return self.told
+        return self.last_response
 
-    def fate(self, entry: str) -> dict[str, Any]:
+    def edit_status(self, entry: str) -> dict[str, Any]:
         """Returns the status of the latest edit."""
         path = f"/v1/edits/{self.edit_id}"
         return get(
@@ -115,7 +115,7 @@
     deployment.start_entry(name)
 
 
-def wait_answers(operator: Operator, entry: str, version: int) -> None:
+def wait_for_version(operator: Operator, entry: str, version: int) -> None:
     """Waits until a version, or a later one, is in force on an entry."""
 
     def is_in_force() -> bool:
--- a/features/support/operator_fake.py
+++ b/features/support/operator_fake.py
@@ -18,7 +18,7 @@
     body: Any
 
 
-class Answer(NamedTuple):
+class ScriptedResponse(NamedTuple):
     """A scripted response; `lost` closes the connection instead."""
 
     status: int = 200
@@ -26,7 +26,7 @@
     lost: bool = False
 
 
-class FakeOperators:
+class FakeOperatorServer:
     """Answers requests from a script and repeats a path's last response.
 
     A path that ends in `*` matches every path with that prefix.
@@ -36,28 +36,32 @@
         """Starts listening on a free port of 127.0.0.1."""
         self.calls: list[Call] = []
         self.address = ""
-        self._script: dict[str, list[Answer]] = {}
+        self._script: dict[str, list[ScriptedResponse]] = {}
         self._loop = asyncio.new_event_loop()
         ready = threading.Event()
         self._thread = threading.Thread(target=self._serve, args=(ready,))
         self._thread.start()
         ready.wait()
 
-    def answer(self, method: str, path: str, answer: Answer) -> None:
+    def add_response(
+        self, method: str, path: str, answer: ScriptedResponse
+    ) -> None:
         """Adds a response to the script."""
         self._script.setdefault(f"{method} {path}", []).append(answer)
 
-    def next_answer(self, call: Call) -> Answer:
+    def next_response(self, call: Call) -> ScriptedResponse:
         """Records a call and returns its response from the script."""
         self.calls.append(call)
         answers = self._responses_for(f"{call.method} {call.path}")
         if not answers:
-            return Answer(404, {"kind": "not_found", "detail": call.path})
+            return ScriptedResponse(
+                404, {"kind": "not_found", "detail": call.path}
+            )
         if len(answers) > 1:
             return answers.pop(0)
         return answers[0]
 
-    def _responses_for(self, request_line: str) -> list[Answer]:
+    def _responses_for(self, request_line: str) -> list[ScriptedResponse]:
         for pattern, answers in self._script.items():
             if pattern == request_line:
                 return answers
@@ -91,7 +95,7 @@
 
 
 class _Handler(web.RequestHandler):
-    def initialize(self, fake: FakeOperators) -> None:
+    def initialize(self, fake: FakeOperatorServer) -> None:
         self._fake = fake
 
     def get(self) -> None:
@@ -108,7 +112,7 @@
         if self.request.body:
             body = json.loads(self.request.body)
         call = Call(str(self.request.method), self.request.path, body)
-        answer = self._fake.next_answer(call)
+        answer = self._fake.next_response(call)
         if answer.lost:
             self.request.connection.stream.close()
             return
--- a/features/support/random_faults.py
+++ b/features/support/random_faults.py
@@ -4,7 +4,7 @@
 import threading
 import time
 
-from features.support.sendings import Sendings
+from features.support.request_sender import RequestSender
 
 SENDERS = 6
 MAX_REPEATS = 3
@@ -18,7 +18,7 @@
 class RandomFaults:
     """Runs sender threads while injecting one fault at a time."""
 
-    def __init__(self, *, sendings: Sendings, seed: int) -> None:
+    def __init__(self, *, sendings: RequestSender, seed: int) -> None:
         """Prepares a run that sends through `sendings`."""
         self._sendings = sendings
         self._deployment = sendings.deployment
--- a/features/support/sendings.py
+++ b/features/support/request_sender.py
@@ -15,7 +15,7 @@
 PROBLEM = "application/problem+json"
 
 
-class Sending:
+class OutgoingRequest:
     """One attempt of a request and its response.
 
     Attributes:
@@ -54,13 +54,13 @@
         self._connection = connect(self.address, timeout_s=SEND_LIMIT_S)
         self._thread.start()
 
-    def wait(self) -> "Sending":
+    def wait(self) -> "OutgoingRequest":
         """Waits for the end of the response."""
         self._thread.join(SEND_LIMIT_S)
         assert not self._thread.is_alive(), f"no response to {self.path}"
         return self
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         """Closes the connection like a caller that gives up."""
         assert self._connection is not None
         assert self._connection.sock is not None
@@ -69,7 +69,7 @@
         self.wait()
 
     @property
-    def told(self) -> str:
+    def summary(self) -> str:
         """A one-line summary for failure messages."""
         return (
             f"{self.path} key={self.key!r}: {self.status} {self.body[:300]!r}"
@@ -103,13 +103,13 @@
         self.status = response.status
 
 
-class Sendings:
+class RequestSender:
     """Sends the requests of a scenario and keeps them."""
 
     def __init__(self, *, deployment: Deployment) -> None:
         """Starts without requests."""
         self.deployment = deployment
-        self.all: list[Sending] = []
+        self.all: list[OutgoingRequest] = []
         self._count = 0
 
     def approve(
@@ -120,7 +120,7 @@
         content: bytes = b"approve",
         query: str = "",
         deadline_ms: int = 0,
-    ) -> Sending:
+    ) -> OutgoingRequest:
         """Sends a request that may run at most once; does not wait."""
         path = f"/{SERVICE}/approvals"
         if query:
@@ -131,7 +131,7 @@
 
     def look_up(
         self, *, entry: str, query: str = "", deadline_ms: int = 0
-    ) -> Sending:
+    ) -> OutgoingRequest:
         """Sends an idempotent request on a new path; does not wait."""
         self._count += 1
         path = f"/{SERVICE}/orders/{self._count}"
@@ -141,9 +141,13 @@
         sending.start(content=b"", deadline_ms=deadline_ms)
         return sending
 
-    def _make(self, *, entry: str, method: str, path: str, key: str) -> Sending:
+    def _make(
+        self, *, entry: str, method: str, path: str, key: str
+    ) -> OutgoingRequest:
         address = self.deployment.entries[entry]["caller"]
-        sending = Sending(address=address, method=method, path=path, key=key)
+        sending = OutgoingRequest(
+            address=address, method=method, path=path, key=key
+        )
         self.all.append(sending)
         return sending
 
@@ -155,7 +159,7 @@
                 found.append(run)
         return found
 
-    def faults_found(self) -> list[str]:
+    def find_violations(self) -> list[str]:
         """Compares all responses with the journals of all upstreams.
 
         Returns:
@@ -176,7 +180,7 @@
         outcomes_by_key: dict[str, set[str]] = {}
         for sending in self.all:
             if sending.ran == "no" and sending.trace in traces:
-                faults.append(f"reported not run, but ran: {sending.told}")
+                faults.append(f"reported not run, but ran: {sending.summary}")
             outcomes_by_key.setdefault(sending.key, set()).add(sending.ran)
         for key, outcomes in outcomes_by_key.items():
             if key in keys and outcomes == {"no"}:
--- a/features/support/wire.py
+++ b/features/support/wire.py
@@ -149,7 +149,7 @@
         self.answer = NOTHING
         # While set, request bodies are not read and no response is sent.
         self.stalls = False
-        self.going = threading.Event()
+        self.resume = threading.Event()
         self.heads: list[str] = []
         super().__init__((ip, int(port)), _RawHandler)
         threading.Thread(target=self.serve_forever, daemon=True).start()
@@ -171,5 +171,5 @@
             return
         self.server.heads.append("\n".join(lines))
         if self.server.stalls:
-            self.server.going.wait(SILENCE_LIMIT_S)
+            self.server.resume.wait(SILENCE_LIMIT_S)
         self.wfile.write(self.server.answer)
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -13,7 +13,7 @@
 from features.support import harness
 from features.support import operator_tool
 from features.support.gateway_world import GatewayWorld
-from features.support.harness import Answer
+from features.support.harness import HttpResponse
 from features.support.harness import Processes
 from scripts.demonstration import print_now
 from scripts.demonstration import run_demonstration
@@ -162,7 +162,7 @@
             sys.exit(1)
 
 
-def _cause(response: Answer) -> str:
+def _cause(response: HttpResponse) -> str:
     if response.status < 300:
         return ""
     return str(response.json().get("kind", ""))
