--- a/almondstair/entry.py
+++ b/almondstair/entry.py
@@ -8,66 +8,66 @@
 import zmq
 
 from almondstair import log
-from almondstair.admitting import SlotKeeper
+from almondstair.call_router import CallRouter
+from almondstair.call_router import CallRouterParts
 from almondstair.calls import Call
 from almondstair.calls import CallHandler
 from almondstair.claims import Claims
-from almondstair.configuration_keeper import ConfigurationKeeper
+from almondstair.configuration_manager import ConfigurationManager
 from almondstair.control import Control
 from almondstair.control import ControlParts
 from almondstair.core.admission import SlotTable
 from almondstair.core.announcement_limiter import AnnouncementLimiter
 from almondstair.core.configuration import ConfigurationState
+from almondstair.core.entry_selection import EntrySelector
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.entry_table import EntryTable
 from almondstair.core.health import HealthTable
 from almondstair.core.home_records import homed_upstreams
 from almondstair.core.homes import Homes
-from almondstair.core.hops import HopTable
 from almondstair.core.loop_stall import LoopStall
 from almondstair.core.membership import Membership
 from almondstair.core.membership_records import incarnation_text
 from almondstair.core.model import Configuration
 from almondstair.core.quarantine import Quarantine
-from almondstair.core.slot_book import SlotBook
+from almondstair.core.slot_tracker import SlotTracker
 from almondstair.core.steering import Steering
 from almondstair.core.steering_records import SteeringLimits
 from almondstair.dispatch import Sender
 from almondstair.document_exchange import DocumentExchange
+from almondstair.entry_table_manager import EntryTableManager
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
-from almondstair.frontend import FrontDoor
-from almondstair.gauges import GaugedParts
-from almondstair.gauges import Gauges
+from almondstair.frontend import RequestListener
 from almondstair.heartbeats import Heartbeats
-from almondstair.joining import Joining
-from almondstair.joining import JoiningParts
 from almondstair.key_value.etcd import EtcdService
 from almondstair.key_value.etcd import HttpVmList
-from almondstair.leaving import Leaving
-from almondstair.leaving import LeavingParts
+from almondstair.link_pacers import LinkPacers
 from almondstair.link_shares import LinkShares
 from almondstair.lookups import LookupBody
 from almondstair.lookups import Lookups
-from almondstair.loop_watch import LoopWatch
+from almondstair.loop_stall_monitor import LoopStallMonitor
 from almondstair.metrics import Metric
 from almondstair.metrics import Metrics
+from almondstair.metrics_sampler import MetricSources
+from almondstair.metrics_sampler import MetricsSampler
+from almondstair.operator_server import OperatorServer
 from almondstair.operator_views import OperatorViews
 from almondstair.operator_views import ViewParts
-from almondstair.operators import OperatorServer
-from almondstair.pacing import LinkPacers
 from almondstair.peers import Peers
-from almondstair.probing import Prober
-from almondstair.running import Core
-from almondstair.running import Runner
-from almondstair.serving import Parts
-from almondstair.serving import Serving
-from almondstair.settings import Loaded
+from almondstair.prober import Prober
+from almondstair.runner import Runner
+from almondstair.runner import RunnerState
+from almondstair.settings import LoadedSettings
 from almondstair.settings import Settings
+from almondstair.shutdown_sequence import ShutdownComponents
+from almondstair.shutdown_sequence import ShutdownSequence
+from almondstair.slot_allocator import SlotAllocator
+from almondstair.startup_sequence import StartupComponents
+from almondstair.startup_sequence import StartupSequence
 from almondstair.store import ConfigurationStore
 from almondstair.store import EntryTableStore
-from almondstair.strike_words import StrikeWords
-from almondstair.table_keeper import TableKeeper
+from almondstair.strike_exchange import StrikeExchange
 from almondstair.tracing import Tracing
 
 # How long the home may use a reserve slot after the last report of its
@@ -91,7 +91,7 @@
 class Entry(CallHandler):
     """Runs one entry."""
 
-    def __init__(self, *, loaded: Loaded) -> None:
+    def __init__(self, *, loaded: LoadedSettings) -> None:
         """Creates the components; nothing listens yet.
 
         Args:
@@ -128,26 +128,26 @@
         )
         self.membership.joining = True
         self._configuration_state = ConfigurationState()
-        book = SlotBook(margin_s=SLOT_MARGIN_S)
+        book = SlotTracker(margin_s=SLOT_MARGIN_S)
         self.homes = Homes(
             entry_name=self.own.name,
             incarnation=self.own.incarnation,
             t1_s=RESERVE_T1_S,
             reserve_deadline_s=RESERVE_DEADLINE_S,
             margin_s=SLOT_MARGIN_S,
-            book=book,
+            tracker=book,
         )
         self._health = HealthTable()
         self._loop_stall = LoopStall()
         self.slots = SlotTable(
             homes=self.homes,
-            book=book,
+            tracker=book,
             health=self._health,
-            standstill=self._loop_stall,
+            loop_stall=self._loop_stall,
         )
-        self._keeper = SlotKeeper(slots=self.slots)
+        self._slot_allocator = SlotAllocator(slots=self.slots)
         report_limit_s = timing.load_report_limit_ms / 1000
-        self._entry_selector = HopTable(report_limit_s=report_limit_s)
+        self._entry_selector = EntrySelector(report_limit_s=report_limit_s)
         self.steering = Steering(
             configuration=NO_CONFIGURATION,
             limits=SteeringLimits(report_limit_s=report_limit_s),
@@ -210,17 +210,17 @@
         )
         prober = Prober(
             slots=self.slots,
-            client=self._sender.upstreams,
+            client=self._sender.upstream_client,
             interval_s=settings.timing.probe_interval_ms / 1000,
         )
         self._prober = prober
-        self.table_keeper = TableKeeper(
+        self.table_manager = EntryTableManager(
             membership=self.membership,
             store=EntryTableStore(service=self._service),
             vm_list=self._vm_list,
             on_table=self._on_table,
         )
-        self.configuration_keeper = ConfigurationKeeper(
+        self.configuration_manager = ConfigurationManager(
             state=self._configuration_state,
             membership=self.membership,
             store=ConfigurationStore(service=self._service),
@@ -231,11 +231,11 @@
             own=self.own,
             membership=self.membership,
             homes=self.homes,
-            keeper=self._keeper,
+            slot_allocator=self._slot_allocator,
             steering=self.steering,
-            hops=self._entry_selector,
+            entry_selector=self._entry_selector,
             quarantine=self._quarantine,
-            shares=self._link_shares,
+            link_shares=self._link_shares,
             pacers=self.pacers,
             prober=self._prober,
             metrics=self.metrics,
@@ -252,42 +252,42 @@
             peers=self._peers,
             clock=time.monotonic,
             own_detail=self._control.own_detail,
-            companions=self._control.companions,
+            piggybacked_messages=self._control.piggybacked_messages,
             interval_ms=settings.timing.heartbeat_interval_ms,
             silence_limit_ms=settings.timing.silence_limit_ms,
         )
-        self._strike_exchange = StrikeWords(
+        self._strike_exchange = StrikeExchange(
             own=self.own,
             incarnation=self._incarnation,
             membership=self.membership,
-            on_word=self._control.take_strikes,
+            on_report=self._control.apply_strikes,
         )
         self._document_exchange = DocumentExchange(
             peer_address=self.own.peer_address,
             peers=self._peers,
             membership=self.membership,
             configuration=self._configuration_state,
-            on_table=lambda table: self.table_keeper.take(
+            on_table=lambda table: self.table_manager.apply(
                 table, from_platform=False
             ),
-            on_configuration=self.configuration_keeper.take,
+            on_configuration=self.configuration_manager.apply,
             clock=time.monotonic,
         )
-        self._gauges = Gauges(
-            parts=GaugedParts(
+        self._metrics_sampler = MetricsSampler(
+            sources=MetricSources(
                 metrics=self.metrics,
                 peers=self._peers,
-                keeper=self._keeper,
+                slot_allocator=self._slot_allocator,
                 pacers=self.pacers,
-                configuration=self.configuration_keeper,
+                configuration=self.configuration_manager,
                 loads=self._control.loads,
             )
         )
         self._control.bind(
             heartbeats=self.heartbeats,
             exchange=self._document_exchange,
-            table=self.table_keeper,
-            configuration=self.configuration_keeper,
+            table=self.table_manager,
+            configuration=self.configuration_manager,
         )
 
     def _on_message(self, name: str, incarnation: int, message: object) -> None:
@@ -297,24 +297,24 @@
         self._control.on_table(table, from_platform)
 
     def _make_call_router(self) -> None:
-        self._loop_stall_monitor = LoopWatch(
-            standstill=self._loop_stall, metrics=self.metrics
+        self._loop_stall_monitor = LoopStallMonitor(
+            loop_stall=self._loop_stall, metrics=self.metrics
         )
-        core = Core(
+        core = RunnerState(
             configuration=self.configuration,
             quarantine=self._quarantine,
             health=self._health,
-            on_strike=self._schedule_strike_report,
+            report_strike=self._schedule_strike_report,
         )
         self.runner = Runner(
             core=core,
-            keeper=self._keeper,
+            allocator=self._slot_allocator,
             claims=self._claims,
             sender=self._sender,
             metrics=self.metrics,
         )
-        self._call_router = Serving(
-            parts=Parts(
+        self._call_router = CallRouter(
+            parts=CallRouterParts(
                 own=self.own,
                 membership=self.membership,
                 steering=self.steering,
@@ -325,8 +325,8 @@
                 sender=self._sender,
                 tracing=self._tracing,
                 metrics=self.metrics,
-                standstill=self._loop_stall,
-                strike_words=self._strike_exchange,
+                loop_stall=self._loop_stall,
+                strike_exchange=self._strike_exchange,
             )
         )
         self._lookups = Lookups(
@@ -350,15 +350,15 @@
 
     def _send_strikes(self) -> None:
         marks = self._quarantine.next_marks(now_s=time.monotonic())
-        self._strike_exchange.tell(marks)
-        self.heartbeats.announce()
+        self._strike_exchange.send_strikes(marks)
+        self.heartbeats.send_now()
 
     def _make_listeners(self) -> None:
         zone = self.own.availability_zone
-        self._caller_listener = FrontDoor(
+        self._caller_listener = RequestListener(
             handler=self, own_zone=zone, for_entries=False
         )
-        self._forward_listener = FrontDoor(
+        self._forward_listener = RequestListener(
             handler=self, own_zone=zone, for_entries=True
         )
         self._leaving = self._make_leaving()
@@ -372,20 +372,20 @@
                 pacers=self.pacers,
                 runner=self.runner,
                 heartbeats=self.heartbeats,
-                configuration=self.configuration_keeper,
-                table=self.table_keeper,
-                running=self._leaving.running,
+                configuration=self.configuration_manager,
+                table=self.table_manager,
+                requests_in_flight=self._leaving.requests_in_flight,
             )
         )
         self._operators = OperatorServer(handler=views)
 
-    def _make_joining(self, seed_text: str) -> Joining:
-        return Joining(
-            parts=JoiningParts(
+    def _make_joining(self, seed_text: str) -> StartupSequence:
+        return StartupSequence(
+            components=StartupComponents(
                 membership=self.membership,
                 heartbeats=self.heartbeats,
-                table_keeper=self.table_keeper,
-                configuration_keeper=self.configuration_keeper,
+                table_manager=self.table_manager,
+                configuration_manager=self.configuration_manager,
                 exchange=self._document_exchange,
                 shares=self._link_shares,
                 control=self._control,
@@ -394,21 +394,22 @@
             seed_text=seed_text,
         )
 
-    def _make_leaving(self) -> Leaving:
+    def _make_leaving(self) -> ShutdownSequence:
         timing = self._settings.timing
-        return Leaving(
-            parts=LeavingParts(
+        return ShutdownSequence(
+            components=ShutdownComponents(
                 membership=self.membership,
                 heartbeats=self.heartbeats,
-                table_keeper=self.table_keeper,
+                table_manager=self.table_manager,
                 homes=self.homes,
                 shares=self._link_shares,
                 claims=self._claims,
-                caller_door=self._caller_listener,
-                forward_door=self._forward_listener,
+                caller_listener=self._caller_listener,
+                forward_listener=self._forward_listener,
             ),
-            serve_s=(timing.lookup_ttl_ms + timing.drain_margin_ms) / 1000,
-            finish_s=timing.stop_limit_ms / 1000,
+            lookup_grace_s=(timing.lookup_ttl_ms + timing.drain_margin_ms)
+            / 1000,
+            drain_limit_s=timing.stop_limit_ms / 1000,
         )
 
     # Calls from the listeners.
@@ -420,7 +421,7 @@
           AlmondstairError: `platform_unavailable` before the first one is in
             force.
         """
-        configuration = self.configuration_keeper.configuration
+        configuration = self.configuration_manager.configuration
         if configuration is None:
             raise AlmondstairError(
                 kind=ErrorKind.PLATFORM_UNAVAILABLE,
@@ -435,19 +436,19 @@
     def lookup(self, *, service: str, caller_ip: str) -> LookupBody:
         """Returns the entries that a caller may use."""
         self.metrics.count(Metric.LOOKUPS)
-        return self._lookups.answer(
+        return self._lookups.look_up(
             configuration=self.configuration(),
             service=service,
             caller_ip=caller_ip,
         )
 
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Returns whether connections are closed after their response."""
         return self.membership.leaving
 
-    def refusing(self) -> bool:
+    def is_refusing(self) -> bool:
         """Returns whether new requests are refused."""
-        return self._leaving.refusing
+        return self._leaving.is_refusing
 
     # Start.
 
@@ -467,7 +468,7 @@
         self.heartbeats.start()
         self._control.start()
         self._timers.append(asyncio.ensure_future(self._joining.run()))
-        self._timers.append(asyncio.ensure_future(self._gauges.run()))
+        self._timers.append(asyncio.ensure_future(self._metrics_sampler.run()))
         self._timers.append(
             asyncio.ensure_future(self._loop_stall_monitor.run())
         )
@@ -495,8 +496,8 @@
         self._control.stop()
         self._prober.stop()
         self.heartbeats.stop()
-        self.table_keeper.stop()
-        self.configuration_keeper.stop()
+        self.table_manager.stop()
+        self.configuration_manager.stop()
         for timer in self._timers:
             timer.cancel()
         await self._operators.close()
--- a/almondstair/zone_loads.py
+++ b/almondstair/far_zone_loads.py
@@ -1,15 +1,15 @@
 """Loads of availability zones that are reported by digests only."""
 
+from almondstair.core.entry_selection import EntrySelector
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.heartbeat_payloads import ServiceLoad
 from almondstair.core.heartbeats import FAR_SILENCE_S
-from almondstair.core.hops import HopTable
 from almondstair.core.membership import Membership
 from almondstair.core.steering import Steering
 from almondstair.heartbeats import Heartbeats
 
 
-class ZoneLoads:
+class FarZoneLoads:
     """Applies loads from digests of far zones to steering and entry choice."""
 
     def __init__(
@@ -19,7 +19,7 @@
         membership: Membership,
         heartbeats: Heartbeats,
         steering: Steering,
-        hops: HopTable,
+        entry_selector: EntrySelector,
     ) -> None:
         """Starts without any zone.
 
@@ -29,16 +29,16 @@
           heartbeats: source of the digests, and of the entries that send their
             own details.
           steering: receives the loads of regions.
-          hops: receives the loads of entries.
+          entry_selector: receives the loads of entries.
         """
         self._own = own
         self._membership = membership
         self._heartbeats = heartbeats
         self._steering = steering
-        self._entry_selector = hops
+        self._entry_selector = entry_selector
         self._reported_zones: set[str] = set()
 
-    def observe(self, *, now_s: float) -> None:
+    def update(self, *, now_s: float) -> None:
         """Applies the loads of far zones from their latest digests."""
         reported = set()
         for zone, rows in self._far_zones(now_s).items():
@@ -88,7 +88,7 @@
         # free slots than entries would seem full.
         slots_per_entry, remainder = divmod(load.free_slots, len(rows))
         for index, row in enumerate(rows):
-            self._entry_selector.heard(
+            self._entry_selector.record_report(
                 entry=row.name,
                 service=load.service,
                 free_slots=slots_per_entry + (index < remainder),
--- a/almondstair/operator_views.py
+++ b/almondstair/operator_views.py
@@ -4,7 +4,7 @@
 import time
 from typing import Any, NamedTuple
 
-from almondstair.configuration_keeper import ConfigurationKeeper
+from almondstair.configuration_manager import ConfigurationManager
 from almondstair.core.admission import SlotTable
 from almondstair.core.admission_records import UpstreamStatus
 from almondstair.core.entry_table import EntryRow
@@ -12,25 +12,25 @@
 from almondstair.core.membership import Membership
 from almondstair.core.model import Configuration
 from almondstair.core.steering import Steering
+from almondstair.entry_table_manager import EntryTableManager
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 from almondstair.heartbeats import Heartbeats
-from almondstair.operators import CheckRequest
-from almondstair.operators import EditAnswer
-from almondstair.operators import EditRequest
-from almondstair.operators import MarkRequest
-from almondstair.operators import OperatorHandler
-from almondstair.pacing import LinkPacers
-from almondstair.running import Runner
+from almondstair.link_pacers import LinkPacers
+from almondstair.operator_server import CheckRequest
+from almondstair.operator_server import EditRequest
+from almondstair.operator_server import EditResponse
+from almondstair.operator_server import MarkRequest
+from almondstair.operator_server import OperatorHandler
+from almondstair.runner import Runner
 from almondstair.settings import read_configuration
-from almondstair.table_keeper import TableKeeper
 
 
 class ViewParts(NamedTuple):
     """Holds the components that the operators' API reads.
 
     Attributes:
-      running: returns the number of requests in flight on this entry.
+      requests_in_flight: returns the number of them on this entry.
     """
 
     own: EntryRow
@@ -41,9 +41,9 @@
     pacers: LinkPacers
     runner: Runner
     heartbeats: Heartbeats
-    configuration: ConfigurationKeeper
-    table: TableKeeper
-    running: Callable[[], int]
+    configuration: ConfigurationManager
+    table: EntryTableManager
+    requests_in_flight: Callable[[], int]
 
 
 class OperatorViews(OperatorHandler):
@@ -91,13 +91,13 @@
             versions[report.name] = None if silent else report.version
         return versions
 
-    async def edit(self, request: EditRequest) -> EditAnswer:
+    async def edit(self, request: EditRequest) -> EditResponse:
         """Edits the configuration."""
         return await self._parts.configuration.edit(request)
 
-    async def mark(self, request: MarkRequest) -> EditAnswer:
+    async def mark(self, request: MarkRequest) -> EditResponse:
         """Sets or clears the leaving mark of an upstream or entry."""
-        version, text = self._parts.configuration.marked(
+        version, text = self._parts.configuration.text_with_leaving_mark(
             name=request.name, leaving=request.leaving
         )
         edit = EditRequest(
@@ -108,9 +108,9 @@
         )
         return await self._parts.configuration.edit(edit)
 
-    async def edit_fate(self, edit_id: str) -> EditAnswer:
+    async def edit_status(self, edit_id: str) -> EditResponse:
         """Returns the state of an edit."""
-        return await self._parts.configuration.fate(edit_id)
+        return await self._parts.configuration.edit_status(edit_id)
 
     def check(self, request: CheckRequest) -> dict[str, Any]:
         """Checks a document without storing it.
@@ -147,7 +147,7 @@
             if row is not None:
                 # Includes work of former homes until it must have ended.
                 in_flight = row.in_flight + row.busy_elsewhere
-        sent_s = self._parts.runner.last_new_work_s.get(name)
+        sent_s = self._parts.runner.last_dispatch_s.get(name)
         return {
             "name": name,
             "home": home,
@@ -165,7 +165,7 @@
             )
         in_flight = None
         if name == self._parts.own.name:
-            in_flight = self._parts.running()
+            in_flight = self._parts.requests_in_flight()
         return {
             "name": name,
             "home": name,
@@ -186,7 +186,7 @@
     def _is_leaving(self, name: str) -> bool:
         if name in self._configuration().marks.leaving:
             return True
-        if name in self._parts.table.vms_leaving:
+        if name in self._parts.table.leaving_vms:
             return True
         return name in self._reported_leaving()
 
--- a/emulator/caller_wire.py
+++ b/emulator/caller_wire.py
@@ -1,4 +1,4 @@
-"""What callers write and read on their connections."""
+"""Requests and responses as callers encode and decode them."""
 
 import asyncio
 from typing import NamedTuple
@@ -6,15 +6,15 @@
 from emulator.documents import HOST
 
 
-class Ask(NamedTuple):
+class EmulatedRequest(NamedTuple):
     """A request as its caller sends it.
 
     Attributes:
-      request: its id.
-      path: its path.
-      key: the object that it is about.
-      deadline_ms: how long its caller waits, in milliseconds.
-      body: its body; one without is a GET.
+      request: request id.
+      path: path of the URL.
+      key: affinity key.
+      deadline_ms: how long the caller waits, in milliseconds.
+      body: body of a POST; empty for a GET.
     """
 
     request: str
@@ -24,13 +24,13 @@
     body: bytes = b""
 
 
-class Reply(NamedTuple):
-    """An answer as its caller reads it.
+class EmulatedResponse(NamedTuple):
+    """A response as its caller reads it.
 
     Attributes:
-      status: its status.
-      headers: its headers, names in lower case.
-      body: its body.
+      status: HTTP status.
+      headers: header values by lower-case name.
+      body: decoded body.
     """
 
     status: int
@@ -39,39 +39,39 @@
 
     @property
     def seal(self) -> str:
-        """Returns the upstream's signature, empty if there is none."""
+        """Returns the upstream's seal, empty if there is none."""
         return self.headers.get("x-almondstair-response-seal", "")
 
     @property
-    def goes_on(self) -> bool:
-        """Whether the connection takes another request."""
+    def keeps_alive(self) -> bool:
+        """Whether the connection accepts another request."""
         return self.headers.get("connection", "") != "close"
 
-    def whole(self, request: str) -> bool:
-        """Whether the body is an emulated upstream's whole one."""
+    def is_complete(self, request: str) -> bool:
+        """Whether the body is complete, as an emulated upstream sends it."""
         return self.body == f"answer to {request}\n".encode() * 8
 
 
-def write_ask(ask: Ask) -> bytes:
-    """Returns a request's bytes."""
-    method = "POST" if ask.body else "GET"
+def encode_request(request: EmulatedRequest) -> bytes:
+    """Returns a request as HTTP/1.1 bytes."""
+    method = "POST" if request.body else "GET"
     head = (
-        f"{method} {ask.path} HTTP/1.1\r\nHost: {HOST}\r\n"
-        f"X-Almondstair-Request-Id: {ask.request}\r\n"
-        f"X-Almondstair-Affinity-Key: {ask.key}\r\n"
-        f"X-Almondstair-Deadline-Ms: {ask.deadline_ms}\r\n"
+        f"{method} {request.path} HTTP/1.1\r\nHost: {HOST}\r\n"
+        f"X-Almondstair-Request-Id: {request.request}\r\n"
+        f"X-Almondstair-Affinity-Key: {request.key}\r\n"
+        f"X-Almondstair-Deadline-Ms: {request.deadline_ms}\r\n"
     )
-    if ask.body:
-        head += f"Content-Length: {len(ask.body)}\r\n"
-    return head.encode() + b"\r\n" + ask.body
+    if request.body:
+        head += f"Content-Length: {len(request.body)}\r\n"
+    return head.encode() + b"\r\n" + request.body
 
 
-async def read_reply(reader: asyncio.StreamReader) -> Reply:
-    """Reads an answer.
+async def read_response(reader: asyncio.StreamReader) -> EmulatedResponse:
+    """Reads a response.
 
     Raises:
-      EOFError: the connection ended before it was whole.
-      ValueError: it is no answer.
+      EOFError: the connection closed before the response was complete.
+      ValueError: the bytes are not an HTTP response.
     """
     text = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     lines = text.split("\r\n")
@@ -80,7 +80,9 @@
         name, _, value = line.partition(":")
         headers[name.lower()] = value.strip()
     body = await _read_body(reader, headers)
-    return Reply(status=int(lines[0].split()[1]), headers=headers, body=body)
+    return EmulatedResponse(
+        status=int(lines[0].split()[1]), headers=headers, body=body
+    )
 
 
 async def _read_body(
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -8,14 +8,14 @@
 from behave import then
 from behave import when
 
-from almondstair.core import ledger
+from almondstair.core import idempotency
 from features.support.deployment import SERVICE
 from features.support.deployment import Deployment
 from features.support.deployment import Shape
 from features.support.harness import get
 from features.support.harness import post
 from features.support.harness import wait_until
-from features.support.sendings import Sendings
+from features.support.request_sender import RequestSender
 
 STEP_LIMIT_S = 10.0
 SETTLE_S = 0.5
@@ -34,7 +34,7 @@
     )
     context.deployment = Deployment(processes=context.processes, shape=shape)
     context.deployment.start()
-    context.sendings = Sendings(deployment=context.deployment)
+    context.sendings = RequestSender(deployment=context.deployment)
     context.by_key = {}
     for entry in context.deployment.entries:
         # The first claim of an entry asks for its lease; from here on the
@@ -73,18 +73,20 @@
 
 def _record_of(context, key):
     """Returns the platform's record of a key, None when there is none."""
-    place = ledger.service_key(service=SERVICE, key=key).encode()
+    place = idempotency.claim_store_key(service=SERVICE, key=key).encode()
     request = {"key": base64.b64encode(place).decode()}
     answer = post(context.deployment.platform, "/v3/kv/range", request).json()
     for item in answer.get("kvs", []):
-        return ledger.decode_record(base64.b64decode(item["value"]))
+        return idempotency.decode_record(base64.b64decode(item["value"]))
     return None
 
 
 def _wait_recorded(context, key):
     def is_done():
         record = _record_of(context, key)
-        return record is not None and record.state is ledger.RecordState.DONE
+        return (
+            record is not None and record.state is idempotency.RecordState.DONE
+        )
 
     wait_until(is_done, limit_s=STEP_LIMIT_S, what=f"the outcome of {key}")
 
@@ -112,7 +114,7 @@
 @given("the platform takes {delay_ms:d} ms for a call and loses the next claim")
 def step_slow_and_lost(context, delay_ms):
     context.deployment.faults(
-        delay_ms=delay_ms, lose_calls=1, lose_prefix=ledger.KEY_PREFIX
+        delay_ms=delay_ms, lose_calls=1, lose_prefix=idempotency.KEY_PREFIX
     )
 
 
@@ -122,25 +124,27 @@
 )
 def step_slow_and_lost_answer(context, delay_ms):
     context.deployment.faults(
-        delay_ms=delay_ms, lose_answers=1, lose_prefix=ledger.KEY_PREFIX
+        delay_ms=delay_ms, lose_answers=1, lose_prefix=idempotency.KEY_PREFIX
     )
 
 
 @given("the platform loses the next claim's answer and goes out")
 def step_lost_answer_and_out(context):
     context.deployment.faults(
-        lose_answers=1, down_after_loss=True, lose_prefix=ledger.KEY_PREFIX
+        lose_answers=1, down_after_loss=True, lose_prefix=idempotency.KEY_PREFIX
     )
 
 
 @when("the platform loses the next claim's answer")
 def step_lose_answer(context):
-    context.deployment.faults(lose_answers=1, lose_prefix=ledger.KEY_PREFIX)
+    context.deployment.faults(
+        lose_answers=1, lose_prefix=idempotency.KEY_PREFIX
+    )
 
 
 @when("the platform loses the next claim")
 def step_lose_call(context):
-    context.deployment.faults(lose_calls=1, lose_prefix=ledger.KEY_PREFIX)
+    context.deployment.faults(lose_calls=1, lose_prefix=idempotency.KEY_PREFIX)
 
 
 @when("the platform is out")
@@ -277,7 +281,7 @@
 
 @when("its caller leaves")
 def step_leave(context):
-    context.last.leave()
+    context.last.disconnect()
 
 
 @when("upstreams cut their next answer after {size_bytes:d} bytes")
@@ -325,21 +329,21 @@
 @then("the answer is from an upstream")
 def step_from_upstream(context):
     first = _first(context)
-    assert first.ran == "yes" and first.status == 200, first.told
+    assert first.ran == "yes" and first.status == 200, first.summary
 
 
 @then("the last answer is from an upstream")
 def step_last_from_upstream(context):
     last = context.last.wait()
-    assert last.ran == "yes" and last.status == 200, last.told
+    assert last.ran == "yes" and last.status == 200, last.summary
 
 
 @then("the last answer is the same as the first")
 def step_same(context):
     last = context.last.wait()
     first = _first(context)
-    assert last.status == first.status == 200, last.told
-    assert last.body == first.body, (last.told, first.told)
+    assert last.status == first.status == 200, last.summary
+    assert last.body == first.body, (last.summary, first.summary)
     for name in ("Content-Type", "Content-Length"):
         assert last.headers[name] == first.headers[name], name
 
@@ -347,20 +351,20 @@
 @then("the answer is {kind:w} with ran {ran:w}")
 def step_answer(context, kind, ran):
     first = _first(context)
-    assert (first.kind, first.ran) == (kind, ran), first.told
+    assert (first.kind, first.ran) == (kind, ran), first.summary
 
 
 @then("the last answer is {kind:w} with ran {ran:w}")
 def step_last_answer(context, kind, ran):
     last = context.last.wait()
-    assert (last.kind, last.ran) == (kind, ran), last.told
+    assert (last.kind, last.ran) == (kind, ran), last.summary
 
 
 @then("each answer is {kind:w} with ran {ran:w} within {limit_ms:d} ms")
 def step_each(context, kind, ran, limit_ms):
     for sending in context.sendings.all:
         sending.wait()
-        assert (sending.kind, sending.ran) == (kind, ran), sending.told
+        assert (sending.kind, sending.ran) == (kind, ran), sending.summary
         assert sending.latency_s < limit_ms / 1000, sending.latency_s
 
 
@@ -368,25 +372,25 @@
 def step_retry_after(context):
     for sending in context.sendings.all:
         sending.wait()
-        assert int(sending.headers["Retry-After"]) > 0, sending.told
+        assert int(sending.headers["Retry-After"]) > 0, sending.summary
 
 
 @then("the answer may have run")
 def step_may_have_run(context):
     first = _first(context)
-    assert first.ran in ("unknown", "yes"), first.told
+    assert first.ran in ("unknown", "yes"), first.summary
 
 
 @then("the last answer was not run")
 def step_was_not_run(context):
     last = context.last.wait()
-    assert last.ran == "no", last.told
+    assert last.ran == "no", last.summary
 
 
 @then("the last answer is cut")
 def step_is_cut(context):
     last = context.last.wait()
-    assert (last.status, last.ran) == (0, "unknown"), last.told
+    assert (last.status, last.ran) == (0, "unknown"), last.summary
 
 
 def _repeat_until(context, key, region, is_wanted):
@@ -397,8 +401,8 @@
         sending = _send(context, key, region, query=query).wait()
         if is_wanted(sending):
             return
-        assert sending.status in (409, 503), sending.told
-        assert time.monotonic() < end_s, sending.told
+        assert sending.status in (409, 503), sending.summary
+        assert time.monotonic() < end_s, sending.summary
         time.sleep(REPEAT_INTERVAL_S)
 
 
@@ -449,7 +453,11 @@
 def step_agrees(context):
     for sending in context.sendings.all:
         sending.wait()
-    assert not context.sendings.faults_found(), context.sendings.faults_found()
+    assert not context.sendings.find_violations(), (
+        context.sendings.find_violations()
+    )
     # Whatever still waited somewhere would have run by now.
     time.sleep(SETTLE_S)
-    assert not context.sendings.faults_found(), context.sendings.faults_found()
+    assert not context.sendings.find_violations(), (
+        context.sendings.find_violations()
+    )
--- a/features/steps/operating_steps.py
+++ b/features/steps/operating_steps.py
@@ -13,15 +13,15 @@
 from features.support.harness import free_address
 from features.support.harness import get
 from features.support.harness import wait_until
-from features.support.operating import CONFIGURATION_KEY
-from features.support.operating import TABLE_KEY
-from features.support.operating import Operator
-from features.support.operating import platform_value
-from features.support.operating import put_platform_value
-from features.support.operating import restart_killed
-from features.support.operating import restart_platform_empty
-from features.support.operating import set_ramp
-from features.support.operating import wait_answers
+from features.support.operator_actions import CONFIGURATION_KEY
+from features.support.operator_actions import TABLE_KEY
+from features.support.operator_actions import Operator
+from features.support.operator_actions import platform_value
+from features.support.operator_actions import put_platform_value
+from features.support.operator_actions import restart_killed
+from features.support.operator_actions import restart_platform_empty
+from features.support.operator_actions import set_ramp
+from features.support.operator_actions import wait_for_version
 
 LOSE_CONFIGURATION = {"lose_prefix": CONFIGURATION_KEY}
 NO_FAULTS = {"down": False, "down_after_loss": False}
@@ -73,7 +73,7 @@
                 )
             responses = [one.result() for one in futures]
         context.races.append((operators, responses))
-        wait_answers(context.operator, "bkk-e1", shown["version"] + 1)
+        wait_for_version(context.operator, "bkk-e1", shown["version"] + 1)
 
 
 def winner_and_responses(race):
@@ -140,7 +140,7 @@
 
 @then("the edit is told as edit_unknown, also when asked by its id")
 def step_unknown(context):
-    response = context.operator.told
+    response = context.operator.last_response
     assert response.status == 503, response
     assert response.json()["kind"] == "edit_unknown", response
     assert response.json()["ran"] == "unknown", response
@@ -157,14 +157,16 @@
     for entry in context.deployment.entries:
 
         def is_accepted(entry=entry):
-            return context.operator.fate(entry).get("state") == "accepted"
+            return (
+                context.operator.edit_status(entry).get("state") == "accepted"
+            )
 
         wait_until(is_accepted, limit_s=SETTLE_LIMIT_S, what=entry)
 
 
 @then("the edit asked by its id is {kind}")
 def step_fate_kind(context, kind):
-    status = context.operator.fate("bkk-e0")
+    status = context.operator.edit_status("bkk-e0")
     assert status["kind"] == kind, status
 
 
@@ -189,7 +191,7 @@
 
 @then("the edit is accepted")
 def step_is_accepted(context):
-    response = context.operator.told
+    response = context.operator.last_response
     assert response.status == 200, response
     assert response.json()["state"] == "accepted", response
     context.version = response.json()["version"]
@@ -223,11 +225,11 @@
 
 @then('the edit is told as edit_pending, lacking "{name}"')
 def step_pending(context, name):
-    response = context.operator.told
+    response = context.operator.last_response
     assert response.status == 202, response
     assert response.json()["kind"] == "edit_pending", response
     assert response.json()["lacking"] == [name], response
-    status = context.operator.fate("cnx-e0")
+    status = context.operator.edit_status("cnx-e0")
     assert status["kind"] == "edit_pending", status
     assert status["lacking"] == [name], status
 
@@ -274,7 +276,7 @@
 def step_out_and_start(context, name):
     context.deployment.faults(down=True)
     restart_killed(context.deployment, name)
-    wait_answers(context.operator, name, context.version)
+    wait_for_version(context.operator, name, context.version)
 
 
 @when('an entry "{name}" that the table lacks is started as well')
@@ -286,13 +288,13 @@
     context.deployment.publish_vms()
     context.deployment.write_settings(name)
     context.deployment.start_entry(name)
-    wait_answers(context.operator, name, context.version)
+    wait_for_version(context.operator, name, context.version)
 
 
 @then("the edit stays in force on every entry for {time_s:d} s")
 def step_stays(context, time_s):
     for entry in context.deployment.entries:
-        wait_answers(context.operator, entry, context.version)
+        wait_for_version(context.operator, entry, context.version)
     until_s = time.monotonic() + time_s
     while time.monotonic() < until_s:
         step_in_force(context)
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The soak's command line: `python -m soak --help`."""
+"""Command line of the soak: `python -m soak --help`."""
 
 import asyncio
 from collections.abc import Sequence
@@ -11,25 +11,25 @@
 import fire
 
 from soak.plan import FIRST_KINDS
-from soak.plan import Kind
+from soak.plan import FaultKind
 from soak.run import Report
 from soak.run import Size
 from soak.run import Soak
 
-# How much of each process's log is shown after a broken promise.
+# How much of each process's log is printed if a guarantee was violated.
 LOG_LINES = 12
 LOG_LINE_CHARACTERS = 300
-KEPT = Path(__file__).with_name("seeds.toml")
+SEEDS_FILE = Path(__file__).with_name("seeds.toml")
 
 
-def play(
+def run_seed(
     seed: int,
     seconds: float,
     size: Size,
     logs: str = "",
-    kinds: Sequence[Kind] = tuple(Kind),
+    kinds: Sequence[FaultKind] = tuple(FaultKind),
 ) -> Report:
-    """Plays one seed; logs are kept in a folder if it names one."""
+    """Runs one seed; keeps the processes' logs if `logs` names a folder."""
     with tempfile.TemporaryDirectory(prefix="almondstair-soak-") as folder:
         directory = Path(logs or folder)
         directory.mkdir(parents=True, exist_ok=True)
@@ -41,13 +41,13 @@
             kinds=kinds,
         )
         report = asyncio.run(soak.run())
-        if report.faults:
-            show_logs(directory)
+        if report.violations:
+            print_logs(directory)
         return report
 
 
-def show_logs(directory: Path) -> None:
-    """Prints what gateways warned of last, and how upstreams ended."""
+def print_logs(directory: Path) -> None:
+    """Prints the last log lines above INFO of gateways and upstreams."""
     for path in sorted(directory.glob("[gu]*.log")):
         lines = []
         for line in path.read_text("utf-8", "replace").splitlines():
@@ -57,33 +57,38 @@
             print(f"  {path.stem}: {line}")
 
 
-def show(report: Report) -> None:
-    """Prints what a run showed."""
+def print_report(report: Report) -> None:
+    """Prints the results of a run."""
     print(
         f"seed {report.seed}: {report.sent} sent, {report.served} answered, "
-        f"{len(report.faults)} broken promises",
+        f"{len(report.violations)} violated guarantees",
         flush=True,
     )
-    for pause in report.pauses:
+    for stall in report.stalls:
         print(
-            f"  own loop stood still for {pause.length_s:.2f} s until "
-            f"{pause.at_s:.2f} s"
+            f"  own event loop stalled for {stall.duration_s:.2f} s until "
+            f"{stall.at_s:.2f} s"
         )
-    if not report.faults:
+    if not report.violations:
         return
     for step in report.steps:
-        print(f"  {step.at_s:6.2f} s {step.kind} {step.how} {step.for_s:.1f} s")
+        print(
+            f"  {step.at_s:6.2f} s {step.kind} {step.variant} "
+            f"{step.duration_s:.1f} s"
+        )
     for outcome, count in sorted(report.outcomes.items()):
         print(
-            f"  at the end caller {outcome.caller} had {count} times "
-            f"{outcome.status or 'no answer'} of {outcome.gateway}"
+            f"  at the end caller {outcome.caller} got {count} times "
+            f"{outcome.status or 'no response'} from {outcome.gateway}"
+        )
+    for violation in report.violations[:5]:
+        print(
+            f"  VIOLATED {violation.guarantee}: {violation.detail}", flush=True
         )
-    for fault in report.faults[:5]:
-        print(f"  BROKEN {fault.promise}: {fault.detail}", flush=True)
 
 
 class Commands:
-    """Plays seeds of faults on real processes and checks the promises."""
+    """Runs seeds of faults on real processes and checks the guarantees."""
 
     def run(
         self,
@@ -93,51 +98,51 @@
         logs: str = "",
         first_kinds: bool = False,
     ) -> None:
-        """Plays one seed.
+        """Runs one seed.
 
         Args:
-          seed: the seed; the same one plays the same plan.
+          seed: the seed; the same seed gives the same plan.
           seconds: length of the run.
-          size: how many upstreams, gateways and callers.
+          size: number of upstreams, gateways and callers.
           logs: folder for the processes' logs; by default they are dropped.
-          first_kinds: whether faults are drawn from the kinds that the kept
-            seeds were found with; with all kinds a seed plays another plan.
+          first_kinds: whether to draw faults only from the kinds that the kept
+            seeds were found with; with all kinds a seed gives another plan.
         """
-        kinds = FIRST_KINDS if first_kinds else tuple(Kind)
-        report = play(seed, seconds, Size(*size), logs, kinds)
-        show(report)
-        sys.exit(1 if report.faults else 0)
+        kinds = FIRST_KINDS if first_kinds else tuple(FaultKind)
+        report = run_seed(seed, seconds, Size(*size), logs, kinds)
+        print_report(report)
+        sys.exit(1 if report.violations else 0)
 
     def many(
         self, first: int = 0, count: int = 10, seconds: float = 25
     ) -> None:
-        """Plays seeds in a row; fresh ones if `first` is 0."""
+        """Runs consecutive seeds, from a random one if `first` is 0."""
         first = first or random.randrange(1, 1_000_000)
-        broken = []
+        failed = []
         for seed in range(first, first + count):
-            report = play(seed, seconds, Size())
-            show(report)
-            if report.faults:
-                broken.append(seed)
-        print(f"{count} seeds from {first}, broken: {broken or 'none'}")
-        sys.exit(1 if broken else 0)
+            report = run_seed(seed, seconds, Size())
+            print_report(report)
+            if report.violations:
+                failed.append(seed)
+        print(f"{count} seeds from {first}, failed: {failed or 'none'}")
+        sys.exit(1 if failed else 0)
 
     def kept(self) -> None:
-        """Plays the seeds that failed once; see seeds.toml."""
-        seeds = tomllib.loads(KEPT.read_text(encoding="utf-8"))["seeds"]
-        broken = []
+        """Runs the seeds that failed before; see seeds.toml."""
+        seeds = tomllib.loads(SEEDS_FILE.read_text(encoding="utf-8"))["seeds"]
+        failed = []
         for row in seeds:
-            kinds = tuple(Kind) if row.get("all_kinds") else FIRST_KINDS
-            report = play(row["seed"], row["seconds"], Size(), kinds=kinds)
-            show(report)
-            if report.faults:
-                broken.append(row["seed"])
-        print(f"{len(seeds)} kept seeds, broken: {broken or 'none'}")
-        sys.exit(1 if broken else 0)
+            kinds = tuple(FaultKind) if row.get("all_kinds") else FIRST_KINDS
+            report = run_seed(row["seed"], row["seconds"], Size(), kinds=kinds)
+            print_report(report)
+            if report.violations:
+                failed.append(row["seed"])
+        print(f"{len(seeds)} kept seeds, failed: {failed or 'none'}")
+        sys.exit(1 if failed else 0)
 
 
 def main() -> None:
-    """Runs the command that is named."""
+    """Runs the command given on the command line."""
     fire.Fire(Commands, name="soak")
 
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,62 +1,65 @@
-"""Callers that keep their connections and record what they see."""
+"""Callers that reuse connections and record the result of each request."""
 
 import asyncio
 import random
 import time
 import uuid
 
-from emulator.caller_wire import Ask
-from emulator.caller_wire import read_reply
-from emulator.caller_wire import write_ask
-from soak.checks import Sent
+from emulator.caller_wire import EmulatedRequest
+from emulator.caller_wire import encode_request
+from emulator.caller_wire import read_response
+from soak.checks import SentRequest
 
-ANSWER_TIMEOUT_S = 4.0
+RESPONSE_TIMEOUT_S = 4.0
 DEADLINE_MS = 3000
-PAUSE_S = 0.03
-KEYS = 30
+MEAN_INTERVAL_S = 0.03
+KEY_COUNT = 30
 
 
 class Caller:
-    """Sends requests on kept connections to gateways in turn.
+    """Sends requests to randomly chosen gateways on reused connections.
 
     Attributes:
-      sent: everything that was sent.
+      sent: every request that was sent, with its result.
+      gateway_by_request: name of the gateway that got a request, by its id.
     """
 
-    def __init__(self, *, chance: random.Random) -> None:
+    def __init__(self, *, rng: random.Random) -> None:
         """Makes a caller.
 
         Args:
-          chance: its own dice.
+          rng: random numbers of this caller.
         """
-        self._chance = chance
-        self.sent: list[Sent] = []
-        self.gateway_of: dict[str, str] = {}
+        self._rng = rng
+        self.sent: list[SentRequest] = []
+        self.gateway_by_request: dict[str, str] = {}
 
     async def run(
         self, addresses: dict[str, str], prefixes: list[str], until_s: float
     ) -> None:
-        """Sends until a time.
+        """Sends requests until a given time.
 
         Args:
-          addresses: callers' address of each gateway; may change.
-          prefixes: paths that may be asked; may grow.
-          until_s: when to end, monotonic seconds.
+          addresses: address for callers of each gateway; may change meanwhile.
+          prefixes: path prefixes to request; may grow meanwhile.
+          until_s: when to end, in seconds of the monotonic clock.
         """
         while time.monotonic() < until_s:
-            name = self._chance.choice(sorted(addresses))
+            name = self._rng.choice(sorted(addresses))
             ip, _, port = addresses[name].rpartition(":")
             try:
                 reader, writer = await asyncio.wait_for(
                     asyncio.open_connection(ip, int(port)), 1.0
                 )
             except (OSError, TimeoutError):
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(MEAN_INTERVAL_S)
                 continue
-            await self._use(name, reader, writer, prefixes, until_s)
+            await self._send_on_connection(
+                name, reader, writer, prefixes, until_s
+            )
             writer.close()
 
-    async def _use(
+    async def _send_on_connection(
         self,
         name: str,
         reader: asyncio.StreamReader,
@@ -64,12 +67,12 @@
         prefixes: list[str],
         until_s: float,
     ) -> None:
-        for _ in range(self._chance.randrange(1, 60)):
+        for _ in range(self._rng.randrange(1, 60)):
             if time.monotonic() >= until_s:
                 return
             if not await self._exchange(name, reader, writer, prefixes):
                 return
-            await asyncio.sleep(self._chance.uniform(0, 2 * PAUSE_S))
+            await asyncio.sleep(self._rng.uniform(0, 2 * MEAN_INTERVAL_S))
 
     async def _exchange(
         self,
@@ -78,36 +81,37 @@
         writer: asyncio.StreamWriter,
         prefixes: list[str],
     ) -> bool:
-        """Sends one request; returns whether the connection goes on."""
-        prefix = self._chance.choice(prefixes)
-        key = str(self._chance.randrange(KEYS))
-        repeatable = not prefix.startswith("/unsafe")
-        ask = Ask(
+        """Sends one outgoing; returns whether the connection stays usable."""
+        prefix = self._rng.choice(prefixes)
+        key = str(self._rng.randrange(KEY_COUNT))
+        idempotent = not prefix.startswith("/unsafe")
+        outgoing = EmulatedRequest(
             request=uuid.uuid4().hex[:16],
             path=f"{prefix}{key}",
             key=key,
             deadline_ms=DEADLINE_MS,
-            body=b"" if repeatable else b"x" * self._chance.randrange(1, 3000),
+            body=b"" if idempotent else b"x" * self._rng.randrange(1, 3000),
         )
         sent_s = time.monotonic()
-        reply = None
+        response = None
         try:
-            writer.write(write_ask(ask))
-            async with asyncio.timeout(ANSWER_TIMEOUT_S):
-                reply = await read_reply(reader)
+            writer.write(encode_request(outgoing))
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+                response = await read_response(reader)
         except (OSError, EOFError, ValueError, TimeoutError):
-            reply = None
-        self.gateway_of[ask.request] = name
+            response = None
+        self.gateway_by_request[outgoing.request] = name
         self.sent.append(
-            Sent(
-                request=ask.request,
-                path=ask.path,
-                repeatable=repeatable,
+            SentRequest(
+                request=outgoing.request,
+                path=outgoing.path,
+                idempotent=idempotent,
                 sent_s=sent_s,
                 ended_s=time.monotonic(),
-                status=reply.status if reply else 0,
-                seal=reply.seal if reply else "",
-                whole=reply is not None and reply.whole(ask.request),
+                status=response.status if response else 0,
+                seal=response.seal if response else "",
+                complete=response is not None
+                and response.is_complete(outgoing.request),
             )
         )
-        return reply is not None and reply.goes_on
+        return response is not None and response.keeps_alive
--- a/soak/loop_watch.py
+++ b/soak/loop_watch.py
@@ -1,50 +1,50 @@
-"""Notes when the soak's own loop stood still.
+"""Detection of stalls of the soak's own event loop.
 
-The callers and every proxy run in it. What goes wrong unnoticed: on a busy
-machine the loop gets no processor for a second, calls through a proxy take
-several turns of it and time out, and the gateway behind looks broken.
+The callers and every proxy run in this loop. On a busy host it may get no
+processor time for a second. Calls through a proxy take several iterations of
+the loop and then time out, and the gateway behind the proxy looks broken.
 """
 
 import asyncio
 import time
 from typing import NamedTuple
 
-TURN_S = 0.02
-# A call of a gateway through a proxy takes about five turns of the loop, and
+TICK_S = 0.02
+# A gateway's call through a proxy takes about five iterations of the loop and
 # times out after one second.
-PAUSE_S = 0.2
+MIN_STALL_S = 0.2
 
 
-class Pause(NamedTuple):
-    """A span in which the loop did not turn.
+class Stall(NamedTuple):
+    """Describes a stall of the event loop.
 
     Attributes:
-      at_s: when it ended, since the watch began.
-      length_s: how long it lasted.
+      at_s: when it ended, in seconds since the watch started.
+      duration_s: its duration in seconds.
     """
 
     at_s: float
-    length_s: float
+    duration_s: float
 
 
 class LoopWatch:
-    """Watches the loop that it runs in.
+    """Records stalls of the event loop that it runs in.
 
     Attributes:
-      pauses: spans of `PAUSE_S` or more, in their order.
+      stalls: stalls of `MIN_STALL_S` or more, in order of time.
     """
 
     def __init__(self) -> None:
-        """Makes a watch that has seen nothing."""
-        self.pauses: list[Pause] = []
+        """Starts without recorded stalls."""
+        self.stalls: list[Stall] = []
 
     async def run(self) -> None:
-        """Watches until it is cancelled."""
+        """Records stalls until it is cancelled."""
         began_s = time.monotonic()
         while True:
             before_s = time.monotonic()
-            await asyncio.sleep(TURN_S)
+            await asyncio.sleep(TICK_S)
             now_s = time.monotonic()
-            length_s = now_s - before_s - TURN_S
-            if length_s >= PAUSE_S:
-                self.pauses.append(Pause(now_s - began_s, length_s))
+            duration_s = now_s - before_s - TICK_S
+            if duration_s >= MIN_STALL_S:
+                self.stalls.append(Stall(now_s - began_s, duration_s))
