--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -30,11 +30,11 @@
 from features.support.homes_run import Counts
 from features.support.homes_run import Run
 
-LONG_S = 10.0
-SHORT_S = 1.0
+LONG_DEADLINE_S = 10.0
+SHORT_DEADLINE_S = 1.0
 SLOTS = 3
 NO_ADDRESSES = ("", "", "", "")
-NOBODY_HELD = HandoverOffer(NO_SOURCE, ())
+NO_PREVIOUS_HOME = HandoverOffer(NO_SOURCE, ())
 
 
 class WithoutT1(Homes):
@@ -48,26 +48,26 @@
     """The successor does not wait for the home's reserve work to end."""
 
     def __init__(self, **arguments):
-        """Passes everything on."""
+        """Forwards all arguments."""
         super().__init__(**arguments)
         self._t2_s = 0.0
 
 
 class WithoutWait(Homes):
-    """A new home starts before the last holder has said what it runs."""
+    """A new home starts before the last holder reports what it runs."""
 
     def _previous_home(self, *, upstream):
-        return super()._previous_home(upstream=upstream) or NOBODY_HELD
+        return super()._previous_home(upstream=upstream) or NO_PREVIOUS_HOME
 
 
 class WithoutHeldSlots(Homes):
-    """Nothing is held for an entry that was lost."""
+    """No slots are held for a lost entry."""
 
     def _rules_out_lost_holder(self, *, holder):
         return True
 
 
-WITHOUT = {
+HOMES_WITHOUT = {
     "the T1 check": WithoutT1,
     "T2 over the longest deadline": WithShortT2,
     "the wait for the last holder": WithoutWait,
@@ -76,10 +76,10 @@
 
 
 class Bench:
-    """Two entries, one upstream, and the time."""
+    """Simulates two entries that share an upstream, in virtual time."""
 
     def __init__(self, *, slots=SLOTS):
-        """Starts with one entry, which is home."""
+        """Starts with one entry, the home of the upstream."""
         self.now_s = 0.0
         self.upstream = _upstream_that_moves()
         self.slots = slots
@@ -90,19 +90,21 @@
         self.apply("a")
 
     def add(self, name, incarnation):
-        book = SlotTracker(margin_s=0.0)
+        tracker = SlotTracker(margin_s=0.0)
         homes = Homes(
             entry_name=name,
             incarnation=incarnation,
             t1_s=0.5,
-            reserve_deadline_s=SHORT_S,
+            reserve_deadline_s=SHORT_DEADLINE_S,
             margin_s=0.1,
-            tracker=book,
+            tracker=tracker,
         )
         homes.set_upstreams(
-            upstreams=(HomedUpstream(self.upstream, "r", self.slots, LONG_S),)
+            upstreams=(
+                HomedUpstream(self.upstream, "r", self.slots, LONG_DEADLINE_S),
+            )
         )
-        table = SlotTable(homes=homes, tracker=book)
+        table = SlotTable(homes=homes, tracker=tracker)
         table.set_configuration(configuration=self._configuration())
         self.entries[name] = homes
         self.tables[name] = table
@@ -133,11 +135,13 @@
             upstream=self.upstream, now_s=self.now_s
         )
 
-    def acquire(self, *, priority=Priority.INTERACTIVE, left_s=SHORT_S):
+    def acquire(
+        self, *, priority=Priority.INTERACTIVE, remaining_s=SHORT_DEADLINE_S
+    ):
         return self.tables["a"].acquire(
             service="s",
             priority=priority,
-            deadline_s=self.now_s + left_s,
+            deadline_s=self.now_s + remaining_s,
             now_s=self.now_s,
         )
 
@@ -151,10 +155,10 @@
         for _ in range(times):
             self.answer(self.acquire(), after_s=after_s)
 
-    def free(self):
+    def free_slots(self):
         return self.tables["a"].free_slots(service="s", now_s=self.now_s)
 
-    def usable(self):
+    def usable_slots(self):
         return self.tables["a"].usable_slots(service="s", now_s=self.now_s)
 
 
@@ -193,8 +197,8 @@
 def run_without(context, guard, seconds, first, last):
     context.counts = Counts()
     for seed in range(first, last + 1):
-        run = Run(seed=seed, homes_class=WITHOUT[guard])
-        context.counts = run.go(seconds=seconds)
+        simulation = Run(seed=seed, homes_class=HOMES_WITHOUT[guard])
+        context.counts = simulation.go(seconds=seconds)
         if context.counts.most_over_slots > 0:
             return
 
@@ -238,15 +242,15 @@
 def warm_home(context, slots):
     context.bench = Bench(slots=slots)
     context.bench.answer_many(times=40, after_s=0.1)
-    assert context.bench.usable() == slots
+    assert context.bench.usable_slots() == slots
 
 
 @given("an entry that is home of an upstream and fills its slots")
 def full_home(context):
     bench = Bench()
     bench.answer_many(times=40, after_s=0.1)
-    for left_s in (LONG_S, LONG_S, SHORT_S):
-        assert isinstance(bench.acquire(left_s=left_s), Admission)
+    for remaining_s in (LONG_DEADLINE_S, LONG_DEADLINE_S, SHORT_DEADLINE_S):
+        assert isinstance(bench.acquire(remaining_s=remaining_s), Admission)
     context.bench = bench
 
 
@@ -297,19 +301,19 @@
 @then("every slot counts as taken until the longest deadline has passed")
 def all_taken(context):
     bench = context.bench
-    bench.now_s += SHORT_S + LONG_S / 2
+    bench.now_s += SHORT_DEADLINE_S + LONG_DEADLINE_S / 2
     bench.report("a", "b")
     assert len(bench.dispatch_rights("b").busy_until_s) == SLOTS - 1, (
         bench.dispatch_rights("b")
     )
-    bench.now_s += LONG_S / 2
+    bench.now_s += LONG_DEADLINE_S / 2
     assert not bench.dispatch_rights("b").busy_until_s, bench.dispatch_rights(
         "b"
     )
 
 
 @then("the second entry dispatches and the first does not")
-def moved(context):
+def home_moved(context):
     assert context.bench.dispatch_rights("b").allowed_slots == SLOTS
     assert context.bench.dispatch_rights("a").allowed_slots == 0
 
@@ -337,7 +341,7 @@
 @then("{count:d} slots are left to interactive work")
 @then("{count:d} slots are free")
 def slots_free(context, count):
-    assert context.bench.free() == count, context.bench.free()
+    assert context.bench.free_slots() == count, context.bench.free_slots()
 
 
 @then("batch work is refused with a time to come back")
@@ -349,7 +353,7 @@
 @then("{count:d} slot is usable")
 @then("{count:d} slots are usable")
 def slots_usable(context, count):
-    assert context.bench.usable() == count, context.bench.usable()
+    assert context.bench.usable_slots() == count, context.bench.usable_slots()
 
 
 @when("it answers {times:d} requests in the usual time")
@@ -364,7 +368,7 @@
 
 @then("fewer than {count:d} slots are usable")
 def fewer_usable(context, count):
-    assert context.bench.usable() < count, context.bench.usable()
+    assert context.bench.usable_slots() < count, context.bench.usable_slots()
 
 
 @when("a request runs on it for {running_s:f} s")
@@ -372,21 +376,25 @@
     bench = context.bench
     if not bench.tables["a"].status(now_s=bench.now_s)[0].in_flight:
         context.began_s = bench.now_s
-        bench.acquire(left_s=LONG_S)
+        bench.acquire(remaining_s=LONG_DEADLINE_S)
     bench.now_s = context.began_s + running_s
 
 
 @when("the upstream reports that it drains")
 def drains(context):
-    _hear(context.bench, UpstreamReport(slots=4, busy=0, draining=True))
+    _record_upstream_report(
+        context.bench, UpstreamReport(slots=4, busy=0, draining=True)
+    )
 
 
 @when("the upstream reports {busy:d} busy slots though nothing runs")
 def claims_full(context, busy):
-    _hear(context.bench, UpstreamReport(slots=4, busy=busy, draining=False))
+    _record_upstream_report(
+        context.bench, UpstreamReport(slots=4, busy=busy, draining=False)
+    )
 
 
-def _hear(bench, report):
+def _record_upstream_report(bench, report):
     bench.tables["a"].record_upstream_report(
         upstream=bench.upstream, report=report, now_s=bench.now_s
     )
@@ -417,7 +425,7 @@
 
 @when("its deadline passes")
 def deadline_passes(context):
-    context.bench.now_s += SHORT_S
+    context.bench.now_s += SHORT_DEADLINE_S
 
 
 @given("requests take {milliseconds:d} ms")
@@ -435,13 +443,13 @@
         result = _request(context, Priority.INTERACTIVE)
         assert isinstance(result, Admission), result
         context.admissions.append(result)
-    context.waiting = []
+    context.queued = []
     context.refused = []
     for number in range(more):
         priority = (Priority.BATCH, Priority.INTERACTIVE)[number % 2]
         result = _request(context, priority)
         if isinstance(result, QueuedRequest):
-            context.waiting.append(result)
+            context.queued.append(result)
         else:
             context.refused.append(result)
 
@@ -450,14 +458,14 @@
     bench = context.bench
     return context.queue.submit(
         priority=priority,
-        deadline_s=bench.now_s + SHORT_S,
+        deadline_s=bench.now_s + SHORT_DEADLINE_S,
         now_s=bench.now_s,
     )
 
 
 @then("some wait and the others are refused at once with a time to come back")
 def some_wait(context):
-    assert context.waiting
+    assert context.queued
     assert context.refused
     for refusal in context.refused:
         assert isinstance(refusal, Refusal), refusal
@@ -474,9 +482,9 @@
 def first_gets_it(context):
     decisions = context.queue.advance(now_s=context.bench.now_s)
     first = None
-    for waiting in context.waiting:
-        if first is None and waiting.priority is Priority.INTERACTIVE:
-            first = waiting
+    for queued in context.queued:
+        if first is None and queued.priority is Priority.INTERACTIVE:
+            first = queued
     assert len(decisions) == 1, decisions
     assert decisions[0].number == first.number
     assert isinstance(decisions[0].result, Admission)
@@ -490,6 +498,6 @@
 @then("all that waited are refused")
 def all_refused(context):
     decisions = context.queue.advance(now_s=context.bench.now_s)
-    assert len(decisions) == len(context.waiting) - 1, decisions
+    assert len(decisions) == len(context.queued) - 1, decisions
     for decision in decisions:
         assert isinstance(decision.result, Refusal), decision
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -1,4 +1,4 @@
-"""Steps for work that runs at most once, against real processes."""
+"""Steps for at-most-once requests against real processes."""
 
 import base64
 import functools
@@ -18,14 +18,14 @@
 from features.support.sendings import Sendings
 
 STEP_LIMIT_S = 10.0
-SETTLE_S = 0.5
-REPEAT_INTERVAL_S = 0.1
-# Between two tries to take a slot.
-TRY_AGAIN_S = 0.3
+LATE_RUN_WAIT_S = 0.5
+RETRY_INTERVAL_S = 0.1
+# Interval between two attempts to occupy a slot.
+SLOT_RETRY_INTERVAL_S = 0.3
 COMMIT_MS = 4000
 
 
-def _start(context, slots, regions=("bkk", "dmk")):
+def _start_deployment(context, slots, regions=("bkk", "dmk")):
     shape = Shape(
         entries={"bkk": 1, "cnx": 1, "dmk": 1},
         upstreams=dict.fromkeys(regions, 1),
@@ -37,20 +37,20 @@
     context.sendings = Sendings(deployment=context.deployment)
     context.by_key = {}
     for entry in context.deployment.entries:
-        # The first claim of an entry asks for its lease; from here on the
-        # platform's next write is the claim that a scenario is about.
+        # The first claim of an entry also requests its lease. After it, the
+        # platform's next write is the claim under test.
         key = f"first-{entry}"
         wait_until(
-            functools.partial(_is_answered, context, entry, key),
+            functools.partial(_is_accepted, context, entry, key),
             limit_s=STEP_LIMIT_S,
-            what=f"{entry} to take work",
+            what=f"{entry} to accept work",
         )
         _wait_recorded(context, key)
     context.sendings.all.clear()
     context.writes = _counts(context)["writes"]
 
 
-def _is_answered(context, entry, key):
+def _is_accepted(context, entry, key):
     return context.sendings.approve(entry=entry, key=key).wait().status == 200
 
 
@@ -59,24 +59,24 @@
 
 
 def _send(context, key, region, *, query="", deadline_ms=0, content=b"a"):
-    sending = context.sendings.approve(
+    sent = context.sendings.approve(
         entry=f"{region}-e0",
         key=key,
         query=query,
         deadline_ms=deadline_ms,
         content=content,
     )
-    context.by_key.setdefault(key, []).append(sending)
-    context.last = sending
-    return sending
+    context.by_key.setdefault(key, []).append(sent)
+    context.last = sent
+    return sent
 
 
 def _record_of(context, key):
     """Returns the platform's record of a key, None when there is none."""
-    place = idempotency.claim_store_key(service=SERVICE, key=key).encode()
-    request = {"key": base64.b64encode(place).decode()}
-    answer = post(context.deployment.platform, "/v3/kv/range", request).json()
-    for item in answer.get("kvs", []):
+    store_key = idempotency.claim_store_key(service=SERVICE, key=key).encode()
+    request = {"key": base64.b64encode(store_key).decode()}
+    response = post(context.deployment.platform, "/v3/kv/range", request).json()
+    for item in response.get("kvs", []):
         return idempotency.decode_record(base64.b64decode(item["value"]))
     return None
 
@@ -91,28 +91,28 @@
     wait_until(is_done, limit_s=STEP_LIMIT_S, what=f"the outcome of {key}")
 
 
-def _first(context):
+def _first_response(context):
     return context.sendings.all[0].wait()
 
 
-def _repeat_of(context, key):
-    """Returns the query of the first sending of a key, for its repeats."""
+def _query_of_key(context, key):
+    """Returns the query of the first request of a key, for its retries."""
     first = context.by_key[key][0]
     return first.path.partition("?")[2]
 
 
 @given("a deployment for work that runs at most once")
 def step_deployment(context):
-    _start(context, slots=3)
+    _start_deployment(context, slots=3)
 
 
 @given("a deployment for work that runs at most once, with {slots:d} slots")
 def step_deployment_slots(context, slots):
-    _start(context, slots=slots)
+    _start_deployment(context, slots=slots)
 
 
 @given("the platform takes {delay_ms:d} ms for a call and loses the next claim")
-def step_slow_and_lost(context, delay_ms):
+def step_slow_and_lost_claim(context, delay_ms):
     context.deployment.faults(
         delay_ms=delay_ms, lose_calls=1, lose_prefix=idempotency.KEY_PREFIX
     )
@@ -159,7 +159,7 @@
 
 
 @when("the platform is well again")
-def step_well(context):
+def step_recovered(context):
     context.deployment.faults(
         down=False,
         down_after_loss=False,
@@ -172,7 +172,7 @@
 @when('"{key}" is sent through {region:w}')
 def step_send(context, key, region):
     if key in context.by_key:
-        _send(context, key, region, query=_repeat_of(context, key)).wait()
+        _send(context, key, region, query=_query_of_key(context, key)).wait()
         return
     _send(context, key, region)
     faults = get(context.deployment.platform, "/faults").json()
@@ -212,11 +212,11 @@
 @when("{count:d} keys are each sent through all entries at once")
 def step_send_to_all(context, count):
     for number in range(count):
-        sendings = []
+        all_sent = []
         for region in ("bkk", "cnx", "dmk"):
-            sendings.append(_send(context, f"key-{number}", region))
-        for sending in sendings:
-            sending.wait()
+            all_sent.append(_send(context, f"key-{number}", region))
+        for sent in all_sent:
+            sent.wait()
 
 
 @when("the claim has arrived at the platform")
@@ -234,7 +234,7 @@
         faults = get(context.deployment.platform, "/faults").json()
         return faults["lose_answers"] == 0
 
-    wait_until(is_lost, limit_s=STEP_LIMIT_S, what="a claim that holds")
+    wait_until(is_lost, limit_s=STEP_LIMIT_S, what="a claim that is stored")
 
 
 @when('an upstream has "{key}"')
@@ -292,43 +292,47 @@
 
 @when("every slot is taken for {work_ms:d} ms")
 def step_fill(context, work_ms):
-    """Takes all slots, each of them for at least half of the time that is left.
+    """Fills all slots, each for at least half of the remaining time.
 
-    An entry that was just refused may need a few tries before it uses a slot.
+    An entry that was just refused may need a few attempts to use a slot.
     """
     deployment = context.deployment
-    tried_s = {}
+    last_attempt_s = {}
 
-    def runs_for_long(upstream):
-        latest_s = time.monotonic() - work_ms / 1000 / 2
+    def count_long_runs(upstream):
+        earliest_start_s = time.monotonic() - work_ms / 1000 / 2
         running = 0
         for run in deployment.journal(upstream)["runs"]:
-            if run["outcome"] == "running" and run["start"] > latest_s:
+            if run["outcome"] == "running" and run["start"] > earliest_start_s:
                 running += 1
         return running
 
-    def are_taken():
-        taken = True
+    def are_busy():
+        all_busy = True
         for upstream in deployment.upstreams:
-            missing = deployment.shape.slots - runs_for_long(upstream)
-            taken = taken and missing == 0
+            missing = deployment.shape.slots - count_long_runs(upstream)
+            all_busy = all_busy and missing == 0
             now_s = time.monotonic()
-            if not missing or now_s < tried_s.get(upstream, 0) + TRY_AGAIN_S:
+            if (
+                not missing
+                or now_s
+                < last_attempt_s.get(upstream, 0) + SLOT_RETRY_INTERVAL_S
+            ):
                 continue
-            tried_s[upstream] = now_s
+            last_attempt_s[upstream] = now_s
             region = upstream.partition("-")[0]
             for _ in range(missing):
                 context.sendings.look_up(
                     entry=f"{region}-e0", query=f"work_ms={work_ms}"
                 )
-        return taken
+        return all_busy
 
-    wait_until(are_taken, limit_s=STEP_LIMIT_S, what="busy slots")
+    wait_until(are_busy, limit_s=STEP_LIMIT_S, what="busy slots")
 
 
 @then("the answer is from an upstream")
 def step_from_upstream(context):
-    first = _first(context)
+    first = _first_response(context)
     assert first.ran == "yes" and first.status == 200, first.told
 
 
@@ -341,7 +345,7 @@
 @then("the last answer is the same as the first")
 def step_same(context):
     last = context.last.wait()
-    first = _first(context)
+    first = _first_response(context)
     assert last.status == first.status == 200, last.told
     assert last.body == first.body, (last.told, first.told)
     for name in ("Content-Type", "Content-Length"):
@@ -350,7 +354,7 @@
 
 @then("the answer is {kind:w} with ran {ran:w}")
 def step_answer(context, kind, ran):
-    first = _first(context)
+    first = _first_response(context)
     assert (first.kind, first.ran) == (kind, ran), first.told
 
 
@@ -362,22 +366,22 @@
 
 @then("each answer is {kind:w} with ran {ran:w} within {limit_ms:d} ms")
 def step_each(context, kind, ran, limit_ms):
-    for sending in context.sendings.all:
-        sending.wait()
-        assert (sending.kind, sending.ran) == (kind, ran), sending.told
-        assert sending.latency_s < limit_ms / 1000, sending.latency_s
+    for sent in context.sendings.all:
+        sent.wait()
+        assert (sent.kind, sent.ran) == (kind, ran), sent.told
+        assert sent.latency_s < limit_ms / 1000, sent.latency_s
 
 
 @then("each answer says when to come back")
 def step_retry_after(context):
-    for sending in context.sendings.all:
-        sending.wait()
-        assert int(sending.headers["Retry-After"]) > 0, sending.told
+    for sent in context.sendings.all:
+        sent.wait()
+        assert int(sent.headers["Retry-After"]) > 0, sent.told
 
 
 @then("the answer may have run")
 def step_may_have_run(context):
-    first = _first(context)
+    first = _first_response(context)
     assert first.ran in ("unknown", "yes"), first.told
 
 
@@ -393,35 +397,35 @@
     assert (last.status, last.ran) == (0, "unknown"), last.told
 
 
-def _repeat_until(context, key, region, is_wanted):
-    """Repeats a key while it is in flight or refused, for a bounded time."""
+def _retry_until(context, key, region, is_wanted):
+    """Retries a key while it is in flight or refused, for a bounded time."""
     end_s = time.monotonic() + STEP_LIMIT_S
-    query = _repeat_of(context, key)
+    query = _query_of_key(context, key)
     while True:
-        sending = _send(context, key, region, query=query).wait()
-        if is_wanted(sending):
+        sent = _send(context, key, region, query=query).wait()
+        if is_wanted(sent):
             return
-        assert sending.status in (409, 503), sending.told
-        assert time.monotonic() < end_s, sending.told
-        time.sleep(REPEAT_INTERVAL_S)
+        assert sent.status in (409, 503), sent.told
+        assert time.monotonic() < end_s, sent.told
+        time.sleep(RETRY_INTERVAL_S)
 
 
 @then('repeats of "{key}" through {region:w} come to outcome_unknown')
 def step_repeats_unknown(context, key, region):
-    _repeat_until(
+    _retry_until(
         context, key, region, lambda sent: sent.kind == "outcome_unknown"
     )
 
 
 @then('repeats of "{key}" through {region:w} come to the recorded answer')
 def step_repeats_recorded(context, key, region):
-    _repeat_until(context, key, region, lambda sent: sent.status == 200)
+    _retry_until(context, key, region, lambda sent: sent.status == 200)
 
 
 @then('repeats of "{key}" through {region:w} are never run')
 def step_repeats_not_run(context, key, region):
     count = len(context.sendings.runs_of(key))
-    _repeat_until(
+    _retry_until(
         context,
         key,
         region,
@@ -439,7 +443,7 @@
 
 @then('"{key}" never ran')
 def step_never_ran(context, key):
-    time.sleep(SETTLE_S)
+    time.sleep(LATE_RUN_WAIT_S)
     assert not context.sendings.runs_of(key), context.sendings.runs_of(key)
 
 
@@ -451,9 +455,9 @@
 
 @then("what ran agrees with every answer")
 def step_agrees(context):
-    for sending in context.sendings.all:
-        sending.wait()
+    for sent in context.sendings.all:
+        sent.wait()
     assert not context.sendings.faults_found(), context.sendings.faults_found()
-    # Whatever still waited somewhere would have run by now.
-    time.sleep(SETTLE_S)
+    # A request that was still queued would have run by now.
+    time.sleep(LATE_RUN_WAIT_S)
     assert not context.sendings.faults_found(), context.sendings.faults_found()
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -1,3 +1,5 @@
+"""Steps of configuration.feature."""
+
 import asyncio
 
 from behave import given
@@ -21,7 +23,7 @@
 FRESH_LIMIT_S = 3.0
 
 
-def names_of(text):
+def split_names(text):
     return [name.strip() for name in text.split(",")]
 
 
@@ -35,30 +37,30 @@
     )
 
 
-async def follow(context, name):
+async def start_watcher(context, name):
     def on_configuration(stored):
         context.states[name].apply_if_newer(stored)
 
-    follower = context.store.watcher(on_configuration=on_configuration)
-    follower.start()
+    watcher = context.store.watcher(on_configuration=on_configuration)
+    watcher.start()
     await asyncio.sleep(0.01)
-    return follower
+    return watcher
 
 
-def learn_from_platform(context, name):
-    async def learn():
-        follower = await follow(context, name)
-        follower.stop()
+def read_from_platform(context, name):
+    async def read():
+        watcher = await start_watcher(context, name)
+        watcher.stop()
 
-    asyncio.run(learn())
+    asyncio.run(read())
     context.ages_s[name] = 0.0
 
 
-def reports(context):
-    made = []
+def version_reports(context):
+    found = []
     for name, state in context.states.items():
-        made.append(VersionReport(name, state.version, context.ages_s[name]))
-    return made
+        found.append(VersionReport(name, state.version, context.ages_s[name]))
+    return found
 
 
 def highest_version(context):
@@ -66,19 +68,21 @@
 
 
 async def run_edit(context, edit):
-    all_heard = max(context.ages_s.values()) <= FRESH_LIMIT_S
+    all_fresh = max(context.ages_s.values()) <= FRESH_LIMIT_S
     return await context.store.edit(
         edit=edit,
         highest_version=highest_version(context),
-        all_heard=all_heard,
+        all_heard=all_fresh,
     )
 
 
-def judged(context):
+def edit_result(context):
     stored = asyncio.run(context.store.read())
-    note = stored.find_edit(edit_id=context.edit.edit_id)
+    edit_record = stored.find_edit(edit_id=context.edit.edit_id)
     return result_of_stored_edit(
-        edit_record=note, reports=reports(context), fresh_limit_s=FRESH_LIMIT_S
+        edit_record=edit_record,
+        reports=version_reports(context),
+        fresh_limit_s=FRESH_LIMIT_S,
     )
 
 
@@ -88,8 +92,10 @@
             messages.pack(encode_configuration(context.states[sender].in_force))
         )
     )
-    value = messages.unpack(messages.decode(frame).packed)
-    return context.states[receiver].apply_if_newer(decode_configuration(value))
+    document = messages.unpack(messages.decode(frame).packed)
+    return context.states[receiver].apply_if_newer(
+        decode_configuration(document)
+    )
 
 
 @given('entries "{names}" over one platform')
@@ -101,9 +107,9 @@
     context.states = {}
     context.ages_s = {}
     context.results = {}
-    for name in names_of(names):
+    for name in split_names(names):
         context.states[name] = ConfigurationState()
-        learn_from_platform(context, name)
+        read_from_platform(context, name)
 
 
 @given("the platform loses the answer of the next write")
@@ -148,16 +154,16 @@
 @when("the platform is rolled back")
 def step_rolled_back(context):
     async def roll_back():
-        followers = []
+        watchers = []
         for name in context.states:
-            followers.append(await follow(context, name))
+            watchers.append(await start_watcher(context, name))
         context.platform.roll_back()
-        for follower in followers:
-            follower.stop()
+        for watcher in watchers:
+            watcher.stop()
 
     asyncio.run(roll_back())
     for name in context.states:
-        learn_from_platform(context, name)
+        read_from_platform(context, name)
 
 
 @when('operator "{author}" edits version {base:d}')
@@ -194,8 +200,8 @@
 
 @when('"{names}" learn of it from the platform')
 def step_learn(context, names):
-    for name in names_of(names):
-        learn_from_platform(context, name)
+    for name in split_names(names):
+        read_from_platform(context, name)
 
 
 @when('"{name}" learns of it from its peer "{peer}"')
@@ -216,7 +222,7 @@
 @when('entry "{name}" starts and asks its peers')
 def step_start(context, name):
     context.states[name] = ConfigurationState()
-    learn_from_platform(context, name)
+    read_from_platform(context, name)
     assert context.states[name].in_force is None
     for peer in ("c", "a", "b"):
         send_document(context, peer, name)
@@ -224,14 +230,14 @@
 
 @then('the edit is pending and lacks "{names}"')
 def step_pending(context, names):
-    result = judged(context)
+    result = edit_result(context)
     assert result.status is EditStatus.PENDING, result
-    assert list(result.lagging_entries) == names_of(names), result
+    assert list(result.lagging_entries) == split_names(names), result
 
 
 @then("the edit is accepted as version {version:d}")
 def step_accepted(context, version):
-    result = judged(context)
+    result = edit_result(context)
     assert result.status is EditStatus.ACCEPTED, result
     assert result.version == version, result
 
@@ -276,25 +282,25 @@
 
 @then("the platform's history names {count:d} edits")
 def step_history(context, count):
-    notes = asyncio.run(context.store.history())
-    assert len(notes) == count, notes
+    edit_records = asyncio.run(context.store.history())
+    assert len(edit_records) == count, edit_records
 
 
 @then("exactly one edit is applied")
 def step_one_applied(context):
-    fates = sorted(str(result.status) for result in context.race)
-    assert fates == ["conflict", "pending"], fates
+    statuses = sorted(str(result.status) for result in context.race)
+    assert statuses == ["conflict", "pending"], statuses
 
 
 @then("the other is told of the winner and its version")
 def step_winner(context):
     for result in context.race:
         if result.status is EditStatus.PENDING:
-            won = result
+            winner = result
         else:
-            lost = result
-    assert lost.conflicting_edit.edit_id == won.edit_id, lost
-    assert lost.conflicting_edit.version == won.version == 2, lost
+            loser = result
+    assert loser.conflicting_edit.edit_id == winner.edit_id, loser
+    assert loser.conflicting_edit.version == winner.version == 2, loser
 
 
 @then("every entry has version {version:d} in force")
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the command-line tool against a scripted operators' listener."""
+"""Steps for the command-line tool against a scripted operator listener."""
 
 import json
 from pathlib import Path
@@ -17,9 +17,9 @@
 _CLOSED_ADDRESS = "127.0.0.1:1"
 
 
-def _script(context, method, path, *, status=200, body=None, lost=False):
-    answer = operator_fake.Answer(status, body, lost)
-    context.fake.answer(method, path, answer)
+def _set_response(context, method, path, *, status=200, body=None, lost=False):
+    response = operator_fake.Answer(status, body, lost)
+    context.fake.answer(method, path, response)
 
 
 def _body(context):
@@ -43,7 +43,7 @@
     context.fake = operator_fake.FakeOperators()
     context.add_cleanup(context.fake.stop)
     context.configuration_text = _DEPLOYMENT.read_text(encoding="utf-8")
-    _script(
+    _set_response(
         context,
         "GET",
         "/v1/configuration",
@@ -60,13 +60,13 @@
 
 @given('the entry answers "{method} {path}" with')
 def step_answer(context, method, path):
-    _script(context, method, path, body=_body(context))
+    _set_response(context, method, path, body=_body(context))
 
 
 @given('the entry answers "{method} {path}" with status {status:d} and')
 def step_answer_status(context, method, path, status):
     body = _body(context)
-    _script(context, method, path, status=status, body=body)
+    _set_response(context, method, path, status=status, body=body)
 
 
 @given("another entry")
@@ -77,28 +77,28 @@
 
 @given('the other entry answers "{method} {path}" with')
 def step_other_answer(context, method, path):
-    answer = operator_fake.Answer(body=_body(context))
-    context.other_fake.answer(method, path, answer)
+    response = operator_fake.Answer(body=_body(context))
+    context.other_fake.answer(method, path, response)
 
 
 @given('the entry loses its answer to "{method} {path}"')
 def step_lost(context, method, path):
-    _script(context, method, path, lost=True)
+    _set_response(context, method, path, lost=True)
 
 
-def _fate(state, version, lacking):
+def _edit_status(state, version, lagging_entries):
     return {
         "edit_id": "any",
         "state": state,
         "version": version,
-        "lacking": lacking,
+        "lacking": lagging_entries,
     }
 
 
 @given("the fate of every edit is accepted as version {version:d}")
 def step_fate(context, version):
-    body = _fate("accepted", version, [])
-    _script(context, "GET", "/v1/edits/*", body=body)
+    body = _edit_status("accepted", version, [])
+    _set_response(context, "GET", "/v1/edits/*", body=body)
 
 
 @given(
@@ -106,8 +106,8 @@
     "{version:d}"
 )
 def step_fates(context, version):
-    body = _fate("pending", version, ["e2"])
-    _script(context, "GET", "/v1/edits/*", body=body)
+    body = _edit_status("pending", version, ["e2"])
+    _set_response(context, "GET", "/v1/edits/*", body=body)
     step_fate(context, version)
 
 
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -17,8 +17,8 @@
 
 PATH = "/matching/orders/1"
 SLOW_MS = 400
-# Until a crashed upstream has ended, also on a busy machine.
-CRASH_ENDS_S = 1.5
+# Time for a crashed upstream to exit, also on a loaded host.
+CRASH_EXIT_S = 1.5
 
 
 @given("three regions with an entry and three upstreams each")
@@ -35,16 +35,18 @@
 
 
 def _start(context, **options):
-    three = {"r1": 3, "r2": 3, "r3": 3}
+    upstreams_per_region = {"r1": 3, "r2": 3, "r3": 3}
     shape = Shape(
-        entries={"r1": 1, "r2": 1, "r3": 1}, upstreams=three, profile="spread"
+        entries={"r1": 1, "r2": 1, "r3": 1},
+        upstreams=upstreams_per_region,
+        profile="spread",
     )
     context.deployment = Deployment(
         processes=context.processes, shape=shape, **options
     )
     context.deployment.start()
-    context.ended = set()
-    _until_answered(context, "GET", 5.0)
+    context.exited = set()
+    _wait_until_answered(context, "GET", 5.0)
 
 
 def _send(context, kind, entry, number, *, crash):
@@ -54,7 +56,7 @@
     if kind == "GET":
         path = PATH if crash else "/matching/orders/2"
         return send("GET", entry, path, headers=headers)
-    # Each time with a new key: the same one is stopped by its claim already.
+    # Each request has a new key, as the claim of a used key would stop it.
     headers["Idempotency-Key"] = f"key-{crash}-{number}"
     body = b"bad" if crash else b"good"
     return send(
@@ -68,57 +70,57 @@
 )
 def step_crash(context, kind, count):
     callers = context.deployment.callers()
-    context.answers = []
+    context.responses = []
     for number in range(count):
         entry = callers[number % len(callers)]
-        answer = _send(context, kind, entry, number, crash=True)
-        context.answers.append(answer)
+        response = _send(context, kind, entry, number, crash=True)
+        context.responses.append(response)
 
 
-def _ended(context):
-    ended = set()
+def _exited_upstreams(context):
+    exited = set()
     for name in context.deployment.upstreams:
         if not context.processes.children[name].is_running():
-            ended.add(name)
-    return ended
+            exited.add(name)
+    return exited
 
 
 @then("{least:d} to {most:d} upstreams have ended")
 def step_ended(context, least, most):
-    # A process that was crashed goes on for a moment.
-    time.sleep(CRASH_ENDS_S)
-    ended = _ended(context) - context.ended
-    assert least <= len(ended) <= most, ended
-    context.ended |= ended
+    # A crashed process takes a moment to exit.
+    time.sleep(CRASH_EXIT_S)
+    exited = _exited_upstreams(context) - context.exited
+    assert least <= len(exited) <= most, exited
+    context.exited |= exited
 
 
 @then('the last {count:d} answers are "{kind}" with a time to come back')
 def step_last_answers(context, count, kind):
-    for answer in context.answers[-count:]:
-        told = answer.json()
-        assert told["kind"] == kind, told
-        assert told["ran"] == "no", told
-        assert int(answer.headers["Retry-After"]) > 0, answer.headers
+    for response in context.responses[-count:]:
+        problem = response.json()
+        assert problem["kind"] == kind, problem
+        assert problem["ran"] == "no", problem
+        assert int(response.headers["Retry-After"]) > 0, response.headers
 
 
-def _until_answered(context, kind, limit_s):
+def _wait_until_answered(context, kind, limit_s):
     numbers = itertools.count()
     for entry in context.deployment.callers():
 
         def is_answered(entry=entry):
-            answer = _send(context, kind, entry, next(numbers), crash=False)
-            return answer.status == 200
+            response = _send(context, kind, entry, next(numbers), crash=False)
+            return response.status == 200
 
         wait_until(is_answered, limit_s=limit_s, what=f"{kind} at {entry}")
 
 
 @then("within {limit_s:g} s another {kind} is answered through every entry")
 def step_another(context, limit_s, kind):
-    _until_answered(context, kind, limit_s)
+    _wait_until_answered(context, kind, limit_s)
 
 
-def _look_up(entry, work_ms):
-    # Not in the path, which is to be the same each time.
+def _send_lookup(entry, work_ms):
+    # The time is a header since the path must be the same each time.
     headers = {"Deadline-Ms": "2000", "Work-Ms": str(work_ms)}
     return send("GET", entry, PATH, headers=headers)
 
@@ -134,7 +136,7 @@
         futures = []
         for number in range(30):
             entry = callers[number % len(callers)]
-            futures.append(pool.submit(_look_up, entry, SLOW_MS))
+            futures.append(pool.submit(_send_lookup, entry, SLOW_MS))
         time.sleep(SLOW_MS / 2000)
         victims = []
         for region in ("r1", "r2", "r3"):
@@ -152,19 +154,19 @@
 @then("within {limit_s:g} s that look-up is answered through every entry")
 def step_answered(context, limit_s):
     for entry in context.deployment.callers():
-        refused = []
+        refusals = []
 
-        def is_answered(entry=entry, refused=refused):
-            answer = _look_up(entry, SLOW_MS / 10)
-            if answer.status != 200:
-                told = answer.json()
-                refused.append((told["kind"], told["detail"]))
-            return answer.status == 200
+        def is_answered(entry=entry, refusals=refusals):
+            response = _send_lookup(entry, SLOW_MS / 10)
+            if response.status != 200:
+                problem = response.json()
+                refusals.append((problem["kind"], problem["detail"]))
+            return response.status == 200
 
         try:
-            wait_until(is_answered, limit_s=limit_s, what=f"look-up at {entry}")
+            wait_until(is_answered, limit_s=limit_s, what=f"lookup at {entry}")
         except AssertionError as error:
-            raise AssertionError(f"{error}: {Counter(refused)}") from error
+            raise AssertionError(f"{error}: {Counter(refusals)}") from error
 
 
 @then(
@@ -173,14 +175,14 @@
 )
 def step_under_load(context, count, width, most):
     callers = context.deployment.callers()
-    refused = []
+    refusals = []
     with ThreadPoolExecutor(max_workers=width) as pool:
         futures = []
         for number in range(count):
             entry = callers[number % len(callers)]
-            futures.append(pool.submit(_look_up, entry, SLOW_MS / 10))
+            futures.append(pool.submit(_send_lookup, entry, SLOW_MS / 10))
         for future in futures:
-            answer = future.result()
-            if answer.status != 200:
-                refused.append(answer.json()["kind"])
-    assert len(refused) <= most, refused
+            response = future.result()
+            if response.status != 200:
+                refusals.append(response.json()["kind"])
+    assert len(refusals) <= most, refusals
--- a/features/steps/documents_steps.py
+++ b/features/steps/documents_steps.py
@@ -1,4 +1,4 @@
-"""Steps for edits of the configuration's text."""
+"""Steps for edits of the configuration text."""
 
 import difflib
 import json
@@ -32,7 +32,7 @@
     context.refusal = None
 
 
-def _edit(context, function, *arguments):
+def _apply_edit(context, function, *arguments):
     try:
         context.text_now = function(context.text_now, *arguments)
     except errors.AlmondstairError as error:
@@ -42,17 +42,21 @@
 @when('the field "{key}" of profile "{profile}" is set to {value}')
 def step_field(context, key, profile, value):
     value = json.loads(value)
-    _edit(context, configuration_edits.set_profile_field, profile, key, value)
+    _apply_edit(
+        context, configuration_edits.set_profile_field, profile, key, value
+    )
 
 
 @when('the service "{service}" is put under the profile "{profile}"')
 def step_assign(context, service, profile):
-    _edit(context, configuration_edits.assign_profile, service, profile)
+    _apply_edit(context, configuration_edits.assign_profile, service, profile)
 
 
 @when('the text marks "{name}" as {state:w}')
 def step_text_mark(context, name, state):
-    _edit(context, configuration_edits.set_leaving, name, state == "leaving")
+    _apply_edit(
+        context, configuration_edits.set_leaving, name, state == "leaving"
+    )
 
 
 @when("in the text {old} is rewritten to {new}")
@@ -68,32 +72,32 @@
 
 
 def _differences(context):
-    """Returns the lines that are gone and those that are new."""
-    gone = []
-    new = []
+    """Returns the removed lines and the added lines."""
+    removed = []
+    added = []
     old_lines = context.old_text.splitlines()
     new_lines = context.text_now.splitlines()
     for line in difflib.ndiff(old_lines, new_lines):
         if line.startswith("- "):
-            gone.append(line[2:])
+            removed.append(line[2:])
         if line.startswith("+ "):
-            new.append(line[2:])
-    return gone, new
+            added.append(line[2:])
+    return removed, added
 
 
 @then('the only line that differs is "{line}"')
 def step_one_line(context, line):
     assert context.refusal is None, context.refusal
-    gone, new = _differences(context)
-    assert len(gone) == 1, gone
-    assert new == [line], new
+    removed, added = _differences(context)
+    assert len(removed) == 1, removed
+    assert added == [line], added
 
 
 @then('no line is gone but "{line}"')
 def step_gone(context, line):
     assert context.refusal is None, context.refusal
-    gone, _ = _differences(context)
-    assert gone == [line], gone
+    removed, _ = _differences(context)
+    assert removed == [line], removed
 
 
 @then('the line after "{first}" is "{second}"')
@@ -110,10 +114,10 @@
 @then('the changed keys are "{keys:Maybe}"')
 def step_keys(context, keys):
     expected = [key for key in keys.split(", ") if key]
-    seen = configuration_edits.describe_changes(
+    changed_keys = configuration_edits.describe_changes(
         context.old_text, context.text_now
     )
-    assert seen == expected, seen
+    assert changed_keys == expected, changed_keys
 
 
 @then("the configuration is valid")
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what a home that has just started takes from its peers."""
+"""Steps for the state that a newly started home accepts from its peers."""
 
 import time
 from unittest import mock
@@ -18,7 +18,7 @@
 from almondstair.messages import Heartbeat
 
 _PEER_INCARNATION = 7
-_MARKED = "bkk-u0"
+_MARKED_UPSTREAM = "bkk-u0"
 
 
 def _row(name, incarnation):
@@ -36,11 +36,11 @@
     )
 
 
-def _table(*, described_s, is_out):
+def _table(*, as_of_s, is_unavailable):
     return mock.Mock(
         leaving_vms=frozenset(),
-        vm_list_as_of_s=described_s,
-        vm_list_unavailable=is_out,
+        vm_list_as_of_s=as_of_s,
+        vm_list_unavailable=is_unavailable,
     )
 
 
@@ -66,23 +66,23 @@
     parts.update(own=own, membership=context.membership)
     context.parts = ControlParts(**parts)
 
-    def take(**_):
-        told = context.parts.keeper.slots.set_leaving.call_args
-        context.marked_at_duty = told.kwargs["names"] if told else ()
+    def record_marks(**_):
+        call = context.parts.keeper.slots.set_leaving.call_args
+        context.marked_at_report = call.kwargs["names"] if call else ()
 
-    context.parts.homes.record_report.side_effect = take
+    context.parts.homes.record_report.side_effect = record_marks
     context.control = Control(parts=context.parts, tick_s=1.0, refresh_s=1.0)
     configuration = mock.Mock(configuration=None)
     context.control.bind(
         heartbeats=heartbeats,
         exchange=mock.Mock(),
-        table=_table(described_s=float("-inf"), is_out=True),
+        table=_table(as_of_s=float("-inf"), is_unavailable=True),
         configuration=configuration,
     )
 
 
 @when("a peer's heartbeat and its report of duties come")
-def step_word(context):
+def step_heartbeat_and_report(context):
     context.sequence += 1
     heartbeat = Heartbeat(
         sequence=context.sequence,
@@ -90,7 +90,7 @@
         configuration_version=1,
         leaving=False,
         finished=False,
-        detail=StatusDetail(leaving_upstreams=(_MARKED,)),
+        detail=StatusDetail(leaving_upstreams=(_MARKED_UPSTREAM,)),
         view=None,
         digests=(),
     )
@@ -109,30 +109,31 @@
 
 
 @then("the duty was taken, with the peer's mark known before")
-def step_taken(context):
-    # An entry that has just left the table hands its duties over by such a
-    # report, so it is taken; but not before the word on who leaves.
+def step_report_accepted(context):
+    # An entry that has just left the table hands over its home roles in such
+    # a report, so it is accepted, but only after the marks of leaving
+    # upstreams are known.
     assert context.parts.homes.heard.called
-    told = context.marked_at_duty
-    assert _MARKED in told, told
+    names = context.marked_at_report
+    assert _MARKED_UPSTREAM in names, names
 
 
 @when("the VM list, read before that word, goes out, and the peer leaves")
 def step_peer_leaves(context):
-    context.control._table = _table(described_s=0.0, is_out=True)
+    context.control._table = _table(as_of_s=0.0, is_unavailable=True)
     context.control.on_table(context.membership.table, True)
     context.control.set_leaving()
 
 
 @then("the entry tells others that it leaves")
-def step_tells(context):
+def step_reports_leaving(context):
     context.parts.keeper.slots.status.return_value = ()
     context.control._configuration.configuration = mock.Mock(
-        upstreams={_MARKED: mock.Mock()}, marks=mock.Mock(leaving=())
+        upstreams={_MARKED_UPSTREAM: mock.Mock()}, marks=mock.Mock(leaving=())
     )
     context.parts.quarantine.next_marks.return_value = ()
-    told = context.control.own_detail().leaving_upstreams
-    assert told == (_MARKED,), told
+    names = context.control.own_detail().leaving_upstreams
+    assert names == (_MARKED_UPSTREAM,), names
 
 
 @when("its next process says that none leaves")
@@ -153,11 +154,13 @@
 @when("the VM list, read after that word, goes out")
 def step_read_after(context):
     after_s = time.monotonic() + 1.0
-    context.control._table = _table(described_s=after_s, is_out=True)
+    context.control._table = _table(as_of_s=after_s, is_unavailable=True)
     context.control.set_leaving()
 
 
 @then("the upstream takes {what} work here")
-def step_takes(context, what):
-    told = context.parts.keeper.slots.set_leaving.call_args
-    assert (_MARKED in told.kwargs["names"]) == (what == "no new"), told
+def step_accepts_work(context, what):
+    call = context.parts.keeper.slots.set_leaving.call_args
+    assert (_MARKED_UPSTREAM in call.kwargs["names"]) == (what == "no new"), (
+        call
+    )
--- a/features/steps/heartbeat_steps.py
+++ b/features/steps/heartbeat_steps.py
@@ -1,4 +1,4 @@
-"""Steps of membership.feature: what heartbeats say and whom they reach."""
+"""Steps of membership.feature: contents and receivers of heartbeats."""
 
 import asyncio
 import time
@@ -47,17 +47,17 @@
 @when("heartbeats are sent for {seconds:d} seconds")
 def step_sent(context, seconds):
     context.sent = []
-    # At the target size, each twentieth entry stands for the others.
+    # At the target size, every twentieth entry represents the others.
     for own in context.entry_table.entries[
         :: max(1, len(context.entry_table.entries) // 40)
     ]:
-        fan_out = HeartbeatScheduler(own=own, interval_s=INTERVAL_S)
-        fan_out.set_table(table=context.entry_table)
+        scheduler = HeartbeatScheduler(own=own, interval_s=INTERVAL_S)
+        scheduler.set_table(table=context.entry_table)
         near, all_names = set(), set()
         for _ in range(int(seconds / INTERVAL_S)):
-            sending = fan_out.tick()
-            near.update(sending.near)
-            all_names.update(sending.near, sending.far, sending.partners)
+            targets = scheduler.tick()
+            near.update(targets.near)
+            all_names.update(targets.near, targets.far, targets.partners)
         context.sent.append((near, all_names))
 
 
@@ -84,7 +84,7 @@
 
 
 @then("no word on any entry is older than {limit:d} seconds")
-def step_words_fresh(context, limit):
+def step_statuses_fresh(context, limit):
     entries = list(context.steps.entries.values())
     oldest_s = oldest_age_s(entries, context.steps.now_s)
     assert oldest_s <= limit, oldest_s
@@ -96,17 +96,19 @@
 
 
 @when('"{name}" was heard {age:d} seconds ago and has version {version:d} of 7')
-def step_words(context, name, age, version):
-    context.words = []
+def step_statuses(context, name, age, version):
+    context.statuses = []
     for other in sorted(context.membership.table.names()):
         if other == name:
-            context.words.append(MemberStatus(other, True, float(age), version))
+            context.statuses.append(
+                MemberStatus(other, True, float(age), version)
+            )
         else:
-            context.words.append(MemberStatus(other, True, 0.0, 7))
+            context.statuses.append(MemberStatus(other, True, 0.0, 7))
 
 
-def reader(context, *, epoch):
-    """Returns the heartbeats of an entry that heard nothing yet."""
+def make_reader(context, *, epoch):
+    """Returns the membership and heartbeats of a newly started entry."""
     own = context.membership.own
     membership = Membership(own=own, silence_limit_s=SILENCE_LIMIT_S)
     table = EntryTable(epoch, context.membership.table.entries)
@@ -118,7 +120,7 @@
         peer_address=own.peer_address,
         on_message=lambda *_: None,
     )
-    reading = Heartbeats(
+    heartbeats = Heartbeats(
         own=own,
         membership=membership,
         configuration=ConfigurationState(),
@@ -129,23 +131,23 @@
         interval_ms=250,
         silence_limit_ms=1500,
     )
-    reading.refresh_table()
-    return membership, reading
+    heartbeats.refresh_table()
+    return membership, heartbeats
 
 
-def hear_view(context, *, reader_epoch):
-    async def hear():
+def receive_view(context, *, reader_epoch):
+    async def receive():
         view = make_view(
-            epoch=1, members=context.words, configuration_version=7
+            epoch=1, members=context.statuses, configuration_version=7
         )
         frame = messages.encode(Heartbeat(1, 1, 7, view=view))
-        membership, reading = reader(context, epoch=reader_epoch)
-        reading.receive(
+        membership, heartbeats = make_reader(context, epoch=reader_epoch)
+        heartbeats.receive(
             name="e5", incarnation=3, heartbeat=messages.decode(frame)
         )
         return membership
 
-    return asyncio.run(hear())
+    return asyncio.run(receive())
 
 
 @then(
@@ -153,14 +155,16 @@
     "{version:d}"
 )
 def step_view(context, name, age, version):
-    known = hear_view(context, reader_epoch=1).last_heartbeat(name=name)
-    assert known.configuration_version == version, known
-    assert 0 <= context.now_s - known.heard_s - age <= 0.3, known
+    last = receive_view(context, reader_epoch=1).last_heartbeat(name=name)
+    assert last.configuration_version == version, last
+    assert 0 <= context.now_s - last.heard_s - age <= 0.3, last
 
 
 @then("a reader with another epoch learns nothing")
 def step_view_epoch(context):
-    assert hear_view(context, reader_epoch=2).last_heartbeat(name="e3") is None
+    assert (
+        receive_view(context, reader_epoch=2).last_heartbeat(name="e3") is None
+    )
 
 
 @then('a reader of the digest learns that "{name}" lacks version {version:d}')
@@ -168,31 +172,31 @@
     digest = make_digest(
         availability_zone="west-1",
         epoch=1,
-        members=context.words,
+        members=context.statuses,
         version=version,
         loads=(),
     )
     names = sorted(context.membership.table.names())
-    for word in read_digest(digest=digest, names=names):
-        assert word.live, word
-        assert (word.version < version) == (word.name == name), word
+    for status in read_digest(digest=digest, names=names):
+        assert status.live, status
+        assert (status.version < version) == (status.name == name), status
 
 
 class RecordingPeers:
-    """Stands for the sockets and keeps what is sent."""
+    """Records sent messages in place of real sockets."""
 
     def __init__(self):
-        """Starts with nothing sent."""
+        """Starts without messages."""
         self.sent = []
 
     def set_rows(self, rows):
-        """Needs no addresses."""
+        """Ignores the rows."""
 
     def connect(self, name):
-        """Needs no connection."""
+        """Opens no connection."""
 
     def send(self, name, *parts):
-        """Keeps messages."""
+        """Records each message as its receiver decodes it."""
         for message in parts:
             self.sent.append((name, messages.decode(messages.encode(message))))
         return True
@@ -210,7 +214,7 @@
     membership.replace_table(table=context.entry_table, now_s=0.0)
     context.peers = RecordingPeers()
     load = ServiceLoad("matching", 3, 3, 0)
-    sending = Heartbeats(
+    heartbeats = Heartbeats(
         own=own,
         membership=membership,
         configuration=ConfigurationState(),
@@ -221,10 +225,10 @@
         interval_ms=int(INTERVAL_S * 1000),
         silence_limit_ms=int(SILENCE_LIMIT_S * 1000),
     )
-    sending.refresh_table()
+    heartbeats.refresh_table()
     for _ in range(int(seconds / INTERVAL_S)):
         context.now_s += INTERVAL_S
-        sending.send_round()
+        heartbeats.send_round()
 
 
 @then("entries of all {count:d} availability zones have the mark")
@@ -239,10 +243,10 @@
 
 
 class LiveEntry:
-    """An entry with real sockets and heartbeats, without the rest."""
+    """An entry with real sockets and heartbeats only."""
 
     def __init__(self, *, own, table):
-        """Takes its row and the table; `start` opens the sockets."""
+        """Creates the parts; `start` opens the sockets."""
         self.own = own
         self.membership = Membership(own=own, silence_limit_s=SILENCE_LIMIT_S)
         self.membership.replace_table(table=table, now_s=time.monotonic())
@@ -255,7 +259,7 @@
             name=own.name,
             incarnation=7,
             peer_address=own.peer_address,
-            on_message=self.take,
+            on_message=self.on_message,
         )
         self.heartbeats = Heartbeats(
             own=own,
@@ -270,18 +274,18 @@
         )
 
     def start(self):
-        """Binds and sends."""
+        """Opens the sockets and starts to send heartbeats."""
         self.peers.start()
         self.heartbeats.refresh_table()
         self.heartbeats.start()
 
     def stop(self):
-        """Closes the sockets."""
+        """Stops the heartbeats and closes the sockets."""
         self.heartbeats.stop()
         self.peers.stop()
 
-    def take(self, name, incarnation, message):
-        """Takes a message in."""
+    def on_message(self, name, incarnation, message):
+        """Passes a received heartbeat on."""
         self.heartbeats.receive(
             name=name, incarnation=incarnation, heartbeat=message
         )
@@ -294,18 +298,18 @@
 
 
 @when("they hear each other within {seconds:d} seconds and one stops")
-def step_hear(context, seconds):
-    asyncio.run(talk(context, seconds, wait_s=0.3))
+def step_exchange_and_stop(context, seconds):
+    asyncio.run(exchange_until_stop(context, seconds, wait_s=0.3))
 
 
 @when(
     "they hear each other within {seconds:d} seconds and one stops this moment"
 )
-def step_hear_at_once(context, seconds):
-    asyncio.run(talk(context, seconds, wait_s=0.0))
+def step_exchange_and_stop_at_once(context, seconds):
+    asyncio.run(exchange_until_stop(context, seconds, wait_s=0.0))
 
 
-async def talk(context, seconds, *, wait_s):
+async def exchange_until_stop(context, seconds, *, wait_s):
     first = LiveEntry(
         own=context.entry_table.entries[0], table=context.entry_table
     )
@@ -355,11 +359,11 @@
 
 @then('these frames are refused as "{kind}": empty, unknown tag, cut short')
 def step_frames(context, kind):
-    whole = messages.encode(Heartbeat(1, 1, 1))
-    for frame in (b"", b"\xff" + whole[1:], whole[:-1]):
+    complete = messages.encode(Heartbeat(1, 1, 1))
+    for frame in (b"", b"\xff" + complete[1:], complete[:-1]):
         try:
             messages.decode(frame)
         except AlmondstairError as error:
             assert error.kind == kind, error
             continue
-        raise AssertionError(f"{frame!r} was taken")
+        raise AssertionError(f"{frame!r} was accepted")
--- a/features/steps/http_slots_steps.py
+++ b/features/steps/http_slots_steps.py
@@ -1,4 +1,4 @@
-"""Steps of http.feature: slots that are taken, and answers that are cut."""
+"""Steps of http.feature: busy slots and truncated answers."""
 
 import itertools
 import time
@@ -17,21 +17,21 @@
 from features.support.http_parts import journal
 from features.support.http_parts import open_wire
 
-# Quick work before slow work, and how long all of that may take to start.
-QUICK_LOOK_UPS = 30
-TAKEN_LIMIT_S = 0.5
-SLOW_WORK_TRIES = 5
+# Quick requests before slow ones, and the limit for all slow ones to start.
+QUICK_LOOKUPS = 30
+ALL_BUSY_LIMIT_S = 0.5
+SLOW_WORK_ATTEMPTS = 5
 
 
 def _send_slow_work(context):
-    opened = []
+    connections = []
     for _ in range(context.deployment.shape.slots):
-        each = open_wire(context, "bkk-e0")
-        each.write(
+        connection = open_wire(context, "bkk-e0")
+        connection.write(
             b"GET /matching/orders/1?work_ms=1900 HTTP/1.1\r\nHost: x\r\n\r\n"
         )
-        opened.append(each)
-    return opened
+        connections.append(connection)
+    return connections
 
 
 def _all_busy(context):
@@ -39,8 +39,8 @@
 
 
 def _is_busy_in_time(context):
-    until_s = time.monotonic() + TAKEN_LIMIT_S
-    while time.monotonic() < until_s:
+    end_s = time.monotonic() + ALL_BUSY_LIMIT_S
+    while time.monotonic() < end_s:
         if _all_busy(context):
             return True
     return False
@@ -48,36 +48,36 @@
 
 @given("quick work has opened every slot of the upstream")
 def step_quick_work(context):
-    # The entry uses more slots with each quick answer, a slot a second at most.
-    until_s = time.monotonic() + context.deployment.shape.slots + 1
-    while time.monotonic() < until_s:
+    # Each quick answer lets the entry use more slots, at most one a second.
+    end_s = time.monotonic() + context.deployment.shape.slots + 1
+    while time.monotonic() < end_s:
         send("GET", address(context, "bkk-e0"), "/matching/orders/1")
 
 
-def _take_all_slots(context):
-    """Sends slow work to all slots right after quick work.
+def _fill_all_slots(context):
+    """Sends slow requests to all slots right after quick requests.
 
     Returns:
-      Whether all of it runs at once; else its callers have left again.
+      Whether all of them run at once. If not, their callers have disconnected.
     """
-    for _ in range(QUICK_LOOK_UPS):
+    for _ in range(QUICK_LOOKUPS):
         send("GET", address(context, "bkk-e0"), "/matching/orders/1")
-    opened = _send_slow_work(context)
+    connections = _send_slow_work(context)
     if _is_busy_in_time(context):
         return True
-    for each in opened:
-        each.close()
+    for connection in connections:
+        connection.close()
     wait_until(lambda: not journal(context)["busy"], what="an idle upstream")
     return False
 
 
 @when("as many slow look-ups as it has slots come right after an answer")
 def step_slow_after_answer(context):
-    # On a busy machine quick answers may seem slow, and the entry uses fewer
-    # slots for a while; so a few times.
+    # On a loaded host quick answers may look slow, and the entry then uses
+    # fewer slots for a while, so several attempts are made.
     context.at_once = False
-    for _ in range(SLOW_WORK_TRIES):
-        context.at_once = context.at_once or _take_all_slots(context)
+    for _ in range(SLOW_WORK_ATTEMPTS):
+        context.at_once = context.at_once or _fill_all_slots(context)
 
 
 @then("all of them run at once")
@@ -86,9 +86,9 @@
 
 
 @given("every slot of the upstream is taken")
-def step_take_slots(context):
+def step_fill_slots(context):
     wait_until(
-        lambda: _take_all_slots(context), limit_s=20.0, what="a busy upstream"
+        lambda: _fill_all_slots(context), limit_s=20.0, what="a busy upstream"
     )
 
 
@@ -102,7 +102,7 @@
     assert seconds * 1000 >= problem["retry_after_ms"] > seconds * 1000 - 1000
 
 
-# Cut answers.
+# Truncated answers.
 
 
 @given("the upstream cuts its next answer after {size:d} bytes")
@@ -150,33 +150,33 @@
 
 @given("{upstream} cuts its answers before the first byte")
 def step_cut_first(context, upstream):
-    _cut(context, [upstream])
+    _cut_answers(context, [upstream])
 
 
-def _cut(context, names):
-    # A retry needs a budget, which first tries earn.
+def _cut_answers(context, names):
+    # A retry needs budget, which first attempts earn.
     for entry in context.deployment.entries:
         for _ in range(12):
             send("GET", address(context, entry), "/matching/orders/0")
-    context.cutting = names
+    context.cutting_upstreams = names
     for name in names:
         context.deployment.control(name, cut=1000, cut_after_bytes=0)
 
 
-def _cut_runs(context):
-    found = []
-    for name in context.cutting:
+def _truncated_runs(context):
+    runs = []
+    for name in context.cutting_upstreams:
         for run in context.deployment.journal(name)["runs"]:
             if run["outcome"] == "cut":
-                found.append(run)
-    return found
+                runs.append(run)
+    return runs
 
 
 @when("approvals go to {entry} until an answer is cut")
 def step_approvals_until_cut(context, entry):
     keys = itertools.count()
 
-    def cut():
+    def is_cut():
         context.key = f"a-{next(keys)}"
         context.answer = post(
             address(context, entry),
@@ -184,9 +184,9 @@
             {"amount": 1},
             headers={"Idempotency-Key": context.key},
         )
-        return _cut_runs(context)
+        return _truncated_runs(context)
 
-    wait_until(cut, what="a cut answer")
+    wait_until(is_cut, what="a truncated answer")
 
 
 @then("it ran once in all")
@@ -216,18 +216,18 @@
         home = deployment.home_of(name, asked="cnx-e0")
         homes.setdefault(home, []).append(name)
     assert len(homes) == 2, homes
-    _cut(context, sorted(homes.values())[0])
+    _cut_answers(context, sorted(homes.values())[0])
 
 
 @when("orders go to {entry} until an answer is cut")
 def step_until_cut(context, entry):
-    def cut():
+    def is_cut():
         context.answer = send(
             "GET", address(context, entry), "/matching/orders/1"
         )
-        return _cut_runs(context)
+        return _truncated_runs(context)
 
-    wait_until(cut, what="a cut answer")
+    wait_until(is_cut, what="a truncated answer")
 
 
 @then("the answer is whole nevertheless")
@@ -254,6 +254,6 @@
         return head.headers.get("connection") == "close"
 
     wait_until(says_close, what="an answer of a leaving entry")
-    # Well before the entry ends.
-    assert not context.wire.is_silent(limit_s=0.5), "it stays open"
+    # The connection closes well before the entry exits.
+    assert not context.wire.is_silent(limit_s=0.5), "the connection stays open"
     assert context.wire.rest() == b""
--- a/features/steps/http_steps.py
+++ b/features/steps/http_steps.py
@@ -1,4 +1,4 @@
-"""Steps of http.feature: bodies, framing, headers, and callers that leave."""
+"""Steps of http.feature: bodies, framing, headers, caller disconnects."""
 
 import json
 import time
@@ -26,33 +26,52 @@
 HEAD_PAUSE_S = 1.5
 READY_REQUESTS = (("GET", "/statements/1"), ("PUT", "/batches/1"))
 BIG_LINK_BYTES_PER_S = 2_000_000_000
-FIRST = "PUT /matching/batches/1 HTTP/1.1\r\nHost: x\r\n"
-LENGTH = "Content-Length: 5\r\n"
-CHUNKED = "Transfer-Encoding: chunked\r\n"
-HIDDEN = "GET /orders/hidden HTTP/1.1\r\nHost: x\r\n\r\n"
-SHAPES = {
-    "both lengths": FIRST + LENGTH + CHUNKED + "\r\n0\r\n\r\n" + HIDDEN,
-    "two lengths": FIRST + LENGTH + "Content-Length: 6\r\n\r\nhellox",
-    "a list of lengths": FIRST + "Content-Length: 5, 5\r\n\r\nhello",
-    "a signed length": FIRST + "Content-Length: +5\r\n\r\nhello",
-    "two encodings": FIRST + CHUNKED + CHUNKED + "\r\n0\r\n\r\n",
-    "another encoding": FIRST
+UPLOAD_HEAD = "PUT /matching/batches/1 HTTP/1.1\r\nHost: x\r\n"
+LENGTH_HEADER = "Content-Length: 5\r\n"
+CHUNKED_HEADER = "Transfer-Encoding: chunked\r\n"
+SMUGGLED_REQUEST = "GET /orders/hidden HTTP/1.1\r\nHost: x\r\n\r\n"
+MALFORMED_REQUESTS = {
+    "both lengths": UPLOAD_HEAD
+    + LENGTH_HEADER
+    + CHUNKED_HEADER
+    + "\r\n0\r\n\r\n"
+    + SMUGGLED_REQUEST,
+    "two lengths": UPLOAD_HEAD
+    + LENGTH_HEADER
+    + "Content-Length: 6\r\n\r\nhellox",
+    "a list of lengths": UPLOAD_HEAD + "Content-Length: 5, 5\r\n\r\nhello",
+    "a signed length": UPLOAD_HEAD + "Content-Length: +5\r\n\r\nhello",
+    "two encodings": UPLOAD_HEAD
+    + CHUNKED_HEADER
+    + CHUNKED_HEADER
+    + "\r\n0\r\n\r\n",
+    "another encoding": UPLOAD_HEAD
     + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-    "a bad chunk size": FIRST + CHUNKED + "\r\n5x\r\nhello\r\n0\r\n\r\n",
-    "a signed chunk size": FIRST + CHUNKED + "\r\n+5\r\nhello\r\n0\r\n\r\n",
-    "a chunk without its end": FIRST + CHUNKED + "\r\n5\r\nhelloxx0\r\n\r\n",
-    "headers of 40 KiB": FIRST + LENGTH + f"X-Long: {'a' * 40960}\r\n\r\nhello",
+    "a bad chunk size": UPLOAD_HEAD
+    + CHUNKED_HEADER
+    + "\r\n5x\r\nhello\r\n0\r\n\r\n",
+    "a signed chunk size": UPLOAD_HEAD
+    + CHUNKED_HEADER
+    + "\r\n+5\r\nhello\r\n0\r\n\r\n",
+    "a chunk without its end": UPLOAD_HEAD
+    + CHUNKED_HEADER
+    + "\r\n5\r\nhelloxx0\r\n\r\n",
+    "headers of 40 KiB": UPLOAD_HEAD
+    + LENGTH_HEADER
+    + f"X-Long: {'a' * 40960}\r\n\r\nhello",
     "a length named per-hop": "GET /matching/orders/1 HTTP/1.1\r\nHost: x\r\n"
     + f"Connection: content-length\r\nContent-Length: {80 * 1024}\r\n\r\n"
-    + HIDDEN * (80 * 1024 // len(HIDDEN) + 1),
-    "a space before the colon": FIRST + "Content-Length : 5\r\n\r\nhello",
-    "a header without a colon": FIRST + LENGTH + "Odd\r\n\r\nhello",
+    + SMUGGLED_REQUEST * (80 * 1024 // len(SMUGGLED_REQUEST) + 1),
+    "a space before the colon": UPLOAD_HEAD + "Content-Length : 5\r\n\r\nhello",
+    "a header without a colon": UPLOAD_HEAD
+    + LENGTH_HEADER
+    + "Odd\r\n\r\nhello",
     "a bad start line": "PUT  /matching/batches/1\r\n\r\n",
 }
 
 
 class _HttpDeployment(Deployment):
-    """A deployment with a second service on an upstream in this process."""
+    """A deployment whose second service has an upstream in this process."""
 
     def deployment_text(self):
         text = super().deployment_text()
@@ -72,14 +91,16 @@
     context.control(UPSTREAM, cut=0)
     wait_until(lambda: not journal(context)["busy"], what="an idle upstream")
     context.raw.answer = wire.NOTHING
-    wait_until(lambda: _all_serve(context), what="upstreams that take work")
+    wait_until(
+        lambda: _all_accept_work(context), what="upstreams that accept work"
+    )
     context.runs_before = len(journal(context)["runs"])
     context.raw.heads.clear()
 
 
-def _all_serve(context):
-    # A new entry has no share of its links yet, and after a failure an
-    # upstream gets no work for a while; both refuse long work longest.
+def _all_accept_work(context):
+    # A new entry has no share of its links yet, and an upstream that failed
+    # gets no work for a while. Long requests are refused longest in both cases.
     for entry in context.deployment.entries:
         for service in ("matching", "raw"):
             for method, path in READY_REQUESTS:
@@ -117,12 +138,12 @@
     return journal(context)["runs"][context.runs_before :]
 
 
-def _resident(context, field):
-    found = {}
+def _resident_bytes(context, field):
+    sizes_bytes = {}
     for name in context.deployment.entries:
         child = context.deployment.processes.children[name]
-        found[name] = child.resident_bytes(field=field)
-    return found
+        sizes_bytes[name] = child.resident_bytes(field=field)
+    return sizes_bytes
 
 
 # Long bodies.
@@ -131,9 +152,9 @@
 @when("64 MiB are sent to {entry} with {framing}")
 def step_upload(context, entry, framing):
     context.entry = entry
-    context.resident_before = _resident(context, "VmRSS")
+    context.resident_before = _resident_bytes(context, "VmRSS")
 
-    def sent():
+    def is_sent():
         context.sent = wire.upload(
             address(context, entry),
             "/matching/batches/1",
@@ -142,11 +163,11 @@
         )
         return context.sent.answer.status != 503
 
-    wait_until(sent, what="an upload that is not refused")
+    wait_until(is_sent, what="an upload that is not refused")
 
 
 @then("the upstream got them byte for byte")
-def step_upload_whole(context):
+def step_upload_complete(context):
     assert context.sent.answer.status == 200, context.sent
     assert context.sent.size_bytes == 64 * MIB, context.sent
     expected = upstream_standin.body_sha256(64 * MIB)
@@ -159,19 +180,19 @@
     path = f"/matching/statements/1?answer_bytes={64 * MIB}"
 
     def read():
-        got = wire.download(address(context, entry), path)
-        return got if got.answer.status != 503 else None
+        download = wire.download(address(context, entry), path)
+        return download if download.answer.status != 503 else None
 
-    got = wait_until(read, what="a statement that is not refused")
-    assert got.answer.status == 200, got
-    assert got.size_bytes == 64 * MIB, got
-    assert got.sha256 == upstream_standin.body_sha256(64 * MIB)
-    print(f"statement: {got.took_s:.2f} s")
+    download = wait_until(read, what="a statement that is not refused")
+    assert download.answer.status == 200, download
+    assert download.size_bytes == 64 * MIB, download
+    assert download.sha256 == upstream_standin.body_sha256(64 * MIB)
+    print(f"statement: {download.took_s:.2f} s")
 
 
 @when("a caller of {entry} pauses after the head of a 64 MiB statement")
 def step_pause(context, entry):
-    context.resident_before = _resident(context, "VmRSS")
+    context.resident_before = _resident_bytes(context, "VmRSS")
 
     def started():
         opened = open_wire(context, entry)
@@ -188,7 +209,7 @@
 
 @when("64 MiB are sent through {entry} to an upstream that reads nothing")
 def step_stalled(context, entry):
-    context.resident_before = _resident(context, "VmRSS")
+    context.resident_before = _resident_bytes(context, "VmRSS")
     context.raw.stalls = True
     context.raw.going.clear()
     context.add_cleanup(_resume, context.raw)
@@ -201,7 +222,9 @@
         return sent if context.raw.heads else 0
 
     sent_bytes = wait_until(started, what="an upload that is not refused")
-    assert sent_bytes < 32 * MIB, f"{sent_bytes} bytes had no end"
+    assert sent_bytes < 32 * MIB, (
+        f"{sent_bytes} bytes accepted without backpressure"
+    )
 
 
 def _resume(raw):
@@ -211,7 +234,7 @@
 
 @then("no entry's resident memory grew by 16 MiB")
 def step_resident(context):
-    peaks = _resident(context, "VmHWM")
+    peaks = _resident_bytes(context, "VmHWM")
     for name, peak_bytes in peaks.items():
         grown_bytes = peak_bytes - context.resident_before[name]
         print(f"{name}: peak {grown_bytes / MIB:.1f} MiB above the start")
@@ -226,14 +249,16 @@
 )
 def step_part(context, size, entry, left):
     context.wire = open_wire(context, entry)
-    head = f"{FIRST}Content-Length: 100\r\nDeadline-Ms: {left}\r\n\r\n"
+    head = f"{UPLOAD_HEAD}Content-Length: 100\r\nDeadline-Ms: {left}\r\n\r\n"
     context.wire.write(head.encode() + bytes(size))
 
 
 @when("the head of an upload to {entry} asks for {expectation}")
 def step_expect(context, entry, expectation):
     context.wire = open_wire(context, entry)
-    context.wire.write(f"{FIRST}{LENGTH}Expect: {expectation}\r\n\r\n".encode())
+    context.wire.write(
+        f"{UPLOAD_HEAD}{LENGTH_HEADER}Expect: {expectation}\r\n\r\n".encode()
+    )
 
 
 @then("the answer is a {status:d}")
@@ -274,11 +299,11 @@
     assert len(body["entries"]) == 2, body
 
 
-# Callers that leave.
+# Callers that disconnect.
 
 
-def _until_run(context, entry, data):
-    """Sends until it is not refused, as a caller would; returns the wire."""
+def _send_until_running(context, entry, data):
+    """Retries until a request runs; returns its connection."""
 
     def running():
         opened = open_wire(context, entry)
@@ -294,13 +319,13 @@
 def step_leave(context, entry, work_ms):
     path = f"/matching/statements/1?work_ms={work_ms}"
     data = f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
-    _until_run(context, entry, data).close()
+    _send_until_running(context, entry, data).close()
 
 
 @when("a caller of {entry} leaves in the middle of its body")
 def step_leave_body(context, entry):
-    data = f"{FIRST}Content-Length: {MIB}\r\n\r\n".encode()
-    _until_run(context, entry, data + bytes(MIB // 2)).close()
+    data = f"{UPLOAD_HEAD}Content-Length: {MIB}\r\n\r\n".encode()
+    _send_until_running(context, entry, data + bytes(MIB // 2)).close()
 
 
 @then('the upstream\'s journal says "{outcome}" within {limit_s:d} s')
@@ -314,11 +339,11 @@
 
 @then("every slot of the upstream is free within {limit_s:d} s")
 def step_slots_free(context, limit_s):
-    def free():
+    def are_free():
         rows = context.deployment.status("bkk-e0")["upstreams"]
         return all(row["in_flight"] == 0 for row in rows)
 
-    wait_until(free, limit_s=limit_s, what="free slots")
+    wait_until(are_free, limit_s=limit_s, what="free slots")
 
 
 # Headers.
@@ -351,7 +376,7 @@
     names = set()
     for line in context.raw.heads[0].split("\n")[1:]:
         names.add(line.partition(":")[0].title())
-    # What an entry itself says to an upstream.
+    # Headers that an entry itself sends to an upstream.
     names -= {"Host", "Deadline-Ms", "Traceparent"}
     assert names == {name.title()}, names
 
@@ -362,13 +387,13 @@
     assert names == {name.lower()}, context.head
 
 
-# Smuggling.
+# Request smuggling.
 
 
 @when("{shape} is sent to {entry}")
 def step_shape(context, shape, entry):
     context.wire = open_wire(context, entry)
-    context.wire.write(SHAPES[shape].encode())
+    context.wire.write(MALFORMED_REQUESTS[shape].encode())
 
 
 @then("the answer is a {status:d} and the connection is closed")
@@ -426,5 +451,5 @@
     assert problem["code"] == code, problem
     assert problem["ran"] == ran, problem
     assert problem["status"] == status, problem
-    comes_back = problem["retry_after_ms"] is not None
-    assert comes_back == ("Retry-After" in answer.headers), answer
+    has_retry_after = problem["retry_after_ms"] is not None
+    assert has_retry_after == ("Retry-After" in answer.headers), answer
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps of leaving.feature: drains, stops and deaths of real processes."""
+"""Steps of leaving.feature: drains, stops and kills of real processes."""
 
 import threading
 import time
@@ -29,7 +29,7 @@
 LONG_WORK_MS = 3000
 LEAVE_LIMIT_S = 3.0
 LONG_WORK_TRIES = 30
-# Deadline of uploads and statements where a scenario waits it out.
+# Deadline of uploads and statements in scenarios that wait until it passes.
 SHORT_DEADLINE_MS = 4000
 DOWNLOAD_BYTES = 5_000_000
 MARKED = ("bkk-u0", "bkk-u1", "bkk-u2")
@@ -40,7 +40,7 @@
     "in bkk"
 )
 def step_steady(context, entries, upstreams):
-    start_steady(context, Deployment, entries, upstreams)
+    start_deployment(context, Deployment, entries, upstreams)
 
 
 @given(
@@ -48,11 +48,11 @@
     "in bkk with short deadlines"
 )
 def step_steady_short(context, entries, upstreams):
-    start_steady(context, ShortDeployment, entries, upstreams)
+    start_deployment(context, ShortDeadlineDeployment, entries, upstreams)
 
 
-def start_steady(context, kind, entries, upstreams):
-    context.deployment = kind(
+def start_deployment(context, deployment_class, entries, upstreams):
+    context.deployment = deployment_class(
         processes=context.processes,
         shape=Shape(entries={"bkk": entries}, upstreams={"bkk": upstreams}),
     )
@@ -65,8 +65,8 @@
         wait_until(is_answered, what="the first answer")
 
 
-class ShortDeployment(Deployment):
-    """Its longest work is short: a dead home's slots are held for as long."""
+class ShortDeadlineDeployment(Deployment):
+    """Has short deadlines: a dead home's slots are held for the longest one."""
 
     def deployment_text(self):
         text = super().deployment_text()
@@ -77,14 +77,14 @@
 @given("look-ups arrive at {rate:d} a second")
 def step_look_ups(context, rate):
     context.rate = rate
-    # More than a scenario takes; it ends the callers when it has seen enough.
+    # More requests than a scenario needs; it stops the callers itself.
     context.load = start_load(
         context.deployment, rate=rate, count=rate * 60, classes=[LOOK_UP]
     )
     time.sleep(0.5)
 
 
-def end_load(context):
+def stop_load(context):
     context.load.terminate()
     return read_ends(context.deployment)
 
@@ -97,8 +97,8 @@
     for number in range(LONG_WORK_TRIES):
         work = Background(long_work, address, LONG_WORK_MS, f"long{number}")
         found = wait_until(
-            lambda call=f"/long{number}?", work=work: (
-                work.end_s or ran_at(context.deployment, call)
+            lambda path_part=f"/long{number}?", work=work: (
+                work.end_s or upstream_running(context.deployment, path_part)
             ),
             what="long work",
         )
@@ -110,11 +110,11 @@
     raise AssertionError(f"long work runs only on {busy}")
 
 
-def ran_at(deployment, call):
-    """Returns the upstream that runs a call, empty while none does."""
+def upstream_running(deployment, path_part):
+    """Returns the upstream whose runs include a path, or an empty string."""
     for name in deployment.upstreams:
         for run in deployment.journal(name)["runs"]:
-            if call in run["path"]:
+            if path_part in run["path"]:
                 return name
     return ""
 
@@ -128,8 +128,8 @@
     context.marked_s = time.monotonic()
     deployment.publish_vms(leaving=("bkk-u1",))
     deployment.control("bkk-u2", draining=True)
-    told = deployment.mark("bkk-e0", "bkk-u0", leaving=True)
-    assert told.status == 200, told
+    response = deployment.mark("bkk-e0", "bkk-u0", leaving=True)
+    assert response.status == 200, response
     context.mark_accepted_s = time.monotonic() - context.marked_s
 
 
@@ -151,7 +151,7 @@
         if last_s is not None:
             context.last_start_s[name] = round(last_s - context.marked_s, 3)
     others = starts_after(context.deployment, "bkk-u3", limit_s)
-    assert others, "no load went on"
+    assert others, "no load reached bkk-u3"
 
 
 @then("the long work on them ended whole, and their drains are shown as done")
@@ -174,14 +174,14 @@
 
 
 @when("the platform is on again and the marks are taken back")
-def step_marks_back(context):
+def step_marks_removed(context):
     deployment = context.deployment
     deployment.faults(down=False, vm_list_down=False)
     deployment.publish_vms()
     deployment.control("bkk-u2", draining=False)
-    told = deployment.mark("bkk-e1", "bkk-u0", leaving=False)
-    assert told.status == 200, told
-    context.back_s = time.monotonic()
+    response = deployment.mark("bkk-e1", "bkk-u0", leaving=False)
+    assert response.status == 200, response
+    context.marks_removed_s = time.monotonic()
     start_load(
         deployment,
         rate=40,
@@ -196,7 +196,9 @@
     for name in MARKED:
 
         def has_work(name=name):
-            return starts_after(context.deployment, name, context.back_s)
+            return starts_after(
+                context.deployment, name, context.marks_removed_s
+            )
 
         wait_until(has_work, limit_s=limit_s, what=f"work on {name}")
 
@@ -204,9 +206,9 @@
 @then("no look-up failed")
 @then("no look-up was cut off")
 def step_no_failure(context):
-    ends = end_load(context)
-    assert ends.answered > context.rate, ends
-    assert not ends.failed, (len(ends.failed), ends.failed[:3])
+    outcome = stop_load(context)
+    assert outcome.answered > context.rate, outcome
+    assert not outcome.failed, (len(outcome.failed), outcome.failed[:3])
 
 
 @when('the VM list marks "{name}" and goes out, and its home restarts')
@@ -242,9 +244,9 @@
     until_s = time.monotonic() + 2.0
     while time.monotonic() < until_s:
         for address in deployment.callers():
-            answer = get(address, "/matching/orders/1")
-            assert answer.status == 503, answer
-            assert answer.json()["ran"] == "no", answer
+            response = get(address, "/matching/orders/1")
+            assert response.status == 503, response
+            assert response.json()["ran"] == "no", response
         time.sleep(0.05)
     assert not starts_after(deployment, name, context.restarted_s)
 
@@ -270,7 +272,7 @@
 
 
 @then("each request was answered 200, or refused as not run and done later")
-def step_all_answered(context):
+def step_all_completed(context):
     step_no_failure(context)
 
 
@@ -330,18 +332,18 @@
         if number == 3:
             stopping.start()
         time.sleep(gap_ms / 1000)
-    context.answers = [sending.wait() for sending in sendings.all]
+    context.responses = [sending.wait() for sending in sendings.all]
     stopping.join()
 
 
 @then("each approval was answered 200, or refused as not run")
-def step_no_doubt(context):
+def step_approvals_certain(context):
     served = 0
-    for answer in context.answers:
-        served += answer.status == 200
-        if answer.status != 200:
-            assert answer.ran == "no", answer.told
-    print("served", served, "of", len(context.answers))
+    for response in context.responses:
+        served += response.status == 200
+        if response.status != 200:
+            assert response.ran == "no", response.told
+    print("served", served, "of", len(context.responses))
 
 
 @when('"{name}" is stopped')
@@ -352,11 +354,11 @@
 
 
 @then("each of them ends whole")
-def step_whole(context):
+def step_complete(context):
     upload, download, work = context.works
-    told = upload.wait()
-    assert told.status == 200, told
-    assert told.headers["Body-Length"] == "500000", told.headers
+    response = upload.wait()
+    assert response.status == 200, response
+    assert response.headers["Body-Length"] == "500000", response.headers
     assert len(download.wait().body) == context.download_bytes
     assert work.wait().status == 200
 
@@ -366,8 +368,8 @@
     del name
     assert context.codes == [0], context.codes
     for work in context.works:
-        assert work.end_s > context.stop_s, "it ended before the stop"
-        # The last bytes may wait in the caller's own buffer.
+        assert work.end_s > context.stop_s, "the work ended before the stop"
+        # The last bytes may still be in the caller's own buffer.
 
 
 @when('the platform goes out and "{name}" is stopped')
@@ -385,7 +387,7 @@
 
 
 @when("the platform is on again")
-def step_on_again(context):
+def step_platform_back(context):
     context.deployment.faults(down=False, vm_list_down=False)
 
 
@@ -407,7 +409,7 @@
     works = []
     while not deployment.journal(name)["busy"]:
         works.append(Background(long_work, address, 1500, f"k{len(works)}"))
-        assert len(works) < 12, "no work came to it"
+        assert len(works) < 12, "no work reached the upstream"
         time.sleep(0.1)
     wait_running(deployment, name)
     deployment.processes.children[home].kill()
--- a/features/steps/ledger_steps.py
+++ b/features/steps/ledger_steps.py
@@ -1,4 +1,4 @@
-"""Steps of ledger.feature: claims of three entries over one service."""
+"""Steps of ledger.feature: claims of three entries in one store."""
 
 import asyncio
 import time
@@ -18,7 +18,7 @@
 
 KEY = "approval-17"
 SERVICE = "approvals"
-LONG_S = 5.0
+LONG_DEADLINE_S = 5.0
 
 
 def run(context, coroutine):
@@ -38,20 +38,22 @@
         return error
 
 
-def claim(context, entry, key=KEY, body=b"body", left_s=LONG_S):
+def claim(context, entry, key=KEY, body=b"body", remaining_s=LONG_DEADLINE_S):
     return outcome_of(
         context.claims[entry].claim(
             service=SERVICE,
             key=key,
             fingerprint=fingerprint(body),
-            deadline_s=time.monotonic() + left_s,
+            deadline_s=time.monotonic() + remaining_s,
         )
     )
 
 
-def take(context, entry, key=KEY, body=b"body", left_s=LONG_S):
+def claim_key(
+    context, entry, key=KEY, body=b"body", remaining_s=LONG_DEADLINE_S
+):
     start_s = time.monotonic()
-    outcome = run(context, claim(context, entry, key, body, left_s))
+    outcome = run(context, claim(context, entry, key, body, remaining_s))
     context.took_s = time.monotonic() - start_s
     context.outcomes[entry] = outcome
     if isinstance(outcome, idempotency.Claim):
@@ -79,8 +81,8 @@
 
 
 def close(context):
-    for one in context.claims.values():
-        one.close()
+    for claims in context.claims.values():
+        claims.close()
     tasks = asyncio.all_tasks(context.loop)
     for task in tasks:
         task.cancel()
@@ -114,22 +116,22 @@
 
 @given("the service is down")
 @when("the service goes down")
-def down(context):
+def service_down(context):
     context.service.down = True
 
 
 @when("the service comes back")
-def back(context):
+def service_back(context):
     context.service.down = False
 
 
 @given("the service takes {delay_s:g} s")
-def slow(context, delay_s):
+def service_slow(context, delay_s):
     context.service.delay_s = delay_s
 
 
 @given("room for {size_bytes:d} bytes of outcomes")
-def room(context, size_bytes):
+def pending_limit(context, size_bytes):
     patch = mock.patch.object(
         outcome_writer, "MAX_PENDING_BODY_BYTES", size_bytes
     )
@@ -139,22 +141,22 @@
 
 @when("entry {entry:w} claims the key")
 def claims_key(context, entry):
-    take(context, entry)
+    claim_key(context, entry)
 
 
 @when("entry {entry:w} claims the key with {left_ms:d} ms left")
 def claims_key_with_left(context, entry, left_ms):
-    take(context, entry, left_s=left_ms / 1000)
+    claim_key(context, entry, remaining_s=left_ms / 1000)
 
 
 @when('entry {entry:w} claims the key "{key}"')
 def claims_other_key(context, entry, key):
-    take(context, entry, key=key)
+    claim_key(context, entry, key=key)
 
 
 @when("entry {entry:w} claims the key for another body")
 def claims_other_body(context, entry):
-    take(context, entry, body=b"another body")
+    claim_key(context, entry, body=b"another body")
 
 
 @when("entries A, B and C claim the key at once")
@@ -162,7 +164,7 @@
     async def all_at_once():
         return await asyncio.gather(*(claim(context, name) for name in "ABC"))
 
-    context.together = run(context, all_at_once())
+    context.simultaneous_outcomes = run(context, all_at_once())
 
 
 @when("entry {entry:w} claims {count:d} keys at once")
@@ -171,23 +173,23 @@
         keys = (f"key {number}" for number in range(count))
         return await asyncio.gather(*(claim(context, entry, k) for k in keys))
 
-    context.together = run(context, all_at_once())
+    context.simultaneous_outcomes = run(context, all_at_once())
 
 
 @when("entry {entry:w} answers all {count:d} claims with {size_bytes:d} bytes")
 def answers_many(context, entry, count, size_bytes):
-    answer = idempotency.recorded_response(
+    response = idempotency.recorded_response(
         status=200, headers=[], body=b"x" * size_bytes
     )
-    for one in context.together[:count]:
-        run(context, context.claims[entry].record_response(one, answer))
+    for key_claim in context.simultaneous_outcomes[:count]:
+        run(context, context.claims[entry].record_response(key_claim, response))
 
 
 @when('the record is moved to the place of the key "{key}"')
 def move_record(context, key):
     (record,) = context.service.records.values()
-    place = idempotency.claim_store_key(service=SERVICE, key=key)
-    context.service.records = {place: record}
+    store_key = idempotency.claim_store_key(service=SERVICE, key=key)
+    context.service.records = {store_key: record}
 
 
 @when("entry {entry:w} does no more")
@@ -205,25 +207,25 @@
 
 @when('entry {entry:w} records the answer {status:d} "{body}"')
 def records(context, entry, status, body):
-    answer = idempotency.recorded_response(
+    response = idempotency.recorded_response(
         status=status,
         headers=[("Content-Type", "text/plain"), ("Server", "x")],
         body=body.encode(),
     )
     run(
         context,
-        context.claims[entry].record_response(context.held[entry], answer),
+        context.claims[entry].record_response(context.held[entry], response),
     )
 
 
 @when("entry {entry:w} records an answer of {size_bytes:d} bytes")
 def records_large(context, entry, size_bytes):
-    answer = idempotency.recorded_response(
+    response = idempotency.recorded_response(
         status=200, headers=[], body=bytes(size_bytes)
     )
     run(
         context,
-        context.claims[entry].record_response(context.held[entry], answer),
+        context.claims[entry].record_response(context.held[entry], response),
     )
 
 
@@ -255,9 +257,9 @@
 
 @when("the outcomes reach the service")
 def outcomes_reach(context):
-    for one in context.claims.values():
-        assert run(context, one.drain(timeout_s=5)), one.counters
-        assert one.counters.pending == 0, one.counters
+    for claims in context.claims.values():
+        assert run(context, claims.drain(timeout_s=5)), claims.counters
+        assert claims.counters.pending == 0, claims.counters
 
 
 @when("the late write arrives")
@@ -291,32 +293,36 @@
 
 @then("the release took less than {limit_s:g} s")
 @then("the refusal took less than {limit_s:g} s")
-def took(context, limit_s):
+def took_less(context, limit_s):
     assert context.took_s < limit_s, context.took_s
 
 
 @then("just one of them holds the claim")
 def one_holds(context):
     held = [
-        one for one in context.together if isinstance(one, idempotency.Claim)
+        outcome
+        for outcome in context.simultaneous_outcomes
+        if isinstance(outcome, idempotency.Claim)
     ]
-    assert len(held) == 1, context.together
+    assert len(held) == 1, context.simultaneous_outcomes
 
 
 @then("the others are refused with {kind:w}")
 def others_refused(context, kind):
-    for one in context.together:
-        if isinstance(one, idempotency.Claim):
+    for outcome in context.simultaneous_outcomes:
+        if isinstance(outcome, idempotency.Claim):
             continue
-        assert one.kind == kind, one
+        assert outcome.kind == kind, outcome
 
 
 @then("all {count:d} claims are held")
 def all_held(context, count):
     held = [
-        one for one in context.together if isinstance(one, idempotency.Claim)
+        outcome
+        for outcome in context.simultaneous_outcomes
+        if isinstance(outcome, idempotency.Claim)
     ]
-    assert len(held) == count, context.together
+    assert len(held) == count, context.simultaneous_outcomes
 
 
 @then("the service was written to {count:d} times")
@@ -335,14 +341,18 @@
 
 
 @then("repeats at entry B get {answers:d} answers and {ran:d} times ran yes")
-def repeats(context, answers, ran):
+def retried_keys(context, answers, ran):
     context.claims["B"].close()
     outcomes = []
     for number in range(answers + ran):
         outcomes.append(run(context, claim(context, "B", f"key {number}")))
-    kept = [
-        one for one in outcomes if isinstance(one, idempotency.RecordedResponse)
+    responses = [
+        outcome
+        for outcome in outcomes
+        if isinstance(outcome, idempotency.RecordedResponse)
     ]
-    errors = [one for one in outcomes if isinstance(one, AlmondstairError)]
-    assert len(kept) == answers, outcomes
-    assert [one.ran for one in errors] == ["yes"] * ran, errors
+    errors = [
+        outcome for outcome in outcomes if isinstance(outcome, AlmondstairError)
+    ]
+    assert len(responses) == answers, outcomes
+    assert [outcome.ran for outcome in errors] == ["yes"] * ran, errors
--- a/features/steps/links_path_steps.py
+++ b/features/steps/links_path_steps.py
@@ -19,11 +19,11 @@
 
 MB = 1_000_000
 CAP_BYTES_PER_S = 4 * MB
-# Framing and headers, which the stand-ins do not count, are part of the cap.
-FRAMING = 1.05
+# The cap includes framing and headers, which the stand-ins do not count.
+FRAMING_FACTOR = 1.05
 BODY_BYTES = MB // 2
 CALLERS = 6
-# Look-ups go first; more of them would leave uploads no slot.
+# Lookups have priority; more callers would leave no slot to uploads.
 FEW_CALLERS = 2
 LONG_MS = 20000
 ZONE = "bkk-1"
@@ -40,12 +40,12 @@
         path=f"/matching/statements/1?answer_bytes={BODY_BYTES}",
         deadline_ms=LONG_MS,
     ),
-    # Interactive, as the upload class goes first where a link is full.
+    # Interactive, as the upload class has priority on a full link.
     "look-ups": LoadRequest(
         path=f"/matching/orders/1?answer_bytes={BODY_BYTES // 2}"
     ),
 }
-UPLOAD = 0
+UPLOAD_INDEX = 0
 
 
 @given("two entries of bkk-1 with links of 4 MB/s")
@@ -67,32 +67,32 @@
         deployment.start()
     context.deployment = deployment
     context.load = ClosedLoop(zone=ZONE)
-    context.add_cleanup(_leave_idle, context)
-    wait_until(lambda: _share_is_whole(context), what="shares")
+    context.add_cleanup(_restore_deployment, context)
+    wait_until(lambda: _has_full_shares(context), what="shares")
     _warm(context)
     context.first_bin = int(time.monotonic() / BIN_S)
 
 
 def _warm(context):
-    """Works until slow start lets the upstreams use enough of their slots."""
+    """Sends requests until slow start opens enough slots of the upstreams."""
     load = ClosedLoop(zone="elsewhere")
     for entry in ("bkk-e0", "bkk-e1", "cnx-e0"):
         address = context.deployment.entries[entry]["caller"]
         request = LoadRequest(path="/matching/orders/1?work_ms=50")
         load.add(entry=entry, address=address, request=request, callers=12)
 
-    def warm():
+    def is_warm():
         for upstream in context.deployment.upstreams:
             if context.deployment.journal(upstream)["busy"] < WARM_SLOTS:
                 return False
         return True
 
-    wait_until(warm, limit_s=10.0, what="warm upstreams")
+    wait_until(is_warm, limit_s=10.0, what="warm upstreams")
     load.stop()
 
 
-def _share_is_whole(context):
-    """Says whether both entries of the zone have their shares again."""
+def _has_full_shares(context):
+    """Returns whether both entries of the zone have their shares."""
     for name in ("bkk-e0", "bkk-e1"):
         status = context.deployment.status(name)
         if status is None:
@@ -105,7 +105,7 @@
     return True
 
 
-def _leave_idle(context):
+def _restore_deployment(context):
     context.load.stop()
     for child in context.deployment.processes.children.values():
         if not child.is_running():
@@ -120,49 +120,52 @@
     context.add_cleanup(deployment.mark, "bkk-e0", "cnx-u0", leaving=False)
 
 
-def _add(context, entry, *ways, callers=CALLERS):
-    for way in ways:
+def _add(context, entry, *load_names, callers=CALLERS):
+    for load_name in load_names:
         context.load.add(
             entry=entry,
             address=context.deployment.entries[entry]["caller"],
-            request=LOADS[way],
+            request=LOADS[load_name],
             callers=callers,
         )
 
 
 def _bins(context, upstream, side):
-    """Bytes of the zone's bodies at an upstream, since the scenario began."""
-    found = {}
-    counted = context.deployment.journal(upstream)["bytes"].get(ZONE, {})
-    for place, both in counted.items():
-        if int(place) >= context.first_bin:
-            found[int(place)] = both[side]
-    return found
+    """Returns the bytes per bin of the zone's bodies at an upstream.
+
+    Bins from before the scenario are left out.
+    """
+    sizes_bytes = {}
+    bins = context.deployment.journal(upstream)["bytes"].get(ZONE, {})
+    for bin_number, uploaded_and_downloaded in bins.items():
+        if int(bin_number) >= context.first_bin:
+            sizes_bytes[int(bin_number)] = uploaded_and_downloaded[side]
+    return sizes_bytes
 
 
 def _read_bins(context, upstream):
-    """Bytes of an upstream's answers as the callers read them.
+    """Returns the bytes of an upstream's answers that callers read, per bin.
 
-    What an upstream writes lies in buffers for a while; an entry passes on
-    to the callers what it has paid for.
+    Bytes that an upstream writes stay in buffers for a while; an entry sends
+    the callers only bytes that it has acquired from the link's share.
     """
     return dict(context.load.read_bytes.get(upstream, {}))
 
 
 def _ends(context):
-    """Counts how the requests ended."""
+    """Returns the number of requests by status and kind of problem."""
     ends = Counter()
     for record in context.load.records:
         ends[(record.status, record.problem.get("kind"))] += 1
     return ends
 
 
-def _moved(bins, *, since_bin):
-    total = 0
-    for place, size_bytes in bins.items():
-        if place >= since_bin:
-            total += size_bytes
-    return total
+def _moved_bytes(bins, *, since_bin):
+    total_bytes = 0
+    for bin_number, size_bytes in bins.items():
+        if bin_number >= since_bin:
+            total_bytes += size_bytes
+    return total_bytes
 
 
 @when("callers of bkk-e0 keep {way} under way for {seconds:g} s")
@@ -179,15 +182,15 @@
 def step_moved(context, way):
     bins = _read_bins(context, "bkk-u0")
     if way == "uploads":
-        bins = _bins(context, "bkk-u0", UPLOAD)
-    first = int(context.since_s / BIN_S) + 1
-    last = int(context.until_s / BIN_S)
-    total = 0
-    for place in range(first, last):
-        total += bins.get(place, 0)
-    part = total / ((last - first) * BIN_S) / CAP_BYTES_PER_S
-    print(f"{way}: {part:.1%} of the cap by one entry of two")
-    assert part >= 0.9, f"{part:.1%}"
+        bins = _bins(context, "bkk-u0", UPLOAD_INDEX)
+    first_bin = int(context.since_s / BIN_S) + 1
+    last_bin = int(context.until_s / BIN_S)
+    total_bytes = 0
+    for bin_number in range(first_bin, last_bin):
+        total_bytes += bins.get(bin_number, 0)
+    fraction = total_bytes / ((last_bin - first_bin) * BIN_S) / CAP_BYTES_PER_S
+    print(f"{way}: {fraction:.1%} of the cap by one entry of two")
+    assert fraction >= 0.9, f"{fraction:.1%}"
 
 
 @given("callers of bkk-e0 and bkk-e1 keep both ways busy")
@@ -225,7 +228,7 @@
 
 @when("the traffic has gone to cnx for {seconds:g} s")
 def step_gone(context, seconds):
-    # Callers whose entry froze wait for it; others come.
+    # Callers of a frozen entry wait for it, so new ones are added.
     _add(context, "bkk-e0", "uploads")
     _add(context, "bkk-e0", "look-ups", callers=FEW_CALLERS)
     context.since_s = time.monotonic()
@@ -245,23 +248,31 @@
 @then("bytes still move to cnx")
 def step_still(context):
     since_bin = int(context.since_s / BIN_S)
-    up = _moved(_bins(context, "cnx-u0", UPLOAD), since_bin=since_bin)
-    down = _moved(_read_bins(context, "cnx-u0"), since_bin=since_bin)
-    # Which way depends on which class gets the slots; no way is a stall.
-    assert up + down > BODY_BYTES, (up, down)
+    up_bytes = _moved_bytes(
+        _bins(context, "cnx-u0", UPLOAD_INDEX), since_bin=since_bin
+    )
+    down_bytes = _moved_bytes(
+        _read_bins(context, "cnx-u0"), since_bin=since_bin
+    )
+    # The direction depends on which class gets the slots; none means a stall.
+    assert up_bytes + down_bytes > BODY_BYTES, (up_bytes, down_bytes)
 
 
 @then("no window of a link was above its cap")
 def step_under(context):
     time.sleep(2 * BIN_S)
-    limit = CAP_BYTES_PER_S * FRAMING * BIN_S * WINDOW_BINS
+    limit_bytes = CAP_BYTES_PER_S * FRAMING_FACTOR * BIN_S * WINDOW_BINS
     for upstream in context.deployment.upstreams:
-        most = largest_window(_bins(context, upstream, UPLOAD))
-        print(f"{upstream}, up: {most / CAP_BYTES_PER_S:.1%} of the cap")
-        assert most <= limit, f"{upstream} got {most} bytes in a window"
-        most = largest_window(_read_bins(context, upstream))
-        print(f"{upstream}, down: {most / CAP_BYTES_PER_S:.1%} of the cap")
-        assert most <= limit, f"callers got {most} bytes in a window"
+        max_bytes = largest_window(_bins(context, upstream, UPLOAD_INDEX))
+        print(f"{upstream}, up: {max_bytes / CAP_BYTES_PER_S:.1%} of the cap")
+        assert max_bytes <= limit_bytes, (
+            f"{upstream} got {max_bytes} bytes in a window"
+        )
+        max_bytes = largest_window(_read_bins(context, upstream))
+        print(f"{upstream}, down: {max_bytes / CAP_BYTES_PER_S:.1%} of the cap")
+        assert max_bytes <= limit_bytes, (
+            f"callers got {max_bytes} bytes in a window"
+        )
 
 
 @when("{count:d} uploads of 4 MB with a deadline of 6 s come to bkk-e0 at once")
@@ -286,7 +297,7 @@
 def step_some(context, limit_s):
     done = context.load.answered()
     refused = context.load.refused(kind="link_full")
-    # Slow start may allow fewer uploads than the link.
+    # Slow start may allow fewer uploads than the link does.
     no_slot = context.load.refused(kind="no_slot")
     ends = _ends(context)
     print(ends)
--- a/features/steps/links_steps.py
+++ b/features/steps/links_steps.py
@@ -1,4 +1,4 @@
-"""Steps of links.feature: the pure core in simulated time."""
+"""Steps of links.feature: link shares in simulated time."""
 
 from behave import given
 from behave import then
@@ -8,8 +8,8 @@
 from features.support.simulated_zone import SimulatedZone
 
 WARM_UP_S = 3.0
-# Allowances and loans are whole bytes per second, so sums are exact; this
-# covers the rounding of floating-point sums only.
+# Allowances and loans are whole bytes per second and add up exactly; this
+# covers only the rounding of floating-point sums.
 ROUNDING_BYTES = 1
 
 FAULTS = {
@@ -44,9 +44,9 @@
     return [processes[name] for name in sorted(processes)]
 
 
-def _run_for(context, length_s):
+def _run_for(context, duration_s):
     context.started_s = context.zone.now_s
-    context.zone.run(until_s=context.zone.now_s + length_s)
+    context.zone.run(until_s=context.zone.now_s + duration_s)
 
 
 @when("one entry is busy for {length_s:d} s and the other idle")
--- a/features/steps/loan_steps.py
+++ b/features/steps/loan_steps.py
@@ -1,4 +1,4 @@
-"""Steps of links.feature that exchange single loans by hand."""
+"""Steps of links.feature that exchange single loans."""
 
 from behave import given
 from behave import then
@@ -6,8 +6,8 @@
 
 from almondstair.core.links import LinkShare
 
-# By then the quiet time of a start is over.
-BEGIN_S = 2.0
+# The quiet period after a start is over by then.
+QUIET_PERIOD_END_S = 2.0
 STEP_S = 0.3
 
 
@@ -27,8 +27,8 @@
     return share
 
 
-def _ask(context):
-    # A request is made only by an entry that had to wait.
+def _next_loan_request(context):
+    # Only an entry that had to wait requests a loan.
     context.borrower.acquire(size_bytes=context.cap, now_s=context.now_s)
     (request,) = context.borrower.next_loan_requests(now_s=context.now_s)
     return request
@@ -39,19 +39,21 @@
     context.cap = cap
     context.lender = _share(context, "a", 1, 0.0)
     context.borrower = _share(context, "b", 2, 0.0)
-    context.now_s = BEGIN_S
+    context.now_s = QUIET_PERIOD_END_S
     context.loans = []
 
 
 @when("the borrower asks and the lender lends")
-def asks_and_lends(context):
-    asks_for(context, context.cap)
+def ask_and_lend_cap(context):
+    ask_and_lend(context, context.cap)
 
 
 @when("the borrower asks for {wanted:d} bytes/s and the lender lends")
-def asks_for(context, wanted):
+def ask_and_lend(context, wanted):
     context.now_s += STEP_S
-    context.request = _ask(context)._replace(wanted_bytes_per_s=wanted)
+    context.request = _next_loan_request(context)._replace(
+        wanted_bytes_per_s=wanted
+    )
     loan = context.lender.lend(request=context.request, now_s=context.now_s)
     assert loan is not None
     context.loans.append(loan)
@@ -60,7 +62,7 @@
 @when("the borrower restarts and asks again")
 def borrower_restarts(context):
     context.borrower = _share(context, "b", 3, context.now_s)
-    request = _ask(context)
+    request = _next_loan_request(context)
     assert request.sequence == context.loans[0].sequence
 
 
