--- a/benchmarks/rolling_restarts.py
+++ b/benchmarks/rolling_restarts.py
@@ -1,9 +1,9 @@
-"""Measures rolling restarts under load: what is cut off, and how long it takes.
+"""Measures rolling restarts under load: failed requests and stop times.
 
-One command: `python -m benchmarks.rolling_restarts`. Five entries in two
-regions; callers that cache look-ups send 100 requests a second, a quarter of
-them keyed, while entries are stopped and started in turn. Prints the exit
-codes, the time of each stop, how the requests ended, and latencies.
+Run: python -m benchmarks.rolling_restarts
+Starts five entries in two regions. Callers that cache lookups send 100 requests
+per second, a quarter of them keyed, while entries are stopped and started in
+turn. Prints exit codes, stop times, the outcomes of the requests and latencies.
 """
 
 import argparse
@@ -12,11 +12,11 @@
 from features.support.deployment import Deployment
 from features.support.deployment import Shape
 from features.support.harness import Processes
-from features.support.leaving import APPROVE
-from features.support.leaving import LOOK_UP
-from features.support.leaving import keys_run_twice
-from features.support.leaving import read_ends
-from features.support.leaving import start_load
+from features.support.leaving_load import APPROVE
+from features.support.leaving_load import LOOK_UP
+from features.support.leaving_load import keys_run_twice
+from features.support.leaving_load import read_load_outcome
+from features.support.leaving_load import start_load
 
 ENTRIES = {"bkk": 3, "cnx": 2}
 UPSTREAMS = {"bkk": 4, "cnx": 2}
@@ -25,7 +25,7 @@
 
 
 def restart(deployment: Deployment, name: str) -> tuple[int, float]:
-    """Restarts one entry; returns its exit code and the time of its stop."""
+    """Restarts one entry; returns its exit code and stop time in seconds."""
     start_s = time.monotonic()
     code = deployment.processes.children[name].terminate()
     stop_s = time.monotonic() - start_s
@@ -35,14 +35,15 @@
 
 
 def report(deployment: Deployment, codes: list[int], stops_s: list[float]):
-    """Prints what came of it."""
-    ends = read_ends(deployment)
+    """Prints the results."""
+    ends = read_load_outcome(deployment)
     total = len(ends.latencies_ms)
     print(f"{len(codes)} restarts, exit codes {sorted(set(codes))}")
     print(f"stop: longest {max(stops_s):.1f} s, shortest {min(stops_s):.1f} s")
     print(
-        f"{total} requests: {ends.answered} answered 200, {ends.later} of them "
-        f"after a refusal as not run; {len(ends.failed)} not"
+        f"{total} requests: {ends.answered} answered 200, "
+        f"{ends.retried} of them after a refusal as not run; "
+        f"{len(ends.failed)} not"
     )
     for record in ends.failed[:5]:
         print("  ", record["class"], record["attempts"])
@@ -52,7 +53,7 @@
     print(f"keys run twice: {len(keys_run_twice(deployment))}")
     for name in deployment.upstreams:
         journal = deployment.journal(name)
-        print(f"{name}: most in flight {journal['max_in_flight']}")
+        print(f"{name}: max in flight {journal['max_in_flight']}")
 
 
 def main() -> None:
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -15,7 +15,7 @@
 from features.support.harness import get
 from features.support.harness import post
 from features.support.harness import wait_until
-from features.support.sendings import Sendings
+from features.support.request_sender import RequestSender
 
 STEP_LIMIT_S = 10.0
 LATE_RUN_WAIT_S = 0.5
@@ -34,7 +34,7 @@
     )
     context.deployment = Deployment(processes=context.processes, shape=shape)
     context.deployment.start()
-    context.sendings = Sendings(deployment=context.deployment)
+    context.sendings = RequestSender(deployment=context.deployment)
     context.by_key = {}
     for entry in context.deployment.entries:
         # The first claim of an entry also requests its lease. After it, the
@@ -281,7 +281,7 @@
 
 @when("its caller leaves")
 def step_leave(context):
-    context.last.leave()
+    context.last.disconnect()
 
 
 @when("upstreams cut their next answer after {size_bytes:d} bytes")
@@ -333,21 +333,21 @@
 @then("the answer is from an upstream")
 def step_from_upstream(context):
     first = _first_response(context)
-    assert first.ran == "yes" and first.status == 200, first.told
+    assert first.ran == "yes" and first.status == 200, first.summary
 
 
 @then("the last answer is from an upstream")
 def step_last_from_upstream(context):
     last = context.last.wait()
-    assert last.ran == "yes" and last.status == 200, last.told
+    assert last.ran == "yes" and last.status == 200, last.summary
 
 
 @then("the last answer is the same as the first")
 def step_same(context):
     last = context.last.wait()
     first = _first_response(context)
-    assert last.status == first.status == 200, last.told
-    assert last.body == first.body, (last.told, first.told)
+    assert last.status == first.status == 200, last.summary
+    assert last.body == first.body, (last.summary, first.summary)
     for name in ("Content-Type", "Content-Length"):
         assert last.headers[name] == first.headers[name], name
 
@@ -355,20 +355,20 @@
 @then("the answer is {kind:w} with ran {ran:w}")
 def step_answer(context, kind, ran):
     first = _first_response(context)
-    assert (first.kind, first.ran) == (kind, ran), first.told
+    assert (first.kind, first.ran) == (kind, ran), first.summary
 
 
 @then("the last answer is {kind:w} with ran {ran:w}")
 def step_last_answer(context, kind, ran):
     last = context.last.wait()
-    assert (last.kind, last.ran) == (kind, ran), last.told
+    assert (last.kind, last.ran) == (kind, ran), last.summary
 
 
 @then("each answer is {kind:w} with ran {ran:w} within {limit_ms:d} ms")
 def step_each(context, kind, ran, limit_ms):
     for sent in context.sendings.all:
         sent.wait()
-        assert (sent.kind, sent.ran) == (kind, ran), sent.told
+        assert (sent.kind, sent.ran) == (kind, ran), sent.summary
         assert sent.latency_s < limit_ms / 1000, sent.latency_s
 
 
@@ -376,25 +376,25 @@
 def step_retry_after(context):
     for sent in context.sendings.all:
         sent.wait()
-        assert int(sent.headers["Retry-After"]) > 0, sent.told
+        assert int(sent.headers["Retry-After"]) > 0, sent.summary
 
 
 @then("the answer may have run")
 def step_may_have_run(context):
     first = _first_response(context)
-    assert first.ran in ("unknown", "yes"), first.told
+    assert first.ran in ("unknown", "yes"), first.summary
 
 
 @then("the last answer was not run")
 def step_was_not_run(context):
     last = context.last.wait()
-    assert last.ran == "no", last.told
+    assert last.ran == "no", last.summary
 
 
 @then("the last answer is cut")
 def step_is_cut(context):
     last = context.last.wait()
-    assert (last.status, last.ran) == (0, "unknown"), last.told
+    assert (last.status, last.ran) == (0, "unknown"), last.summary
 
 
 def _retry_until(context, key, region, is_wanted):
@@ -405,8 +405,8 @@
         sent = _send(context, key, region, query=query).wait()
         if is_wanted(sent):
             return
-        assert sent.status in (409, 503), sent.told
-        assert time.monotonic() < end_s, sent.told
+        assert sent.status in (409, 503), sent.summary
+        assert time.monotonic() < end_s, sent.summary
         time.sleep(RETRY_INTERVAL_S)
 
 
@@ -457,7 +457,11 @@
 def step_agrees(context):
     for sent in context.sendings.all:
         sent.wait()
-    assert not context.sendings.faults_found(), context.sendings.faults_found()
+    assert not context.sendings.find_violations(), (
+        context.sendings.find_violations()
+    )
     # A request that was still queued would have run by now.
     time.sleep(LATE_RUN_WAIT_S)
-    assert not context.sendings.faults_found(), context.sendings.faults_found()
+    assert not context.sendings.find_violations(), (
+        context.sendings.find_violations()
+    )
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -57,7 +57,7 @@
         peers=mock.Mock(),
         clock=lambda: context.now_s,
         own_detail=StatusDetail,
-        companions=lambda name: (),
+        piggybacked_messages=lambda name: (),
         interval_ms=100,
         silence_limit_ms=2000,
     )
@@ -67,7 +67,7 @@
     context.parts = ControlParts(**parts)
 
     def record_marks(**_):
-        call = context.parts.keeper.slots.set_leaving.call_args
+        call = context.parts.slot_allocator.slots.set_leaving.call_args
         context.marked_at_report = call.kwargs["names"] if call else ()
 
     context.parts.homes.record_report.side_effect = record_marks
@@ -113,7 +113,7 @@
     # An entry that has just left the table hands over its home roles in such
     # a report, so it is accepted, but only after the marks of leaving
     # upstreams are known.
-    assert context.parts.homes.heard.called
+    assert context.parts.homes.record_report.called
     names = context.marked_at_report
     assert _MARKED_UPSTREAM in names, names
 
@@ -122,12 +122,12 @@
 def step_peer_leaves(context):
     context.control._table = _table(as_of_s=0.0, is_unavailable=True)
     context.control.on_table(context.membership.table, True)
-    context.control.set_leaving()
+    context.control.update_leaving_upstreams()
 
 
 @then("the entry tells others that it leaves")
 def step_reports_leaving(context):
-    context.parts.keeper.slots.status.return_value = ()
+    context.parts.slot_allocator.slots.status.return_value = ()
     context.control._configuration.configuration = mock.Mock(
         upstreams={_MARKED_UPSTREAM: mock.Mock()}, marks=mock.Mock(leaving=())
     )
@@ -155,12 +155,12 @@
 def step_read_after(context):
     after_s = time.monotonic() + 1.0
     context.control._table = _table(as_of_s=after_s, is_unavailable=True)
-    context.control.set_leaving()
+    context.control.update_leaving_upstreams()
 
 
 @then("the upstream takes {what} work here")
 def step_accepts_work(context, what):
-    call = context.parts.keeper.slots.set_leaving.call_args
+    call = context.parts.slot_allocator.slots.set_leaving.call_args
     assert (_MARKED_UPSTREAM in call.kwargs["names"]) == (what == "no new"), (
         call
     )
--- a/features/steps/heartbeat_steps.py
+++ b/features/steps/heartbeat_steps.py
@@ -26,7 +26,7 @@
 from almondstair.messages import Heartbeat
 from almondstair.peers import Peers
 from features.support.entry_rows import row
-from features.support.heartbeat_entries import Steps
+from features.support.heartbeat_entries import HeartbeatSimulation
 from features.support.heartbeat_entries import oldest_age_s
 
 SILENCE_LIMIT_S = 1.5
@@ -78,7 +78,7 @@
     "{count:d} entries of one zone exchange heartbeats for {seconds:d} seconds"
 )
 def step_exchange(context, count, seconds):
-    context.steps = Steps(count, 1)
+    context.steps = HeartbeatSimulation(count, 1)
     context.steps.run(seconds)
     context.sent_per_s = context.steps.sent_bytes / count / seconds
 
@@ -127,11 +127,11 @@
         peers=context.peers,
         clock=lambda: context.now_s,
         own_detail=StatusDetail,
-        companions=lambda name: (),
+        piggybacked_messages=lambda name: (),
         interval_ms=250,
         silence_limit_ms=1500,
     )
-    heartbeats.refresh_table()
+    heartbeats.update_receivers()
     return membership, heartbeats
 
 
@@ -221,11 +221,11 @@
         peers=context.peers,
         clock=lambda: context.now_s,
         own_detail=lambda: StatusDetail((load,), (), (context.mark,)),
-        companions=lambda name: (),
+        piggybacked_messages=lambda name: (),
         interval_ms=int(INTERVAL_S * 1000),
         silence_limit_ms=int(SILENCE_LIMIT_S * 1000),
     )
-    heartbeats.refresh_table()
+    heartbeats.update_receivers()
     for _ in range(int(seconds / INTERVAL_S)):
         context.now_s += INTERVAL_S
         heartbeats.send_round()
@@ -268,7 +268,7 @@
             peers=self.peers,
             clock=time.monotonic,
             own_detail=StatusDetail,
-            companions=lambda name: (),
+            piggybacked_messages=lambda name: (),
             interval_ms=50,
             silence_limit_ms=1500,
         )
@@ -276,7 +276,7 @@
     def start(self):
         """Opens the sockets and starts to send heartbeats."""
         self.peers.start()
-        self.heartbeats.refresh_table()
+        self.heartbeats.update_receivers()
         self.heartbeats.start()
 
     def stop(self):
--- a/soak/run.py
+++ b/soak/run.py
@@ -11,9 +11,9 @@
 
 from emulator.deployment import Deployment
 from emulator.deployment import Service
-from emulator.proxy import Harm
-from emulator.proxy import HarmfulProxy
-from emulator.world import Ran
+from emulator.proxy import FaultProxy
+from emulator.proxy import ProxyFault
+from emulator.world import UpstreamRun
 from emulator.world import World
 from soak import checks
 from soak import plan
@@ -22,7 +22,7 @@
 from soak.checks import Violation
 from soak.loop_watch import LoopWatch
 from soak.loop_watch import Stall
-from soak.plan import Kind
+from soak.plan import FaultKind
 from soak.plan import Step
 
 # Longest time from the acknowledgement of a change until it takes effect, with
@@ -148,12 +148,12 @@
         seconds: float,
         directory: Path,
         size: Size,
-        kinds: Sequence[Kind] = tuple(Kind),
+        kinds: Sequence[FaultKind] = tuple(FaultKind),
     ) -> None:
         """Makes the plan and starts nothing."""
         self._seed = seed
         self._seconds = seconds
-        self._steps = plan.make(seed, seconds=seconds, kinds=kinds)
+        self._steps = plan.make_plan(seed, seconds=seconds, kinds=kinds)
         self._world = World(deployment=size.deployment(), directory=directory)
         self._callers = [
             Caller(rng=random.Random(seed * 1000 + number))
@@ -188,7 +188,7 @@
             work.append(self._run_steps(began_s))
             await asyncio.gather(*work)
             for name in self._world.upstreams:
-                await self._world.collect(name)
+                await self._world.collect_runs(name)
         finally:
             watching.cancel()
             await self._world.end()
@@ -204,7 +204,7 @@
             await asyncio.sleep(0.5)
             for name in list(self._world.upstreams):
                 if name not in self._claimed:
-                    await self._world.collect(name)
+                    await self._world.collect_runs(name)
             self._check_alive()
 
     def _check_alive(self) -> None:
@@ -226,28 +226,32 @@
         await asyncio.gather(*tasks)
 
     async def _apply_step(self, step: Step) -> None:
-        actions: dict[Kind, Callable[[Step], Awaitable[None]]] = {
-            Kind.STORE: self._store,
-            Kind.STORE_PROXY: self._store_proxy,
-            Kind.UPSTREAM_PROXY: self._upstream_proxy,
-            Kind.UPSTREAM_FAULT: self._upstream_fault,
-            Kind.UPSTREAM_KILL: self._upstream_kill,
-            Kind.UPSTREAM_DRAIN: self._upstream_drain,
-            Kind.UPSTREAM_FREEZE: self._upstream_freeze,
-            Kind.GATEWAY_KILL: self._gateway_kill,
-            Kind.GATEWAY_STOP: self._gateway_stop,
-            Kind.GATEWAY_FREEZE: self._gateway_freeze,
-            Kind.GATEWAY_HANGUP: self._gateway_hangup,
-            Kind.KILL_ALL: self._kill_all,
-            Kind.CONFIGURE: self._configure,
-            Kind.EVACUATE: self._evacuate,
-            Kind.HISTORY: self._history,
-            Kind.UPSTREAM_RESTART: self._upstream_restart,
-            Kind.FOREIGN_WRITER: self._foreign_writer,
+        actions: dict[FaultKind, Callable[[Step], Awaitable[None]]] = {
+            FaultKind.STORE: self._store,
+            FaultKind.STORE_PROXY: self._store_proxy,
+            FaultKind.UPSTREAM_PROXY: self._upstream_proxy,
+            FaultKind.UPSTREAM_FAULT: self._upstream_fault,
+            FaultKind.UPSTREAM_KILL: self._upstream_kill,
+            FaultKind.UPSTREAM_DRAIN: self._upstream_drain,
+            FaultKind.UPSTREAM_FREEZE: self._upstream_freeze,
+            FaultKind.GATEWAY_KILL: self._gateway_kill,
+            FaultKind.GATEWAY_STOP: self._gateway_stop,
+            FaultKind.GATEWAY_FREEZE: self._gateway_freeze,
+            FaultKind.GATEWAY_HANGUP: self._gateway_hangup,
+            FaultKind.KILL_ALL: self._kill_all,
+            FaultKind.CONFIGURE: self._configure,
+            FaultKind.EVACUATE: self._evacuate,
+            FaultKind.HISTORY: self._history,
+            FaultKind.UPSTREAM_RESTART: self._upstream_restart,
+            FaultKind.FOREIGN_WRITER: self._foreign_writer,
         }
         began_s = time.monotonic()
         await actions[step.kind](step)
-        planned = (Kind.GATEWAY_STOP, Kind.CONFIGURE, Kind.GATEWAY_HANGUP)
+        planned = (
+            FaultKind.GATEWAY_STOP,
+            FaultKind.CONFIGURE,
+            FaultKind.GATEWAY_HANGUP,
+        )
         if step.kind not in planned:
             self._disturbance_spans.append(
                 Span(str(step.kind), began_s, time.monotonic())
@@ -271,9 +275,9 @@
             faults.update(lose_writes=2, late_s=0.8)
         else:
             faults["mode"] = step.variant
-        await self._world.faults(self._world.store, "/faults", **faults)
+        await self._world.set_faults(self._world.store, "/faults", **faults)
         await asyncio.sleep(step.duration_s)
-        await self._world.faults(self._world.store, "/faults")
+        await self._world.set_faults(self._world.store, "/faults")
 
     async def _store_proxy(self, step: Step) -> None:
         proxy = self._world.store_proxies[self._gateway(step)]
@@ -284,10 +288,10 @@
             self._world.proxies[self._upstream(step)], step
         )
 
-    async def _apply_proxy_fault(self, proxy: HarmfulProxy, step: Step) -> None:
-        proxy.set_harm(Harm(step.variant), delay_s=0.2)
+    async def _apply_proxy_fault(self, proxy: FaultProxy, step: Step) -> None:
+        proxy.set_fault(ProxyFault(step.variant), delay_s=0.2)
         await asyncio.sleep(step.duration_s)
-        proxy.set_harm(Harm.NONE)
+        proxy.set_fault(ProxyFault.NONE)
         if step.variant in ("silence", "one_way"):
             # Bytes were dropped, so the connections are unusable.
             proxy.reset_all()
@@ -297,9 +301,9 @@
         faults: dict[str, object] = {"every": 4, "how": step.variant}
         if step.variant == "slow":
             faults = {"slower": 8.0}
-        await self._world.faults(address, "/emulator/faults", **faults)
+        await self._world.set_faults(address, "/emulator/faults", **faults)
         await asyncio.sleep(step.duration_s)
-        await self._world.faults(address, "/emulator/faults")
+        await self._world.set_faults(address, "/emulator/faults")
 
     async def _claim(self, name: str) -> bool:
         """Claims a process, so that two faults do not both restart it."""
@@ -331,7 +335,7 @@
         name = self._upstream(step)
         if not await self._claim(name):
             return
-        await self._world.collect(name)
+        await self._world.collect_runs(name)
         proc = self._world.procs[name]
         proc.signal(signal.SIGKILL)
         await proc.wait()
@@ -354,7 +358,7 @@
         proc.signal(signal.SIGTERM)
         signalled_s = time.monotonic()
         await asyncio.sleep(DRAIN_EXIT_S - 1.0)
-        await self._world.collect(name)
+        await self._world.collect_runs(name)
         await proc.wait()
         self._no_traffic_spans.append(
             Span(name, signalled_s + DRAIN_S, time.monotonic())
@@ -449,7 +453,7 @@
         self._claimed.discard(zone)
 
     async def _history(self, step: Step) -> None:
-        await self._world.forget_history()
+        await self._world.drop_store_history()
 
     # Checks.
 
@@ -468,12 +472,12 @@
         gateway_of: dict[str, str] = {}
         for caller in self._callers:
             gateway_of.update(caller.gateway_by_request)
-        ran = list(self._world.ran.values())
+        ran = list(self._world.upstream_runs.values())
         self._violations += checks.check_answers(sent)
-        self._violations += checks.check_once(sent, ran)
+        self._violations += checks.check_at_most_once(sent, ran)
         self._violations += checks.check_refusals(sent, ran)
         self._violations += checks.check_cold(ran, self._cold_spans)
-        self._violations += checks.check_silent(
+        self._violations += checks.check_no_traffic(
             [run for run in ran if not self._is_excused(run)],
             self._no_traffic_spans,
         )
@@ -485,7 +489,7 @@
             at_gateway = [
                 each for each in sent if gateway_of[each.request] == span.name
             ]
-            self._violations += checks.check_stops(
+            self._violations += checks.check_graceful_stops(
                 self._keep_executed(at_gateway, ran), [span]
             )
         calm = [each for each in sent if not self._is_disturbed_at(each.sent_s)]
@@ -494,13 +498,13 @@
             "the end", self._end_s - FINAL_SPAN_S, self._end_s - FINAL_MARGIN_S
         )
         self._violations += checks.check_recovery(
-            sent, [final_span], least_share=MIN_SERVED_SHARE
+            sent, [final_span], min_share=MIN_SERVED_SHARE
         )
 
-    def _is_excused(self, run: Ran) -> bool:
+    def _is_excused(self, run: UpstreamRun) -> bool:
         """Returns whether a disturbance near a run suspends the time bounds."""
         for span in self._disturbance_spans:
-            if span.name in (Kind.UPSTREAM_DRAIN, Kind.EVACUATE):
+            if span.name in (FaultKind.UPSTREAM_DRAIN, FaultKind.EVACUATE):
                 continue
             if (
                 span.from_s - DISTURBANCE_MARGIN_S
@@ -512,8 +516,8 @@
 
     @staticmethod
     def _keep_executed(
-        sent: list[checks.Sent], ran: list[Ran]
-    ) -> list[checks.Sent]:
+        sent: list[checks.SentRequest], ran: list[UpstreamRun]
+    ) -> list[checks.SentRequest]:
         """Keeps requests that an upstream ran, since those were surely read."""
         ran_ids = {run.request for run in ran}
         return [each for each in sent if each.request in ran_ids]
@@ -538,5 +542,5 @@
             steps=self._steps,
             violations=self._violations,
             outcomes=outcomes,
-            stalls=self._loop_watch.pauses,
+            stalls=self._loop_watch.stalls,
         )
