--- a/features/steps/lookup_steps.py
+++ b/features/steps/lookup_steps.py
@@ -1,4 +1,4 @@
-"""Steps of lookup.feature: look-up order and the table of client blocks."""
+"""Steps of lookup.feature: lookup order and the table of client blocks."""
 
 import random
 
@@ -53,33 +53,37 @@
 
 @then("{count:d} blocks spread over all entries of {zone}")
 def blocks_spread(context, count, zone):
-    firsts = {}
+    block_counts = {}
     for number in range(count):
         entry = context.lookup_table.ordered_entries(block=number.to_bytes(3))[
             0
         ]
         assert entry.availability_zone == zone
-        firsts[entry.name] = firsts.get(entry.name, 0) + 1
-    in_zone = 0
+        block_counts[entry.name] = block_counts.get(entry.name, 0) + 1
+    entries_in_zone = 0
     for entry in context.entries:
-        in_zone += entry.availability_zone == zone
-    assert len(firsts) == in_zone
-    # Four standard deviations of a fair draw.
-    fair = count / in_zone
-    assert min(firsts.values()) > fair - 4 * fair**0.5, firsts
-    assert max(firsts.values()) < fair + 4 * fair**0.5, firsts
+        entries_in_zone += entry.availability_zone == zone
+    assert len(block_counts) == entries_in_zone
+    # Allows four standard deviations of a uniform spread.
+    expected_count = count / entries_in_zone
+    assert (
+        min(block_counts.values()) > expected_count - 4 * expected_count**0.5
+    ), block_counts
+    assert (
+        max(block_counts.values()) < expected_count + 4 * expected_count**0.5
+    ), block_counts
 
 
 @then("without one entry only the blocks that used it change")
-def little_change(context):
-    gone = context.entries[0]
-    smaller = _lookup_table(context.entries[1:])
+def only_affected_blocks_change(context):
+    removed_entry = context.entries[0]
+    reduced_table = _lookup_table(context.entries[1:])
     for number in range(1000):
         block = number.to_bytes(3)
         before = context.lookup_table.ordered_entries(block=block)
-        if gone in before:
+        if removed_entry in before:
             continue
-        assert smaller.ordered_entries(block=block) == before
+        assert reduced_table.ordered_entries(block=block) == before
 
 
 @then('the block of "{address}" is that of "{other}"')
@@ -94,12 +98,12 @@
 
 @given("a table of {count:d} client blocks")
 def block_table(context, count):
-    draw = random.Random(1)
+    generator = random.Random(1)
     context.sites = {}
     while len(context.sites) < count:
-        width = draw.choice((3, 6))
-        block = draw.randbytes(width)
-        context.sites[block] = draw.randrange(130)
+        width = generator.choice((3, 6))
+        block = generator.randbytes(width)
+        context.sites[block] = generator.randrange(130)
     rows = []
     for block, site in context.sites.items():
         rows.append(BlockSite(block, site))
@@ -119,15 +123,15 @@
 
 @then("blocks that are not in it have no site")
 def blocks_missing(context):
-    draw = random.Random(2)
+    generator = random.Random(2)
     for _ in range(1000):
-        block = draw.randbytes(draw.choice((3, 6)))
+        block = generator.randbytes(generator.choice((3, 6)))
         found = context.blocks.site(block=block)
         assert found == context.sites.get(block), block
 
 
 @then("its shards are below {limit_bytes:d} bytes and give the same table")
-def shards_same(context, limit_bytes):
+def shards_give_same_table(context, limit_bytes):
     values = context.blocks.shards()
     assert len(values) > 1
     for value in values:
@@ -138,10 +142,10 @@
 
 
 @then("a table with a shard missing is refused")
-def shard_missing(context):
+def missing_shard_refused(context):
     try:
         table_from_shards(values=context.blocks.shards()[1:])
     except AlmondstairError as error:
         assert error.kind == "configuration_invalid"
         return
-    raise AssertionError("a table with a gap was taken")
+    raise AssertionError("a table with a missing shard was accepted")
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps of membership.feature: the entry table, who is heard, who leaves."""
+"""Steps of membership.feature: entry table, heartbeats, leaving entries."""
 
 import asyncio
 
@@ -20,17 +20,17 @@
 SILENCE_LIMIT_S = 1.5
 
 
-def names_of(text):
+def split_names(text):
     return [name.strip() for name in text.split(",") if name.strip()]
 
 
-def table_of(names, epoch):
+def make_table(names, epoch):
     return EntryTable(epoch, tuple(row(name) for name in names))
 
 
-def heard(context, name, **changes):
+def record_heartbeat(context, name, **changes):
     context.sequence += 1
-    word = ReceivedHeartbeat(
+    heartbeat = ReceivedHeartbeat(
         name=name,
         incarnation=1,
         sequence=context.sequence,
@@ -40,15 +40,15 @@
         finished=False,
         heard_s=context.now_s,
     )
-    return context.membership.record_heartbeat(word._replace(**changes))
+    return context.membership.record_heartbeat(heartbeat._replace(**changes))
 
 
-def pass_time(context, seconds, *, silent=()):
+def advance_time(context, seconds, *, silent=()):
     for _ in range(int(seconds * 2)):
         context.now_s += 0.5
         for name in context.membership.table.names():
             if name not in silent and name != "a":
-                heard(context, name)
+                record_heartbeat(context, name)
 
 
 @given('entries "{names}" in the entry table, all heard')
@@ -58,12 +58,12 @@
     context.membership = Membership(
         own=row("a"), silence_limit_s=SILENCE_LIMIT_S
     )
-    table = table_of(names_of(names), 1)
+    table = make_table(split_names(names), 1)
     context.membership.replace_table(table=table, now_s=context.now_s)
     context.platform = MemoryPlatform(faulty_key="almondstair/entries")
     context.store = EntryTableStore(service=context.platform)
     asyncio.run(context.store.change(plan=lambda _: table))
-    pass_time(context, 10)
+    advance_time(context, 10)
 
 
 @given("{count:d} entries in the entry table, all heard")
@@ -74,35 +74,35 @@
 
 @given('entry "{name}" registers')
 def step_registers(context, name):
-    step_registers_unheard(context, name)
-    heard(context, name)
+    step_registers_silently(context, name)
+    record_heartbeat(context, name)
 
 
 @given('entry "{name}" registers, and no heartbeat of it came yet')
-def step_registers_unheard(context, name):
+def step_registers_silently(context, name):
     table = context.membership.table
-    newcomer = Membership(own=row(name), silence_limit_s=SILENCE_LIMIT_S)
-    planned = TablePlanner(membership=newcomer).plan_registration(table=table)
+    new_member = Membership(own=row(name), silence_limit_s=SILENCE_LIMIT_S)
+    planned = TablePlanner(membership=new_member).plan_registration(table=table)
     context.membership.replace_table(table=planned, now_s=context.now_s)
 
 
 @when('"{names}" is not heard for {seconds:d} seconds')
 def step_silent(context, names, seconds):
-    pass_time(context, seconds, silent=names_of(names))
+    advance_time(context, seconds, silent=split_names(names))
 
 
 @when('"{name}" is heard again')
 def step_heard_again(context, name):
     context.now_s += 0.5
-    heard(context, name)
+    record_heartbeat(context, name)
 
 
 @when('"{name}" is heard on epoch {epoch:d}')
 def step_heard_epoch(context, name, epoch):
-    heard(context, name, epoch=epoch)
+    record_heartbeat(context, name, epoch=epoch)
 
 
-def read_list(context, names, age_s, leaving=()):
+def record_listing(context, names, age_s, leaving=()):
     context.now_s += 0.5
     listing = VmStatusReport(
         frozenset(names), frozenset(leaving), context.now_s - age_s
@@ -113,17 +113,17 @@
 @when('the VM list holds "{names}", {age:d} second old')
 @when('the VM list holds "{names}", {age:d} seconds old')
 def step_list(context, names, age):
-    read_list(context, names_of(names), age)
+    record_listing(context, split_names(names), age)
 
 
 @when('the VM list holds "", {age:d} seconds old')
 def step_empty_list(context, age):
-    read_list(context, [], age)
+    record_listing(context, [], age)
 
 
 @when('the VM list has "{name}" as leaving')
 def step_list_leaving(context, name):
-    read_list(context, ["a", "b", "c"], 0, leaving=[name])
+    record_listing(context, ["a", "b", "c"], 0, leaving=[name])
 
 
 @when('the operators mark "{name}" as leaving')
@@ -133,20 +133,20 @@
 
 @when('"{name}" says that it finished leaving')
 def step_finished(context, name):
-    heard(context, name, leaving=True, finished=True)
+    record_heartbeat(context, name, leaving=True, finished=True)
 
 
 @when('"{name}" says that it is leaving')
 def step_leaving(context, name):
-    heard(context, name, leaving=True)
+    record_heartbeat(context, name, leaving=True)
 
 
-def pass_time_relayed(context, name, seconds, near_names):
+def advance_time_relayed(context, name, seconds, near_names):
     context.membership.set_silence_limits(
         near_names=frozenset(near_names), near_s=2.0, far_s=25.0
     )
     for _ in range(seconds):
-        pass_time(context, 1, silent=[name])
+        advance_time(context, 1, silent=[name])
         context.membership.record_relayed(
             name=name,
             heard_s=context.now_s - 0.5,
@@ -155,40 +155,42 @@
 
 
 @when('"{name}" is heard through digests only for {seconds:d} seconds')
-def step_heard_far(context, name, seconds):
-    pass_time_relayed(context, name, seconds, ["c"])
+def step_digests_only(context, name, seconds):
+    advance_time_relayed(context, name, seconds, ["c"])
 
 
 @when(
     '"{name}", of the same group, is heard through relays for {seconds:d} '
     "seconds"
 )
-def step_heard_relayed(context, name, seconds):
-    pass_time_relayed(context, name, seconds, ["b", "c"])
+def step_relayed_same_group(context, name, seconds):
+    advance_time_relayed(context, name, seconds, ["b", "c"])
 
 
 @when('"{name}" restarts and its last frame is read after the new first')
 def step_restart(context, name):
-    heard(context, name, leaving=True, finished=False)
+    record_heartbeat(context, name, leaving=True, finished=False)
     step_restarted(context, name)
-    heard(context, name, incarnation=2, sequence=1)
+    record_heartbeat(context, name, incarnation=2, sequence=1)
     context.now_s += 0.1
-    heard(context, name, leaving=True, finished=True)
+    record_heartbeat(context, name, leaving=True, finished=True)
 
 
 @when('"{name}" restarts and registers')
 def step_restarted(context, name):
-    newcomer = Membership(
+    new_member = Membership(
         own=row(name, incarnation=2), silence_limit_s=SILENCE_LIMIT_S
     )
-    planned = TablePlanner(membership=newcomer).plan_registration(
+    planned = TablePlanner(membership=new_member).plan_registration(
         table=context.membership.table
     )
-    assert not newcomer.is_registered
-    newcomer.replace_table(table=context.membership.table, now_s=context.now_s)
-    assert not newcomer.is_registered
-    newcomer.replace_table(table=planned, now_s=context.now_s)
-    assert newcomer.is_registered
+    assert not new_member.is_registered
+    new_member.replace_table(
+        table=context.membership.table, now_s=context.now_s
+    )
+    assert not new_member.is_registered
+    new_member.replace_table(table=planned, now_s=context.now_s)
+    assert new_member.is_registered
     context.membership.replace_table(table=planned, now_s=context.now_s)
 
 
@@ -203,7 +205,7 @@
         entry.name
         for entry in context.membership.live_entries(now_s=context.now_s)
     ]
-    assert live == names_of(names), live
+    assert live == split_names(names), live
 
 
 @then('"a" plans no change')
@@ -234,26 +236,28 @@
         table=context.membership.table
     )
     assert planned is not None
-    assert list(planned.names()) == names_of(names), planned
+    assert list(planned.names()) == split_names(names), planned
     assert planned.epoch == epoch, planned
     assert planned.lost_epoch == lost_epoch, planned
 
 
 @given("the platform is out of reach")
-def step_out(context):
+def step_platform_down(context):
     context.platform.down = True
 
 
 @given("the platform loses the answer of the next change")
-def step_lost(context):
+def step_answer_lost(context):
     context.platform.faults = [Fault.ANSWER_LOST]
 
 
 async def register(context, name):
-    newcomer = Membership(own=row(name), silence_limit_s=SILENCE_LIMIT_S)
+    new_member = Membership(own=row(name), silence_limit_s=SILENCE_LIMIT_S)
 
     def plan(table):
-        return TablePlanner(membership=newcomer).plan_registration(table=table)
+        return TablePlanner(membership=new_member).plan_registration(
+            table=table
+        )
 
     return await context.store.change(plan=plan)
 
@@ -285,25 +289,25 @@
 @then('the platform\'s table is "{names}" with epoch {epoch:d}')
 def step_platform_table(context, names, epoch):
     table = asyncio.run(context.store.read())
-    assert sorted(table.names()) == names_of(names), table
+    assert sorted(table.names()) == split_names(names), table
     assert table.epoch == epoch, table
 
 
 @then('the entry table has epoch {epoch:d} and "{names}"')
 def step_table(context, epoch, names):
     table = context.membership.table
-    assert list(table.names()) == names_of(names), table
+    assert list(table.names()) == split_names(names), table
     assert table.epoch == epoch, table
 
 
 @when('another VM registers as "{name}"')
 def step_name_taken(context, name):
-    stranger = Membership(
+    other_vm = Membership(
         own=row(name, port=9, incarnation=2), silence_limit_s=SILENCE_LIMIT_S
     )
     context.error = None
     try:
-        TablePlanner(membership=stranger).plan_registration(
+        TablePlanner(membership=other_vm).plan_registration(
             table=context.membership.table
         )
     except ValueError as error:
@@ -316,8 +320,8 @@
 
 
 @when('the platform serves the table "{names}" with epoch {epoch:d}')
-def step_serves(context, names, epoch):
-    table = table_of(names_of(names), epoch)
+def step_stale_table(context, names, epoch):
+    table = make_table(split_names(names), epoch)
     applied = context.membership.replace_table(table=table, now_s=context.now_s)
     assert not applied
 
@@ -328,9 +332,9 @@
 
 
 @then("their turns to write run from 0 to {last:d}")
-def step_turns(context, last):
+def step_planner_ranks(context, last):
     table = context.membership.table
-    turns = []
+    ranks = []
     for entry in table.entries:
         member = Membership(own=entry, silence_limit_s=SILENCE_LIMIT_S)
         member.replace_table(table=table, now_s=0.0)
@@ -338,8 +342,8 @@
             member.record_relayed(
                 name=other.name, heard_s=0.0, configuration_version=1
             )
-        turns.append(member.planner_rank(now_s=0.0))
-    assert sorted(turns) == list(range(last + 1)), turns
+        ranks.append(member.planner_rank(now_s=0.0))
+    assert sorted(ranks) == list(range(last + 1)), ranks
 
 
 @then(
@@ -350,7 +354,7 @@
         table=EntryTable(epoch), now_s=context.now_s
     )
     assert base is not None
-    assert set(base.names()) == set(names_of(names)), base
+    assert set(base.names()) == set(split_names(names)), base
     assert base.epoch == context.membership.table.epoch
 
 
--- a/features/steps/not_run_steps.py
+++ b/features/steps/not_run_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the word "not run", against real processes."""
+"""Steps for requests reported as not run, against real processes."""
 
 import itertools
 import threading
@@ -14,46 +14,47 @@
 
 STEP_LIMIT_S = 10.0
 DEADLINES_MS = (60, 200, 1000)
-KEYED_PART = 4
-TURN_S = 0.5
-MOST_ROUNDS = 5
+KEYED_INTERVAL = 4
+SWITCH_INTERVAL_S = 0.5
+MAX_ROUNDS = 5
 
 
-def _answered(sending):
-    return sending.ran == "yes" and sending.status == 200
+def _is_answered(request):
+    return request.ran == "yes" and request.status == 200
 
 
 @given(
     "{count:d} look-ups through {region:w} and through {other:w}, which leave "
     "room for retries"
 )
-def step_first_tries(context, count, region, other):
-    """Retries are a fraction of first tries; so there must be some."""
+def step_first_attempts(context, count, region, other):
+    """Sends first attempts, because the retry budget is a fraction of them."""
     for _ in range(count):
         for name in (region, other):
             context.sendings.look_up(entry=f"{name}-e0").wait()
 
 
 @when("the slot of {upstream:S} is taken for {work_ms:d} ms")
-def step_take_slot(context, upstream, work_ms):
+def step_occupy_slot(context, upstream, work_ms):
     region = upstream.partition("-")[0]
     query = f"work_ms={work_ms}"
-    sendings = []
+    requests = []
 
     def is_busy():
-        # An upstream that has just been found well takes little at first.
-        if not sendings or sendings[-1].body:
-            sending = context.sendings.look_up(
+        # An upstream that has just become healthy accepts few requests at
+        # first, so another is sent when the last one got an answer.
+        if not requests or requests[-1].body:
+            request = context.sendings.look_up(
                 entry=f"{region}-e0", query=query
             )
-            sendings.append(sending)
+            requests.append(request)
         return context.deployment.journal(upstream)["busy"]
 
     wait_until(is_busy, limit_s=STEP_LIMIT_S, what="a busy slot")
 
 
 @when("{upstream:S} cuts its next answer")
-def step_cut_one(context, upstream):
+def step_truncate_one(context, upstream):
     context.deployment.control(upstream, cut=1, cut_after_bytes=0)
 
 
@@ -71,7 +72,7 @@
 
 @when("an upstream runs {count:d} requests")
 def step_runs(context, count):
-    """Waits until so many requests run, over all upstreams."""
+    """Waits until `count` requests run at all upstreams together."""
 
     def are_running():
         busy = 0
@@ -83,23 +84,23 @@
 
 
 @when("upstreams drain and cut answers by turns")
-def step_turns(context):
-    ended = threading.Event()
+def step_alternate_faults(context):
+    stopped = threading.Event()
 
-    def turn():
+    def switch_faults():
         names = sorted(context.deployment.upstreams)
-        while not ended.wait(TURN_S):
+        while not stopped.wait(SWITCH_INTERVAL_S):
             names.reverse()
             context.deployment.control(names[0], draining=True)
             context.deployment.control(
                 names[1], draining=False, cut=2, cut_after_bytes=0
             )
 
-    thread = threading.Thread(target=turn)
+    thread = threading.Thread(target=switch_faults)
     thread.start()
 
     def stop():
-        ended.set()
+        stopped.set()
         thread.join()
 
     context.add_cleanup(stop)
@@ -119,20 +120,20 @@
     send()
 
 
-def _send_round(context, count, work_ms, duration_ms, number_of_round):
+def _send_round(context, count, work_ms, duration_ms, round_number):
     entries = sorted(context.deployment.entries)
     query = f"work_ms={work_ms}"
     for number in range(count):
         entry = entries[number % len(entries)]
         deadline_ms = DEADLINES_MS[number // len(entries) % len(DEADLINES_MS)]
-        if number % KEYED_PART:
+        if number % KEYED_INTERVAL:
             context.sendings.look_up(
                 entry=entry, query=query, deadline_ms=deadline_ms
             )
         else:
             context.sendings.approve(
                 entry=entry,
-                key=f"key-{number_of_round}-{number}",
+                key=f"key-{round_number}-{number}",
                 query=query,
                 deadline_ms=deadline_ms,
             )
@@ -159,28 +160,28 @@
     "at least {refused:d} were not run and at least {answered:d} were answered"
 )
 def step_counts(context, refused, answered):
-    """Sends on until both kinds of ends were seen often enough.
+    """Sends more rounds until both outcomes were seen often enough.
 
-    How many of a round are answered hangs on the machine: after each cut an
-    upstream gets one request at a time for a while.
+    The number of requests answered in a round depends on the host: after each
+    truncated response an upstream gets one request at a time for a while.
     """
-    for _ in range(MOST_ROUNDS):
-        not_run, whole = _ends(context)
-        if not_run >= refused and whole >= answered:
+    for _ in range(MAX_ROUNDS):
+        not_run, complete = _count_outcomes(context)
+        if not_run >= refused and complete >= answered:
             return
         context.send_round()
     assert not_run >= refused, f"{not_run} were not run"
-    assert whole >= answered, f"{whole} were answered"
+    assert complete >= answered, f"{complete} were answered"
 
 
-def _ends(context):
+def _count_outcomes(context):
     not_run = 0
-    whole = 0
-    for sending in context.sendings.all:
-        sending.wait()
-        not_run += sending.ran == "no"
-        whole += _answered(sending)
-    return not_run, whole
+    complete = 0
+    for request in context.sendings.all:
+        request.wait()
+        not_run += request.ran == "no"
+        complete += _is_answered(request)
+    return not_run, complete
 
 
 @given("a request that was dispatched and lost")
--- a/features/steps/operations_steps.py
+++ b/features/steps/operations_steps.py
@@ -37,7 +37,7 @@
 
 
 @when('the platform\'s list says that upstream "{name}" leaves')
-def step_list_leaves(context, name):
+def step_vm_leaving(context, name):
     context.deployment.publish_vms(leaving=(name,))
 
 
@@ -63,7 +63,7 @@
 
 
 @then("the status has an answer of every entry")
-def step_answers(context):
+def step_all_answer(context):
     for row in _status(context)["entries"]:
         assert row["answers"], row
 
@@ -82,8 +82,8 @@
 @then('the row of "{name}" says {word:S}')
 def step_row_says(context, name, word):
     for line in context.output.splitlines():
-        parts = [part.strip() for part in line.split("│")[1:-1]]
-        if parts and parts[0] == name:
-            assert word in parts, parts
+        cells = [cell.strip() for cell in line.split("│")[1:-1]]
+        if cells and cells[0] == name:
+            assert word in cells, cells
             return
     raise AssertionError(context.output)
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -19,7 +19,7 @@
 
 
 @given("three entries and two upstreams with 60 look-ups/s of capacity")
-def step_two(context):
+def step_start(context):
     shape = Shape(entries={"r1": 3}, upstreams={"r1": 2}, work_ms=WORK_MS)
     context.deployment = Deployment(processes=context.processes, shape=shape)
     context.deployment.start()
@@ -41,7 +41,7 @@
 
 
 @when("{rate:g} requests/s come for {length_s:g} s, a third of them batch")
-def step_come(context, rate, length_s):
+def step_offer_load(context, rate, length_s):
     context.length_s = length_s
     context.forwards_before = _forwards(context)
     context.refused_before = context.load.refused_by_upstreams()
@@ -54,25 +54,29 @@
 
 
 @then("the upstreams saw at most {factor:g} times the requests that came")
-def step_saw(context, factor):
-    # Callers come back when they are told to; that is load that comes.
-    came = 0
+def step_upstream_requests(context, factor):
+    # Callers retry when a refusal asks for it; these attempts count as load.
+    offered = 0
     for record in context.load.records:
-        came += len(record["attempts"])
-    seen = len(context.load.runs()) + context.load.refused_by_upstreams()
-    seen -= context.refused_before
-    print(f"upstreams saw {seen}, {came} came ({seen / came:.3f})")
-    assert seen <= factor * came, (seen, came)
+        offered += len(record["attempts"])
+    received = len(context.load.runs()) + context.load.refused_by_upstreams()
+    received -= context.refused_before
+    print(
+        f"upstreams: {received}, offered: {offered} ({received / offered:.3f})"
+    )
+    assert received <= factor * offered, (received, offered)
 
 
 @then("the entries forwarded at most {factor:g} times the requests that came")
 def step_forwards(context, factor):
-    came = 0
+    offered = 0
     for record in context.load.records:
-        came += len(record["attempts"])
+        offered += len(record["attempts"])
     forwards = _forwards(context) - context.forwards_before
-    print(f"{forwards} forwards, {came} came ({forwards / came:.3f})")
-    assert 0 < forwards <= factor * came, (forwards, came)
+    print(
+        f"{forwards} forwards for {offered} attempts ({forwards / offered:.3f})"
+    )
+    assert 0 < forwards <= factor * offered, (forwards, offered)
 
 
 def _forwards(context):
@@ -85,16 +89,16 @@
 
 @then("the answers are at least {part:g} of capacity")
 def step_goodput(context, part):
-    done = 0
+    completed = 0
     started_s, _ = context.load.spans[-1]
     for run in context.load.runs():
         if run["outcome"] == "done":
-            done += run["start"] < started_s + context.length_s
-    print(f"{done} done in {context.length_s} s")
-    assert done >= part * CAPACITY_PER_S * context.length_s, done
+            completed += run["start"] < started_s + context.length_s
+    print(f"{completed} completed in {context.length_s} s")
+    assert completed >= part * CAPACITY_PER_S * context.length_s, completed
 
 
-def _refused_part(context, name):
+def _refused_fraction(context, name):
     refused = 0
     sent = 0
     for record in context.load.records:
@@ -108,10 +112,10 @@
 
 @then("batch work was refused more than look-ups")
 def step_batch_first(context):
-    batch = _refused_part(context, "statement")
-    look_ups = _refused_part(context, "look_up")
-    print(f"refused: batch {batch:.2f}, look-ups {look_ups:.2f}")
-    assert batch > look_ups + 0.2, (batch, look_ups)
+    batch = _refused_fraction(context, "statement")
+    lookups = _refused_fraction(context, "look_up")
+    print(f"refused: batch {batch:.2f}, lookups {lookups:.2f}")
+    assert batch > lookups + 0.2, (batch, lookups)
 
 
 @then(
--- a/features/steps/pages_steps.py
+++ b/features/steps/pages_steps.py
@@ -1,4 +1,4 @@
-"""Steps that compare pages with the code."""
+"""Steps that compare the reference pages with the code."""
 
 from pathlib import Path
 
@@ -14,15 +14,15 @@
 
 
 def _compare(*, page, code):
-    """Compares all columns but the page's last, the words for people."""
-    seen = [row[:-1] for row in page]
+    """Compares the rows without the page's last column, the description."""
+    documented_rows = [row[:-1] for row in page]
     for row in code:
-        assert row in seen, f"not on the page: {row}"
-    for row in seen:
+        assert row in documented_rows, f"not on the page: {row}"
+    for row in documented_rows:
         assert row in code, f"not in the code: {row}"
-    assert len(seen) == len(code), "a row stands twice"
+    assert len(documented_rows) == len(code), "a row occurs twice"
     for row in page:
-        assert row[-1], f"no words for {row[0]}"
+        assert row[-1], f"no description for {row[0]}"
 
 
 @then('the table "{heading}" of SETTINGS.md has just the keys of the {part}')
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -29,13 +29,13 @@
     context.crashed = set()
 
 
-def _exchange(context, *, transit_s):
+def _exchange_heartbeats(context, *, transit_s):
     """Sends one heartbeat of every entry to every entry."""
-    digests = []
+    marks_by_entry = []
     for quarantine in context.quarantines:
-        digests.append(quarantine.next_marks(now_s=context.now_s))
+        marks_by_entry.append(quarantine.next_marks(now_s=context.now_s))
     context.now_s += transit_s
-    for marks in digests:
+    for marks in marks_by_entry:
         for quarantine in context.quarantines:
             quarantine.drop_expired(now_s=context.now_s)
             quarantine.merge_marks(marks=marks, now_s=context.now_s)
@@ -55,14 +55,14 @@
                 ran_s=0.01,
                 now_s=context.now_s,
             )
-        _exchange(context, transit_s=HEARTBEAT_S)
+        _exchange_heartbeats(context, transit_s=HEARTBEAT_S)
 
 
 @when("{length_s:d} s pass with heartbeats that take {transit_s:g} s")
 def time_passes(context, length_s, transit_s):
-    ends_s = context.now_s + length_s
-    while context.now_s < ends_s:
-        _exchange(context, transit_s=transit_s)
+    end_s = context.now_s + length_s
+    while context.now_s < end_s:
+        _exchange_heartbeats(context, transit_s=transit_s)
 
 
 @when(
@@ -122,7 +122,7 @@
 
 
 @then("entry 1 tells the request to run alone")
-def runs_alone(context):
+def runs_isolated(context):
     verdict = context.quarantines[1].verdict(
         fingerprint=CRASHING, now_s=context.now_s
     )
@@ -144,34 +144,34 @@
     assert len(second) == requests, len(second)
 
 
-# Announcements.
+# Announcements of strikes.
 
 
 @given("announcements that are spaced by {span_ms:d} ms")
-def step_announcing(context, span_ms):
+def step_announcements(context, span_ms):
     context.announcement_limiter = AnnouncementLimiter(
         interval_s=span_ms / 1000
     )
     context.announced_s = []
 
 
-def _strike_at(context, at_s):
-    planned = getattr(context, "planned_s", None)
-    if planned is not None and planned <= at_s:
-        context.announcement_limiter.record_scheduled_sent(now_s=planned)
-        context.announced_s.append(planned)
-        context.planned_s = None
+def _record_strike_at(context, at_s):
+    scheduled_s = getattr(context, "scheduled_s", None)
+    if scheduled_s is not None and scheduled_s <= at_s:
+        context.announcement_limiter.record_scheduled_sent(now_s=scheduled_s)
+        context.announced_s.append(scheduled_s)
+        context.scheduled_s = None
     wait_s = context.announcement_limiter.wait_s(now_s=at_s)
     if wait_s == 0:
         context.announced_s.append(at_s)
     elif wait_s is not None:
-        context.planned_s = at_s + wait_s
+        context.scheduled_s = at_s + wait_s
 
 
 @when("strikes come at 0, 13 and 16 ms")
 def step_three_strikes(context):
     for at_ms in (0, 13, 16):
-        _strike_at(context, at_ms / 1000)
+        _record_strike_at(context, at_ms / 1000)
 
 
 @then("they are announced at 0, 13 and 16 ms")
@@ -182,7 +182,7 @@
 @when("{count:d} strikes come within {span_ms:d} ms")
 def step_many_strikes(context, count, span_ms):
     for number in range(count):
-        _strike_at(context, number * span_ms / 1000 / count)
+        _record_strike_at(context, number * span_ms / 1000 / count)
 
 
 @then(
@@ -191,52 +191,54 @@
 )
 def step_count_announced(context, count, after_ms):
     assert len(context.announced_s) == count - 1, context.announced_s
-    assert abs(context.planned_s - after_ms / 1000) < 1e-9, context.planned_s
+    assert abs(context.scheduled_s - after_ms / 1000) < 1e-9, (
+        context.scheduled_s
+    )
 
 
 @given(
     "quarantines of {count:d} entries whose heartbeats usually take "
     "{usual_ms:d} ms"
 )
-def usual_heartbeats(context, count, usual_ms):
+def measure_usual_delay(context, count, usual_ms):
     quarantines(context, count)
     context.now_s = 1000.0
-    # Entries share no clock.
-    context.ahead_s = [700.0 * number for number in range(count)]
+    # Entries have no common clock.
+    context.clock_offsets_s = [700.0 * number for number in range(count)]
     context.delays = [MessageDelayEstimator() for _ in range(count)]
     for _ in range(5):
-        _timed_exchange(context, transit_s=usual_ms / 1000)
+        _exchange_timed_heartbeats(context, transit_s=usual_ms / 1000)
 
 
-def _timed_exchange(context, *, transit_s):
-    """Exchanges heartbeats that tell when they were sent."""
+def _exchange_timed_heartbeats(context, *, transit_s):
+    """Exchanges heartbeats that carry the time when they were sent."""
     sent = []
     for number, quarantine in enumerate(context.quarantines):
-        clock_s = context.now_s + context.ahead_s[number]
+        clock_s = context.now_s + context.clock_offsets_s[number]
         sent.append((clock_s, quarantine.next_marks(now_s=clock_s)))
     context.now_s += transit_s
     for number, quarantine in enumerate(context.quarantines):
-        clock_s = context.now_s + context.ahead_s[number]
+        clock_s = context.now_s + context.clock_offsets_s[number]
         for sender, (sent_s, marks) in enumerate(sent):
             if sender == number:
                 continue
-            usual_s = context.delays[number].undelayed_arrival_s(
+            arrival_s = context.delays[number].undelayed_arrival_s(
                 sender=str(sender), incarnation=1, sent_s=sent_s, now_s=clock_s
             )
-            quarantine.merge_marks(marks=marks, now_s=usual_s)
+            quarantine.merge_marks(marks=marks, now_s=arrival_s)
 
 
 @when(
     "upstreams of both die {apart_ms:d} ms apart while they run one look-up "
     "for {ran_ms:d} ms"
 )
-def both_die(context, apart_ms, ran_ms):
+def both_crash(context, apart_ms, ran_ms):
     for number, quarantine in enumerate(context.quarantines):
         quarantine.record_strike(
             fingerprint=CRASHING,
             upstream=f"upstream-{number}",
             ran_s=ran_ms / 1000,
-            now_s=context.now_s + context.ahead_s[number],
+            now_s=context.now_s + context.clock_offsets_s[number],
         )
         context.now_s += apart_ms / 1000
 
@@ -245,24 +247,24 @@
     "one of that look-up that ran for {ran_ms:d} ms is lost at the second as "
     "well"
 )
-def just_begun(context, ran_ms):
+def short_run_lost(context, ran_ms):
     context.quarantines[1].record_strike(
         fingerprint=CRASHING,
         upstream="upstream-1",
         ran_s=ran_ms / 1000,
-        now_s=context.now_s + context.ahead_s[1],
+        now_s=context.now_s + context.clock_offsets_s[1],
     )
 
 
 @when("the heartbeats that tell it take {held_ms:d} ms")
-def held_up(context, held_ms):
-    _timed_exchange(context, transit_s=held_ms / 1000)
+def delay_heartbeats(context, held_ms):
+    _exchange_timed_heartbeats(context, transit_s=held_ms / 1000)
 
 
 def _verdicts(context):
     found = []
     for number, quarantine in enumerate(context.quarantines):
-        clock_s = context.now_s + context.ahead_s[number]
+        clock_s = context.now_s + context.clock_offsets_s[number]
         found.append(quarantine.verdict(fingerprint=CRASHING, now_s=clock_s))
     return found
 
--- a/features/steps/retries_steps.py
+++ b/features/steps/retries_steps.py
@@ -18,18 +18,18 @@
     context.now_s = 0.0
 
 
-def _offer(context, *, length_s, rate, refused_part):
-    """Offers first tries; a part of all tries is refused, retries as well."""
+def _send_first_attempts(context, *, length_s, rate, refused_fraction):
+    """Sends first attempts; a part of all attempts is refused, retries too."""
     before = context.budget.counts
     draw = random.Random(1)
     for _ in range(length_s * rate):
         context.now_s += 1.0 / rate
         context.budget.record_first_attempt(now_s=context.now_s)
-        while draw.random() < refused_part:
+        while draw.random() < refused_fraction:
             if not context.budget.try_retry(now_s=context.now_s):
                 break
     after = context.budget.counts
-    context.first_tries = after.first_attempts - before.first_attempts
+    context.first_attempts = after.first_attempts - before.first_attempts
     context.retries = after.retries - before.retries
 
 
@@ -38,14 +38,18 @@
     "one is retried"
 )
 def refused_retried(context, length_s, rate):
-    _offer(context, length_s=length_s, rate=rate, refused_part=0.5)
+    _send_first_attempts(
+        context, length_s=length_s, rate=rate, refused_fraction=0.5
+    )
 
 
 @when(
     "for {length_s:d} s {rate:d} first tries a second come and none is refused"
 )
 def none_refused(context, length_s, rate):
-    _offer(context, length_s=length_s, rate=rate, refused_part=0.0)
+    _send_first_attempts(
+        context, length_s=length_s, rate=rate, refused_fraction=0.0
+    )
 
 
 @when("one first try comes and is refused")
@@ -61,7 +65,7 @@
 
 @then("retries are at most {fraction:g} of first tries")
 def retries_at_most(context, fraction):
-    assert context.retries <= fraction * context.first_tries, context.retries
+    assert context.retries <= fraction * context.first_attempts, context.retries
 
 
 @then(
@@ -69,19 +73,19 @@
     "first tries"
 )
 def late_retries_at_most(context, length_s, fraction):
-    assert context.retries <= fraction * context.first_tries, context.retries
+    assert context.retries <= fraction * context.first_attempts, context.retries
 
 
 @then("retries are at least {fraction:g} of first tries")
 def retries_at_least(context, fraction):
-    assert context.retries >= fraction * context.first_tries, context.retries
+    assert context.retries >= fraction * context.first_attempts, context.retries
 
 
-def _assert_spread(low_ms, high_ms, base_ms, pressure):
+def _assert_spread(low_ms, high_ms, base_ms, load_ratio):
     times_ms = []
     for draw in draws():
         times_ms.append(
-            retry_after_ms(base_ms=base_ms, draw=draw, load_ratio=pressure)
+            retry_after_ms(base_ms=base_ms, draw=draw, load_ratio=load_ratio)
         )
     step_ms = (high_ms - low_ms) / DRAWS
     assert min(times_ms) == low_ms, min(times_ms)
@@ -99,5 +103,5 @@
 
 
 @then("at twice the capacity they spread over {low_ms:d} to {high_ms:d} ms")
-def times_spread_pressed(context, low_ms, high_ms):
+def times_spread_at_twice_capacity(context, low_ms, high_ms):
     _assert_spread(low_ms, high_ms, context.base_ms, 2.0)
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -13,12 +13,12 @@
 
 from almondstair import settings
 from features.support import control
-from features.support import step_types  # noqa: F401 - registers its types
+from features.support import step_types  # noqa: F401 - registers step types
 
 _ROOT = Path(__file__).parents[2]
 _EXAMPLES = _ROOT / "examples"
 _TOOL = "almondstair.tools.almondstairctl"
-_LINE_BREAK = "~"
+_LINE_BREAK_MARK = "~"
 
 
 @given('a copy of the example "{example}"')
@@ -32,12 +32,12 @@
     path = context.directory / file
     text = path.read_text(encoding="utf-8")
     assert old in text, f"{old!r} is not in {path}"
-    new = new.replace(_LINE_BREAK, "\n")
+    new = new.replace(_LINE_BREAK_MARK, "\n")
     path.write_text(text.replace(old, new, 1), encoding="utf-8")
 
 
 @given("the deployment file reads")
-def step_whole_file(context):
+def step_write_file(context):
     path = context.directory / "deployment.toml"
     path.write_text(context.text, encoding="utf-8")
 
@@ -48,7 +48,7 @@
 
 
 @given('"{file}" is not UTF-8')
-def step_not_text(context, file):
+def step_not_utf8(context, file):
     (context.directory / file).write_bytes(b"\xff\xfe\x00")
 
 
@@ -62,7 +62,7 @@
 @when('the settings of "{entry}" are checked by a process')
 def step_check_process(context, entry):
     file = context.directory / f"entry-{entry}.toml"
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", _TOOL, "settings", "check", str(file)],
         capture_output=True,
         text=True,
@@ -70,9 +70,9 @@
         timeout=30,
         env={**os.environ, "PYTHONPATH": str(_ROOT)},
     )
-    context.exit_code = done.returncode
-    context.output = done.stdout
-    context.notes = done.stderr
+    context.exit_code = completed.returncode
+    context.output = completed.stdout
+    context.notes = completed.stderr
 
 
 @when('the configuration "{file}" is checked')
@@ -82,7 +82,7 @@
 
 
 @then("the deployment has {upstreams:d} upstreams and {slots:d} slots")
-def step_sizes(context, upstreams, slots):
+def step_totals(context, upstreams, slots):
     configuration = settings.load(context.settings_file).configuration
     total = 0
     for upstream in configuration.upstreams.values():
@@ -95,7 +95,7 @@
 def step_every_entry(context):
     files = sorted(_EXAMPLES.glob("*/entry-*.toml"))
     assert len(files) == 18, files
-    seen = set()
+    used_addresses = set()
     for file in files:
         loaded = settings.load(file)
         entry = loaded.settings.entry
@@ -107,8 +107,8 @@
             entry.operator_address,
         }
         assert len(addresses) == 4
-        assert not addresses & seen
-        seen |= addresses
+        assert not addresses & used_addresses
+        used_addresses |= addresses
         for upstream in loaded.configuration.upstreams.values():
             assert upstream.address not in addresses
 
@@ -119,9 +119,9 @@
 
 @then('a fault names "{file}", "{key:Maybe}" and "{remedy}"')
 def step_fault(context, file, key, remedy):
-    place = f"{file}: {key}: " if key else f"{file}: "
+    location = f"{file}: {key}: " if key else f"{file}: "
     for line in _fault_lines(context):
-        if place in line and remedy in line.split(place)[1]:
+        if location in line and remedy in line.split(location)[1]:
             return
     raise AssertionError("\n".join(_fault_lines(context)))
 
@@ -130,8 +130,8 @@
 def step_faults(context):
     lines = _fault_lines(context)
     for row in context.table:
-        place = f"{row['file']}: {row['key']}: "
-        found = [line for line in lines if place in line]
-        assert len(found) == 1, (place, lines)
+        location = f"{row['file']}: {row['key']}: "
+        found = [line for line in lines if location in line]
+        assert len(found) == 1, (location, lines)
         lines.remove(found[0])
     assert not lines, lines
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -16,9 +16,9 @@
 WORK_MS = 20.0
 SLOW_MS = 120.0
 RATE_PER_S = 90.0
-MANY = 100_000
-# What a try at a frozen entry ends with.
-WAITED_IN_VAIN = ("entry_lost", "upstream_timeout")
+ALL_REQUESTS = 100_000  # more than a scenario sends
+# Error kinds of an attempt that waited for a frozen entry.
+SILENT_ENTRY_KINDS = ("entry_lost", "upstream_timeout")
 
 
 def _start(context, shape):
@@ -55,26 +55,26 @@
 
 
 @when("look-ups come for {length_s:g} s")
-def step_look_ups(context, length_s):
-    _look_ups(context, "r1-e0", length_s, RATE_PER_S)
+def step_send_lookups(context, length_s):
+    _send_lookups(context, "r1-e0", length_s, RATE_PER_S)
 
 
 @when('look-ups come to "{entry}" for {length_s:g} s')
-def step_look_ups_to(context, entry, length_s):
-    _look_ups(context, entry, length_s, RATE_PER_S)
+def step_send_lookups_to(context, entry, length_s):
+    _send_lookups(context, entry, length_s, RATE_PER_S)
 
 
 @when(
     'look-ups come to "{entry}" for {length_s:g} s at twice the slots of '
     '"{region}"'
 )
-def step_look_ups_twice(context, entry, length_s, region):
+def step_send_lookups_twice_slots(context, entry, length_s, region):
     shape = context.deployment.shape
     slots = shape.upstreams[region] * shape.slots
-    _look_ups(context, entry, length_s, 2 * slots / (WORK_MS / 1000))
+    _send_lookups(context, entry, length_s, 2 * slots / (WORK_MS / 1000))
 
 
-def _look_ups(context, entry, length_s, rate):
+def _send_lookups(context, entry, length_s, rate):
     context.load.run(
         entries=[entry], rate=rate, length_s=length_s, classes=[LOOK_UP]
     )
@@ -82,7 +82,7 @@
 
 @when('"{name}" fails its answers at once while its health says well')
 def step_fail(context, name):
-    context.deployment.control(name, fail=MANY, work_ms=1.0)
+    context.deployment.control(name, fail=ALL_REQUESTS, work_ms=1.0)
     answer = get(context.deployment.upstreams[name], "/_health")
     assert answer.json()["state"] == "well"
 
@@ -91,7 +91,9 @@
 def step_region_fails(context, region):
     for name in context.deployment.upstreams:
         if name.startswith(region):
-            context.deployment.control(name, fail=MANY, work_ms=1.0, load="lie")
+            context.deployment.control(
+                name, fail=ALL_REQUESTS, work_ms=1.0, load="lie"
+            )
 
 
 @when('"{name}" gets slow and its load reports {fault:w}')
@@ -105,7 +107,7 @@
 
 
 @when("{pause_s:g} s pass")
-def step_pass(context, pause_s):
+def step_wait(context, pause_s):
     time.sleep(pause_s)
 
 
@@ -119,12 +121,12 @@
 
 @then('the shares of "{names}" are below {part:g} of a fair share')
 def step_below_fair(context, names, part):
-    fair = 1.0 / len(context.deployment.upstreams)
+    fair_share = 1.0 / len(context.deployment.upstreams)
     for name in names.split(", "):
         before = context.load.share(name, span=0)
         after = context.load.share(name)
         print(f"share of {name}: {before:.3f} before, {after:.3f} after")
-        assert after < part * fair, (name, before, after)
+        assert after < part * fair_share, (name, before, after)
 
 
 @then('the share of "{region}" in the last {last_s:g} s is at most {limit:g}')
@@ -145,17 +147,20 @@
 @then("no upstream of the deployment exceeded its slots")
 def step_slots(context):
     for name in context.deployment.upstreams:
-        most = context.deployment.journal(name)["max_in_flight"]
-        assert most <= context.deployment.shape.slots, (name, most)
+        max_in_flight = context.deployment.journal(name)["max_in_flight"]
+        assert max_in_flight <= context.deployment.shape.slots, (
+            name,
+            max_in_flight,
+        )
 
 
 @then("no caller waited for a silent entry, and refusals say when to come back")
-def step_come_back(context):
+def step_refused_with_retry_time(context):
     refused = 0
     for record in context.load.records:
-        # Later ones may have too little time left to be served at all.
+        # Later attempts may have too little time left to be served.
         first = record["attempts"][0]
-        assert first["kind"] not in WAITED_IN_VAIN, first
+        assert first["kind"] not in SILENT_ENTRY_KINDS, first
         for attempt in record["attempts"]:
             if attempt["ran"] != "no" or attempt["kind"] == "deadline_passed":
                 continue
--- a/features/steps/slots_steps.py
+++ b/features/steps/slots_steps.py
@@ -24,7 +24,7 @@
     deadline_ms=BRIEF_MS,
     timeout_s=4.0,
 )
-# Outlasts a frozen home's silence, so its slots stay taken through it.
+# Lasts longer than a home stays frozen, so its slots stay in use meanwhile.
 LONG_MS = 8000
 LONG = LoadRequest(
     path="/matching/statements/1?work_ms=7000",
@@ -34,7 +34,7 @@
 
 
 class _Region(NamedTuple):
-    """What the scenarios with the same long work share."""
+    """Holds what scenarios with the same long work share."""
 
     deployment: BoundedDeployment
     load: ClosedLoop
@@ -43,22 +43,22 @@
 
 @given("a region with callers above its slots")
 def step_region(context):
-    _region(context, BRIEF, BRIEF_MS)
+    _use_region(context, BRIEF, BRIEF_MS)
 
 
 @given("a region with callers above its slots and long work")
 def step_region_long(context):
-    _region(context, LONG, LONG_MS)
+    _use_region(context, LONG, LONG_MS)
 
 
-def _region(context, long, long_ms):
-    """Takes up the region of the scenario before, or starts another."""
+def _use_region(context, long, long_ms):
+    """Reuses the region of the previous scenario, or starts another."""
     running = getattr(context, "slots_region", None)
     if running is None or running.long_ms != long_ms:
-        _end(context)
-        region = _start(context, long, long_ms)
+        _end_region(context)
+        region = _start_region(context, long, long_ms)
         context._set_root_attribute("slots_region", region)
-        context.add_cleanup(_end, context, layer="feature")
+        context.add_cleanup(_end_region, context, layer="feature")
     context.deployment = context.slots_region.deployment
     context.load = context.slots_region.load
     context.deployment.restore()
@@ -66,7 +66,7 @@
         _wait_full(context, upstream, limit_s=15.0)
 
 
-def _end(context):
+def _end_region(context):
     running = getattr(context, "slots_region", None)
     if running is None:
         return
@@ -75,7 +75,7 @@
     running.deployment.processes.end()
 
 
-def _start(context, long, long_ms):
+def _start_region(context, long, long_ms):
     deployment = BoundedDeployment(
         processes=Processes(),
         shape=Shape(entries={"bkk": 3}, upstreams={"bkk": 2}, slots=SLOTS),
@@ -95,13 +95,15 @@
 
 
 def _wait_full(context, upstream, limit_s):
-    def full():
+    def is_full():
         return context.deployment.journal(upstream)["busy"] >= SLOTS
 
-    wait_until(full, limit_s=limit_s, what=f"{upstream} with every slot used")
+    wait_until(
+        is_full, limit_s=limit_s, what=f"{upstream} with every slot used"
+    )
 
 
-def _home(context, upstream):
+def _find_home(context, upstream):
     for entry in context.deployment.entries:
         if context.deployment.status(entry) is None:
             continue
@@ -114,26 +116,26 @@
 
 
 @when("the load lasts {seconds:g} s")
-def step_lasts(context, seconds):
+def step_keep_load(context, seconds):
     context.since_s = time.monotonic()
     time.sleep(seconds)
 
 
 @when("the home of {upstream} is killed while {same} does not notice")
-def step_kill(context, upstream, same):
+def step_kill_home(context, upstream, same):
     assert upstream == same
-    context.victim = _home(context, upstream)
+    context.victim = _find_home(context, upstream)
     _wait_full(context, upstream, limit_s=5.0)
     context.deployment.control(upstream, deaf=True)
     _child(context, context.victim).kill()
     context.since_s = time.monotonic()
-    # Closed connections are seen within milliseconds on one machine.
+    # Closed connections are detected within milliseconds on one host.
     time.sleep(0.2)
     context.deployment.control(upstream, deaf=False)
 
 
 @when("the VM list says that it is gone")
-def step_gone(context):
+def step_removed(context):
     context.deployment.remove(context.victim)
 
 
@@ -143,8 +145,8 @@
 
 
 @when("the home of {upstream} is frozen with work in flight for {seconds:g} s")
-def step_freeze(context, upstream, seconds):
-    context.victim = _home(context, upstream)
+def step_freeze_home(context, upstream, seconds):
+    context.victim = _find_home(context, upstream)
     context.upstream = upstream
     _wait_full(context, upstream, limit_s=8.0)
     child = _child(context, context.victim)
@@ -165,19 +167,21 @@
             record.end_s < context.until_s
         ):
             served.append(record)
-    assert served, f"nobody used {upstream} while its home was silent"
+    assert served, f"no other entry used {upstream} while its home was silent"
     for record in served:
         assert record.path == SHORT.path, record
     first_s = min(record.end_s for record in served) - context.since_s
-    print(f"reserve: {len(served)} requests, the first after {first_s:.2f} s")
+    print(
+        f"reserve slot: {len(served)} requests, the first after {first_s:.2f} s"
+    )
 
 
 @when(
     "the home of {upstream} is cut off from the others {way} for {time_s:g} s"
 )
-def step_cut(context, upstream, way, time_s):
+def step_partition_home(context, upstream, way, time_s):
     deployment = context.deployment
-    home = _home(context, upstream)
+    home = _find_home(context, upstream)
     others = deployment.successors_of(home)
     _wait_full(context, upstream, limit_s=8.0)
     context.since_s = time.monotonic()
@@ -191,18 +195,18 @@
 
 
 @when("the service and VM list go out")
-def step_out(context):
+def step_platform_down(context):
     context.deployment.faults(down=True)
 
 
 @when("the service and VM list come back")
-def step_back(context):
+def step_platform_up(context):
     context.deployment.faults(down=False)
     context.since_s = time.monotonic()
 
 
 @when("two entries stop and start one after the other")
-def step_rolling(context):
+def step_rolling_restart(context):
     for name in tuple(context.deployment.entries)[:2]:
         code = _child(context, name).terminate(limit_s=20.0)
         assert code == 0, f"{name} ended with {code}"
@@ -213,10 +217,10 @@
 
 
 @then("some work was done in the last {seconds:g} s")
-def step_done(context, seconds):
-    done = context.load.answered(since_s=time.monotonic() - seconds)
-    assert done, "no work was done"
-    print(f"answered without the platform: {len(done)} in {seconds:g} s")
+def step_some_answered(context, seconds):
+    answered = context.load.answered(since_s=time.monotonic() - seconds)
+    assert answered, "no work was done"
+    print(f"answered without the platform: {len(answered)} in {seconds:g} s")
 
 
 @then("{upstream} takes work again within {seconds:g} s")
@@ -227,12 +231,12 @@
                 return run["start"] - context.since_s
         return None
 
-    took_s = wait_until(started, limit_s=seconds, what=f"work at {upstream}")
-    print(f"{upstream} takes work again {took_s:.2f} s after it")
+    elapsed_s = wait_until(started, limit_s=seconds, what=f"work at {upstream}")
+    print(f"{upstream} accepts work again {elapsed_s:.2f} s later")
 
 
 @then("{upstream} took no work in the {seconds:g} s after it")
-def step_held_back(context, upstream, seconds):
+def step_no_work_after(context, upstream, seconds):
     for run in context.deployment.journal(upstream)["runs"]:
         after_s = run["start"] - context.since_s
         assert not 0 < after_s < seconds, f"work after {after_s:.2f} s: {run}"
@@ -240,17 +244,19 @@
 
 @then("every slot of {upstream} is used again within {seconds:g} s")
 def step_full_again(context, upstream, seconds):
-    began_s = time.monotonic()
+    start_s = time.monotonic()
     _wait_full(context, upstream, limit_s=seconds)
-    took_s = time.monotonic() - began_s
-    print(f"{upstream} is full {took_s:.2f} s later")
+    elapsed_s = time.monotonic() - start_s
+    print(f"{upstream} is at capacity {elapsed_s:.2f} s later")
 
 
 @then("every slot of each upstream was in use at some time")
 def step_all_used(context):
     for upstream in context.deployment.upstreams:
-        most = context.deployment.journal(upstream)["max_in_flight"]
-        assert most == SLOTS, f"{upstream} had {most} at most"
+        max_in_flight = context.deployment.journal(upstream)["max_in_flight"]
+        assert max_in_flight == SLOTS, (
+            f"{upstream} had at most {max_in_flight} in flight"
+        )
 
 
 @then("no upstream and no region had more in flight than its slots")
@@ -258,13 +264,19 @@
     runs = []
     for upstream in context.deployment.upstreams:
         journal = context.deployment.journal(upstream)
-        most = journal["max_in_flight"]
-        print(f"{upstream}: {len(journal['runs'])} runs, at most {most}")
-        assert most <= SLOTS, f"{upstream} had {most} in flight"
+        max_in_flight = journal["max_in_flight"]
+        print(
+            f"{upstream}: {len(journal['runs'])} runs, at most {max_in_flight}"
+        )
+        assert max_in_flight <= SLOTS, (
+            f"{upstream} had {max_in_flight} in flight"
+        )
         assert journal["refused"]["over_slots"] == 0, journal["refused"]
         runs.extend(journal["runs"])
-    most = most_at_once(runs)
-    assert most <= SLOTS * len(context.deployment.upstreams), most
+    max_in_flight = most_at_once(runs)
+    assert max_in_flight <= SLOTS * len(context.deployment.upstreams), (
+        max_in_flight
+    )
 
 
 @then("every refusal says that nothing ran and when to come back")
--- a/features/steps/standing_still_steps.py
+++ b/features/steps/standing_still_steps.py
@@ -15,19 +15,19 @@
 from almondstair.http_client import unlimited_pace
 from almondstair.tracing import Tracing
 
-# Usual time of the requests of `Bench`.
-RUN_S = 0.1
+# Run time of the requests of `Bench` when the loop does not stall.
+USUAL_RUN_S = 0.1
 ENTRY = "r1-e0"
 UPSTREAM = "r1-u0"
 
 
-# Virtual time, see `Bench` of the admission steps.
+# Steps in virtual time, see `Bench` of the admission steps.
 
 
 @when("it stands still for {still_s:f} s before it reads each of 10 answers")
-def step_stands_still(context, still_s):
+def step_stall(context, still_s):
     for _ in range(10):
-        _answer(context.bench, RUN_S, still_s)
+        _run_request(context.bench, USUAL_RUN_S, still_s)
 
 
 @when(
@@ -36,23 +36,23 @@
 )
 def step_late(context, late_s, times):
     for _ in range(10):
-        _answer(context.bench, times * RUN_S, late_s, late_s=late_s)
+        _run_request(context.bench, times * USUAL_RUN_S, late_s, late_s=late_s)
 
 
-def _answer(bench, run_s, still_s, *, late_s=0.0):
-    """Lets a request run while the loop turns, and stand still at its end."""
-    standstill = bench.tables["a"].loop_stall
+def _run_request(bench, run_s, stall_s, *, late_s=0.0):
+    """Runs a request while the loop ticks, and stalls the loop at its end."""
+    loop_stall = bench.tables["a"].loop_stall
     admission = bench.acquire()
-    standstill.record_tick(now_s=bench.now_s)
+    loop_stall.record_tick(now_s=bench.now_s)
     end_s = bench.now_s + run_s
     while bench.now_s + TICK_INTERVAL_S + late_s < end_s:
         bench.now_s += TICK_INTERVAL_S + late_s
-        standstill.record_tick(now_s=bench.now_s)
-    bench.answer(admission, after_s=end_s + still_s - bench.now_s)
-    standstill.record_tick(now_s=bench.now_s)
+        loop_stall.record_tick(now_s=bench.now_s)
+    bench.answer(admission, after_s=end_s + stall_s - bench.now_s)
+    loop_stall.record_tick(now_s=bench.now_s)
 
 
-# A request that is too late.
+# A request whose deadline has passed.
 
 
 @given("an upstream that takes connections")
@@ -61,11 +61,11 @@
 
 
 @when("a request whose deadline has passed is to be written to it")
-def step_too_late(context):
-    context.attempt = asyncio.run(_write_late(context.received))
+def step_deadline_passed(context):
+    context.attempt = asyncio.run(_send_after_deadline(context.received))
 
 
-async def _write_late(received):
+async def _send_after_deadline(received):
     async def accept(reader, writer):
         received.append(await reader.read())
         writer.close()
@@ -92,7 +92,7 @@
 
 
 @then("no byte was written, and it does not count against the upstream")
-def step_no_blame(context):
+def step_not_counted(context):
     assert context.received == [b""], context.received
     outcome = runner._SLOT_OUTCOMES[context.attempt.exchange.outcome]
     assert outcome is Outcome.CANCELLED, outcome
--- a/features/steps/standins_steps.py
+++ b/features/steps/standins_steps.py
@@ -17,44 +17,50 @@
 from features.support.upstream_standin import body_sha256
 
 MEBIBYTE = 1 << 20
-SENT_AT_ONCE_LIMIT = 8
+MAX_CONCURRENT_REQUESTS = 8
 
 
-def encode(text):
+def encode_base64(text):
     return base64.b64encode(text.encode()).decode()
 
 
-def creation(key, value):
-    compare = {"key": encode(key), "target": "CREATE", "create_revision": "0"}
-    put = {"key": encode(key), "value": encode(value)}
+def creation_request(key, value):
+    compare = {
+        "key": encode_base64(key),
+        "target": "CREATE",
+        "create_revision": "0",
+    }
+    put = {"key": encode_base64(key), "value": encode_base64(value)}
     return {"compare": [compare], "success": [{"request_put": put}]}
 
 
-def call(context, path, body):
-    """Calls the platform; keeps an unanswered call or a refusal as such."""
+def call_platform(context, path, body):
+    """Calls the platform; returns {} and sets `unanswered` without an answer."""
     context.unanswered = False
     try:
-        answer = harness.post(context.platform, path, body)
+        response = harness.post(context.platform, path, body)
     except (OSError, http.client.HTTPException):
         context.unanswered = True
         return {}
-    return answer.json()
+    return response.json()
 
 
-def read(context, key):
-    answer = call(context, "/v3/kv/range", {"key": encode(key)})
+def read_value(context, key):
+    response = call_platform(
+        context, "/v3/kv/range", {"key": encode_base64(key)}
+    )
     assert not context.unanswered
-    return answer.get("kvs", [None])[0]
+    return response.get("kvs", [None])[0]
 
 
-def journal(context):
+def read_journal(context):
     return harness.get(context.upstream, "/_journal").json()
 
 
 @given("a platform")
 def start_platform(context):
     context.platform = context.processes.start_platform()
-    context.held = []
+    context.creation_results = []
 
 
 @given('the platform\'s fault "{name}" is {value}')
@@ -64,31 +70,35 @@
 
 
 @given('"{value}" is created at "{key}"')
-def have_created(context, value, key):
-    assert call(context, "/v3/kv/txn", creation(key, value))["succeeded"]
+def given_created(context, value, key):
+    assert call_platform(context, "/v3/kv/txn", creation_request(key, value))[
+        "succeeded"
+    ]
 
 
 @when('"{value}" is created at "{key}"')
 def create(context, value, key):
-    answer = call(context, "/v3/kv/txn", creation(key, value))
-    context.held.append(answer.get("succeeded", False))
+    response = call_platform(
+        context, "/v3/kv/txn", creation_request(key, value)
+    )
+    context.creation_results.append(response.get("succeeded", False))
 
 
 @when('one transaction creates "{value}" at each of "{keys}"')
 def create_many(context, value, keys):
     batch = []
     for key in keys.split(","):
-        batch.append({"request_txn": creation(key, value)})
-    context.answer = call(context, "/v3/kv/txn", {"success": batch})
+        batch.append({"request_txn": creation_request(key, value)})
+    context.answer = call_platform(context, "/v3/kv/txn", {"success": batch})
     for response in context.answer.get("responses", []):
         succeeded = response["response_txn"].get("succeeded", False)
-        context.held.append(succeeded)
+        context.creation_results.append(succeeded)
 
 
 @then("the creations held: {words}")
-def check_held(context, words):
+def check_creation_results(context, words):
     expected = [word == "yes" for word in words.split(", ")]
-    assert context.held == expected, context.held
+    assert context.creation_results == expected, context.creation_results
 
 
 @then('the platform refused with "{message}"')
@@ -98,20 +108,20 @@
 
 @then('"{key}" holds "{value}" at version {version:d}')
 def check_value(context, key, value, version):
-    found = read(context, key)
-    assert found["value"] == encode(value), found
+    found = read_value(context, key)
+    assert found["value"] == encode_base64(value), found
     assert found["version"] == str(version), found
 
 
 @then('"{first}" and "{second}" were written at one revision')
 def check_one_revision(context, first, second):
-    revision = read(context, first)["mod_revision"]
-    assert read(context, second)["mod_revision"] == revision
+    revision = read_value(context, first)["mod_revision"]
+    assert read_value(context, second)["mod_revision"] == revision
 
 
 @then('"{key}" is absent')
 def check_absent(context, key):
-    assert read(context, key) is None
+    assert read_value(context, key) is None
 
 
 @then("the call got no answer")
@@ -121,14 +131,17 @@
 
 @then('a read of "{key}" gets no answer')
 def check_read_fails(context, key):
-    call(context, "/v3/kv/range", {"key": encode(key)})
+    call_platform(context, "/v3/kv/range", {"key": encode_base64(key)})
     assert context.unanswered
 
 
 @given('a watch on "{prefix}" from the first revision')
 def open_watch(context, prefix):
     end = prefix[:-1] + chr(ord(prefix[-1]) + 1)
-    create_request = {"key": encode(prefix), "range_end": encode(end)}
+    create_request = {
+        "key": encode_base64(prefix),
+        "range_end": encode_base64(end),
+    }
     create_request["start_revision"] = "1"
     connection = harness.connect(context.platform)
     body = json.dumps({"create_request": create_request})
@@ -140,23 +153,27 @@
 
 @when('"{value}" is put at "{key}" under a lease of {ttl_s:d} s')
 def put_leased(context, value, key, ttl_s):
-    lease = call(context, "/v3/lease/grant", {"TTL": str(ttl_s)})
-    put = {"key": encode(key), "value": encode(value), "lease": lease["ID"]}
-    call(context, "/v3/kv/put", put)
+    lease = call_platform(context, "/v3/lease/grant", {"TTL": str(ttl_s)})
+    put = {
+        "key": encode_base64(key),
+        "value": encode_base64(value),
+        "lease": lease["ID"],
+    }
+    call_platform(context, "/v3/kv/put", put)
 
 
 @then('the watch tells of a put of "{key}"')
 def check_watch_put(context, key):
     [event] = json.loads(context.watch.readline())["result"]["events"]
     assert "type" not in event, event
-    assert event["kv"]["key"] == encode(key), event
+    assert event["kv"]["key"] == encode_base64(key), event
 
 
 @then('the watch tells of a deletion of "{key}"')
 def check_watch_delete(context, key):
     [event] = json.loads(context.watch.readline())["result"]["events"]
     assert event["type"] == "DELETE", event
-    assert event["kv"]["key"] == encode(key), event
+    assert event["kv"]["key"] == encode_base64(key), event
 
 
 @then("the platform counts {count:d} waiting watch")
@@ -167,7 +184,7 @@
 
 @then("the watch ends")
 def check_watch_ends(context):
-    # A time-out is no end: it stays an error of this step.
+    # A timeout is not the end of the watch: it still fails this step.
     ended = (ConnectionError, http.client.IncompleteRead)
     with contextlib.suppress(*ended):
         assert context.watch.readline() == b""
@@ -180,20 +197,20 @@
     harness.send("PUT", context.platform, "/vms", body={"vms": vms})
 
 
-def shown_vms(context):
+def listed_vms(context):
     listing = harness.get(context.platform, "/vms").json()
     return ",".join(vm["name"] for vm in listing["vms"])
 
 
 @then('the VM list shows "{names}"')
 def check_vms_now(context, names):
-    assert shown_vms(context) == names
+    assert listed_vms(context) == names
 
 
 @then('the VM list shows "{names}" within {limit_s:d} s')
 def check_vms(context, names, limit_s):
     harness.wait_until(
-        lambda: shown_vms(context) == names, limit_s=limit_s, what="the list"
+        lambda: listed_vms(context) == names, limit_s=limit_s, what="the list"
     )
 
 
@@ -203,7 +220,7 @@
     options = ["--slots", str(slots), "--journal", str(context.journal_path)]
     context.upstream = context.processes.start_upstream(*options)
     context.refusing = []
-    context.pool = ThreadPoolExecutor(SENT_AT_ONCE_LIMIT)
+    context.pool = ThreadPoolExecutor(MAX_CONCURRENT_REQUESTS)
     context.add_cleanup(context.pool.shutdown)
 
 
@@ -213,7 +230,9 @@
 
 
 def wait_until_busy(context):
-    harness.wait_until(lambda: journal(context)["busy"], what="work to start")
+    harness.wait_until(
+        lambda: read_journal(context)["busy"], what="work to start"
+    )
 
 
 @when("{count:d} requests of {work_ms:d} ms are sent at once")
@@ -227,26 +246,26 @@
 
 @then('{ran:d} were answered 200 and {refused:d} was refused as "{word}"')
 def check_split(context, ran, refused, word):
-    statuses = sorted(answer.status for answer in context.answers)
+    statuses = sorted(response.status for response in context.answers)
     assert statuses == [200] * ran + [503] * refused, statuses
-    for answer in context.answers:
-        expected = word if answer.status == 503 else None
-        assert answer.headers["Almondstair-Refused"] == expected
+    for response in context.answers:
+        expected = word if response.status == 503 else None
+        assert response.headers["Almondstair-Refused"] == expected
 
 
 @then("the upstream's journal has {runs:d} runs, {most:d} at most at once")
 def check_journal(context, runs, most):
-    found = journal(context)
+    found = read_journal(context)
     assert len(found["runs"]) == runs, found
     assert found["max_in_flight"] == most, found
 
 
 @then("no refused request is in the journal")
 def check_refused_absent(context):
-    paths = [run["path"] for run in journal(context)["runs"]]
-    for number, answer in enumerate(context.answers):
+    paths = [run["path"] for run in read_journal(context)["runs"]]
+    for number, response in enumerate(context.answers):
         is_run = any(path.startswith(f"/r{number}?") for path in paths)
-        assert is_run == (answer.status == 200), paths
+        assert is_run == (response.status == 200), paths
 
 
 @when("a request of {work_ms:d} ms is running")
@@ -258,9 +277,9 @@
 
 @then('a new request is refused as "{word}"')
 def check_new_refused(context, word):
-    answer = harness.get(context.upstream, "/new")
-    assert answer.status == 503
-    assert answer.headers["Almondstair-Refused"] == word
+    response = harness.get(context.upstream, "/new")
+    assert response.status == 503
+    assert response.headers["Almondstair-Refused"] == word
 
 
 @then("a new request is answered {status:d}")
@@ -274,20 +293,20 @@
 
 
 @when("a caller leaves after {wait_ms:d} ms of {work_ms:d} ms")
-def leave(context, wait_ms, work_ms):
+def disconnect_caller(context, wait_ms, work_ms):
     connection = harness.connect(context.upstream)
     connection.request("GET", f"/left?work_ms={work_ms}")
     wait_until_busy(context)
     time.sleep(wait_ms / 1000)
     connection.close()
     harness.wait_until(
-        lambda: not journal(context)["busy"], limit_s=2, what="a free slot"
+        lambda: not read_journal(context)["busy"], limit_s=2, what="a free slot"
     )
 
 
 @then('the journal\'s last run is "{outcome}" after at most {limit_s:d} s')
 def check_last_run(context, outcome, limit_s):
-    run = journal(context)["runs"][-1]
+    run = read_journal(context)["runs"][-1]
     assert run["outcome"] == outcome, run
     assert run["end"] - run["start"] <= limit_s, run
 
@@ -328,25 +347,25 @@
 
 
 @when("the next answer is cut after {size_bytes:d} bytes")
-def set_cut(context, size_bytes):
+def set_truncation(context, size_bytes):
     control = {"cut": 1, "cut_after_bytes": size_bytes}
     harness.post(context.upstream, "/_control", control)
 
 
 @then("an answer of {size_bytes:d} bytes breaks off at {cut_bytes:d}")
-def check_cut(context, size_bytes, cut_bytes):
+def check_truncated(context, size_bytes, cut_bytes):
     try:
         harness.get(context.upstream, f"/?answer_bytes={size_bytes}")
     except http.client.IncompleteRead as error:
         assert len(error.partial) == cut_bytes, len(error.partial)
         return
-    raise AssertionError("the answer was not cut")
+    raise AssertionError("the response was not truncated")
 
 
 @then("an answer of {size_bytes:d} bytes is whole")
-def check_whole(context, size_bytes):
-    answer = harness.get(context.upstream, f"/?answer_bytes={size_bytes}")
-    assert answer.body == b"".join(body_chunks(size_bytes))
+def check_complete(context, size_bytes):
+    response = harness.get(context.upstream, f"/?answer_bytes={size_bytes}")
+    assert response.body == b"".join(body_chunks(size_bytes))
 
 
 @then("its load report says {busy:d} busy")
@@ -370,9 +389,9 @@
     path = f"/?answer_bytes={down * MEBIBYTE}"
     chunks = body_chunks(size_bytes)
     connection.request("POST", path, body=chunks, headers=headers)
-    answer = connection.getresponse()
-    assert answer.headers["Body-Sha256"] == body_sha256(size_bytes)
-    digest = hashlib.file_digest(answer, "sha256")
+    response = connection.getresponse()
+    assert response.headers["Body-Sha256"] == body_sha256(size_bytes)
+    digest = hashlib.file_digest(response, "sha256")
     connection.close()
     assert digest.hexdigest() == body_sha256(down * MEBIBYTE)
     grown_bytes = child.resident_bytes(field="VmHWM") - before_bytes
@@ -422,7 +441,7 @@
 
 
 @given("an entry that takes no connections comes first")
-def have_refusing(context):
+def add_refusing_entry(context):
     context.refusing = [harness.free_address()]
 
 
--- a/features/steps/steering_steps.py
+++ b/features/steps/steering_steps.py
@@ -1,4 +1,4 @@
-"""Steps of steering.feature: the pure core under a clock of the test's own."""
+"""Steps of steering.feature: the pure core under a simulated clock."""
 
 from behave import given
 from behave import then
@@ -55,7 +55,7 @@
     context.world.run(length_s=length_s, free_slots={first: free, second: free})
 
 
-def _digest(world, age_s, limit_s, region, free):
+def _record_digest(world, age_s, limit_s, region, free):
     world.steering.regions.record_load_report(
         region=region,
         service=SERVICE,
@@ -72,12 +72,12 @@
     "for {length_s:d} s a digest {age_s:g} s old with a limit of {limit_s:g} s "
     'gives "{region}" {free:g} free'
 )
-def digest_comes(context, *, length_s, age_s, limit_s, region, free):
+def digest_arrives(context, *, length_s, age_s, limit_s, region, free):
     context.digest = (age_s, limit_s, region, free)
     context.world.run(
         length_s=length_s,
         free_slots={},
-        each_tick=lambda: _digest(context.world, *context.digest),
+        each_tick=lambda: _record_digest(context.world, *context.digest),
     )
 
 
@@ -85,22 +85,22 @@
     'for {length_s:d} s the same digest comes while "{region}" reports '
     "{free:g} free"
 )
-def digest_goes_on(context, length_s, region, free):
+def digest_repeats(context, length_s, region, free):
     context.world.run(
         length_s=length_s,
         free_slots={region: free},
-        each_tick=lambda: _digest(context.world, *context.digest),
+        each_tick=lambda: _record_digest(context.world, *context.digest),
     )
 
 
 @then('"{region}" is no longer known')
 def no_longer_known(context, region):
     world = context.world
-    for row in world.steering.regions.status(
+    for state in world.steering.regions.status(
         service=SERVICE, now_s=world.now_s
     ):
-        if row.region == region:
-            assert not row.known, row
+        if state.region == region:
+            assert not state.known, state
 
 
 @when("nobody reports for {length_s:d} s")
@@ -108,12 +108,12 @@
     context.world.run(length_s=length_s, free_slots={})
 
 
-def _run_with_answers(context, *, free, length_s, each):
+def _run_with_outcomes(context, *, free, length_s, record_outcome):
     context.world.mark_s = context.world.now_s
 
     def each_tick():
         for _ in range(REQUESTS_PER_TICK):
-            each(context.world)
+            record_outcome(context.world)
 
     context.world.run(
         length_s=length_s,
@@ -132,7 +132,9 @@
             region=region, service=SERVICE, now_s=world.now_s
         )
 
-    _run_with_answers(context, free=free, length_s=length_s, each=fail)
+    _run_with_outcomes(
+        context, free=free, length_s=length_s, record_outcome=fail
+    )
 
 
 @when(
@@ -148,7 +150,9 @@
             now_s=world.now_s,
         )
 
-    _run_with_answers(context, free=free, length_s=length_s, each=refuse)
+    _run_with_outcomes(
+        context, free=free, length_s=length_s, record_outcome=refuse
+    )
 
 
 @when(
@@ -166,7 +170,9 @@
             now_s=world.now_s,
         )
 
-    _run_with_answers(context, free=free, length_s=length_s, each=answer)
+    _run_with_outcomes(
+        context, free=free, length_s=length_s, record_outcome=answer
+    )
 
 
 @when('"{region}" reports that it has no slots')
@@ -262,14 +268,14 @@
 
 
 @then('{priority} work has "{region}" as its only choice')
-def work_goes_alone(context, priority, region):
+def work_has_one_choice(context, priority, region):
     for draw in draws():
         order = context.world.choose(Priority(priority), draw)
         assert order == (region,), order
 
 
 @then('{priority} work sent to "{region}" is tried nowhere else')
-def work_tried_once(context, priority, region):
+def work_not_retried_elsewhere(context, priority, region):
     for draw in draws():
         order = context.world.choose(Priority(priority), draw)
         assert order[0] != region or order == (region,), order
@@ -279,7 +285,7 @@
     'at most {part:g} of {priority} work goes to "{region}", '
     'the rest to "{home}" alone'
 )
-def little_work_goes(context, part, priority, region, home):
+def work_share_at_most(context, part, priority, region, home):
     sent = 0
     for draw in draws():
         order = context.world.choose(Priority(priority), draw)
