--- a/features/steps/standins_steps.py
+++ b/features/steps/standins_steps.py
@@ -35,7 +35,10 @@
 
 
 def call_platform(context, path, body):
-    """Calls the platform; returns {} and sets `unanswered` without an answer."""
+    """Calls the platform and returns its answer, which may be a refusal.
+
+    Without an answer, returns {} and sets `context.unanswered`.
+    """
     context.unanswered = False
     try:
         response = harness.post(context.platform, path, body)
