--- a/features/steps/slots_steps.py
+++ b/features/steps/slots_steps.py
@@ -8,7 +8,7 @@
 from behave import when
 
 from features.support.bounded import BoundedDeployment
-from features.support.bounded import most_at_once
+from features.support.bounded import max_concurrent_runs
 from features.support.closed_loop import ClosedLoop
 from features.support.closed_loop import LoadRequest
 from features.support.deployment import Shape
@@ -273,7 +273,7 @@
         )
         assert journal["refused"]["over_slots"] == 0, journal["refused"]
         runs.extend(journal["runs"])
-    max_in_flight = most_at_once(runs)
+    max_in_flight = max_concurrent_runs(runs)
     assert max_in_flight <= SLOTS * len(context.deployment.upstreams), (
         max_in_flight
     )
--- a/features/support/heartbeat_entries.py
+++ b/features/support/heartbeat_entries.py
@@ -1,4 +1,4 @@
-"""Entries with their heartbeats alone, over real sockets or stepped without."""
+"""Entries reduced to heartbeats, over real sockets or in simulated time."""
 
 import random
 
@@ -50,10 +50,10 @@
 
 
 class Entry:
-    """One entry without the parts that carry callers."""
+    """An entry without the components that serve callers."""
 
     def __init__(self, own, table, clock, send=None):
-        """Opens no socket when `send` stands for the peers."""
+        """Opens no socket if `send` replaces the peers."""
         self.own = own
         self.membership = Membership(
             own=own, silence_limit_s=SILENCE_LIMIT_MS / 1000
@@ -79,14 +79,14 @@
             peers=self.peers,
             clock=clock,
             own_detail=two_services,
-            companions=lambda name: (),
+            piggybacked_messages=lambda name: (),
             interval_ms=INTERVAL_MS,
             silence_limit_ms=SILENCE_LIMIT_MS,
         )
-        self.heartbeats.refresh_table()
+        self.heartbeats.update_receivers()
 
     def receive(self, name, incarnation, message):
-        """Takes a message in."""
+        """Passes a received message to the heartbeats."""
         self.heartbeats.receive(
             name=name, incarnation=incarnation, heartbeat=message
         )
@@ -101,18 +101,22 @@
     return oldest_s
 
 
-class Steps:
-    """Steps the entries of a table through simulated time without sockets.
+class HeartbeatSimulation:
+    """Runs the entries of a table in simulated time without sockets.
 
-    Each entry ticks once an interval at a moment of its own; what it sends
-    arrives at once.
+    Each entry sends once per interval, each at a different time; messages
+    arrive immediately.
+
+    Attributes:
+      pulls_configuration: whether an entry copies a newer configuration from
+        the sender of a heartbeat.
     """
 
     def __init__(self, count: int, zones: int) -> None:
-        """Makes the entries; none ticks yet."""
+        """Creates the entries; none has sent yet."""
         self.now_s = 0.0
         self.sent_bytes = 0
-        self.pulls = False
+        self.pulls_configuration = False
         self.entries: dict[str, Entry] = {}
         table = make_table(count, zones)
         for row in table.entries:
@@ -123,7 +127,7 @@
         random.Random(1).shuffle(self.order)
 
     def run(self, seconds: float) -> None:
-        """Ticks every entry once in each interval."""
+        """Sends a heartbeat round of every entry once per interval."""
         step_s = INTERVAL_MS / 1000 / len(self.order)
         for _ in range(int(seconds * 1000 / INTERVAL_MS)):
             for entry in self.order:
@@ -131,34 +135,34 @@
                 entry.heartbeats.send_round()
 
     def deliver(self, sender_name: str, name: str, frame: bytes) -> None:
-        """Hands a frame over, and a newer configuration when `pulls`."""
+        """Delivers a frame, with the configuration if `pulls_configuration`."""
         entry = self.entries[name]
         heartbeat = messages.decode(frame)
         entry.receive(sender_name, 1, heartbeat)
         newer = heartbeat.configuration_version > entry.configuration.version
-        if self.pulls and newer:
+        if self.pulls_configuration and newer:
             sender = self.entries[sender_name]
             entry.configuration.apply_if_newer(sender.configuration.in_force)
 
 
 class SimulatedPeers:
-    """Stands for the sockets of one entry."""
+    """Replaces the sockets of one entry."""
 
-    def __init__(self, steps: Steps, name: str) -> None:
-        """Sends as the entry `name`."""
+    def __init__(self, steps: HeartbeatSimulation, name: str) -> None:
+        """Creates the peers of the entry `name`."""
         self.steps = steps
         self.name = name
 
     def set_rows(self, rows) -> None:
-        """Needs no addresses."""
+        """Does nothing; deliveries need no addresses."""
         del rows
 
     def connect(self, name: str) -> None:
-        """Needs no connection."""
+        """Does nothing; deliveries need no connection."""
         del name
 
     def send(self, name: str, *parts) -> bool:
-        """Delivers at once and counts the bytes."""
+        """Delivers messages immediately and counts their bytes."""
         self.steps.sent_bytes += PACKET_OVERHEAD_BYTES
         for message in parts:
             frame = messages.encode(message)
