--- a/almondstair/serving.py
+++ b/almondstair/call_router.py
@@ -9,16 +9,16 @@
 
 from almondstair import log
 from almondstair.calls import Call
+from almondstair.core.entry_selection import EntrySelector
 from almondstair.core.entry_table import EntryRow
-from almondstair.core.hops import HopTable
+from almondstair.core.loop_stall import LoopStall
 from almondstair.core.membership import Membership
 from almondstair.core.model import Configuration
+from almondstair.core.quarantine import DispatchVerdict
 from almondstair.core.quarantine import Quarantine
-from almondstair.core.quarantine import Verdict
 from almondstair.core.quarantine import request_fingerprint
 from almondstair.core.retries import RetryBudget
 from almondstair.core.retries import retry_after_ms
-from almondstair.core.standstill import Standstill
 from almondstair.core.steering import Steering
 from almondstair.dispatch import Sender
 from almondstair.dispatch import timeout_error
@@ -26,15 +26,15 @@
 from almondstair.errors import ErrorKind
 from almondstair.errors import Ran
 from almondstair.http_client import Pace
-from almondstair.http_client import no_pace
+from almondstair.http_client import unlimited_pace
+from almondstair.link_pacers import LinkPacers
 from almondstair.metrics import Metric
 from almondstair.metrics import Metrics
-from almondstair.pacing import LinkPacers
-from almondstair.running import SERVER_ERROR
-from almondstair.running import Runner
-from almondstair.running import Work
-from almondstair.running import unknown_if_run
-from almondstair.strike_words import StrikeWords
+from almondstair.runner import MIN_SERVER_ERROR_STATUS
+from almondstair.runner import Runner
+from almondstair.runner import RunnerJob
+from almondstair.runner import mark_outcome_unknown
+from almondstair.strike_exchange import StrikeExchange
 from almondstair.tracing import Tracing
 
 MAX_ATTEMPTS = 3
@@ -78,7 +78,7 @@
 _MIN_TIMEOUT_FRACTION = 0.5
 
 
-class Parts(NamedTuple):
+class CallRouterParts(NamedTuple):
     """Holds the components that call handling depends on.
 
     Attributes:
@@ -92,29 +92,29 @@
       sender: forwards calls to other entries.
       tracing: creates spans.
       metrics: counters and timings.
-      standstill: time for which this process was stalled.
-      strike_words: other entries' reports of requests that crash upstreams.
+      loop_stall: time for which this process was stalled.
+      strike_exchange: other entries' reports of requests that crash upstreams.
     """
 
     own: EntryRow
     membership: Membership
     steering: Steering
-    hops: HopTable
+    hops: EntrySelector
     quarantine: Quarantine
     pacers: LinkPacers
     runner: Runner
     sender: Sender
     tracing: Tracing
     metrics: Metrics
-    standstill: Standstill
-    strike_words: StrikeWords
+    loop_stall: LoopStall
+    strike_exchange: StrikeExchange
 
 
 class _AttemptStart(NamedTuple):
     """Holds an attempt's start time and the stall time up to it."""
 
     started_s: float
-    stalled_s: float
+    stall_s: float
 
 
 class _Hop(NamedTuple):
@@ -124,10 +124,10 @@
     row: EntryRow
 
 
-class Serving:
+class CallRouter:
     """Routes the calls of one entry, with retries."""
 
-    def __init__(self, *, parts: Parts) -> None:
+    def __init__(self, *, parts: CallRouterParts) -> None:
         """Creates a router without a configuration."""
         self._parts = parts
         self._budgets: dict[str, RetryBudget] = {}
@@ -155,8 +155,8 @@
             span.set_attribute("service", call.head.service)
             span.set_attribute("request_class", call.head.request_class.name)
             call = call._replace(
-                traceparent=self._parts.tracing.header(
-                    span, otherwise=call.traceparent
+                traceparent=self._parts.tracing.outgoing_traceparent(
+                    span, fallback=call.traceparent
                 )
             )
             error = await self._answer_before_deadline(call)
@@ -177,13 +177,13 @@
             error = raised
         if error is None:
             return None
-        error = unknown_if_run(error, call=call)
+        error = mark_outcome_unknown(error, call=call)
         # Marked as answered before the response is written, so that nothing
         # dispatches the request any more.
-        call.progress.answer()
+        call.progress.try_answer()
         error = await self._replay_known_outcome(call, error)
         if error is not None:
-            call.answer.problem(error)
+            call.response.send_problem(error)
         return error
 
     async def _replay_known_outcome(
@@ -205,7 +205,7 @@
             return error
         try:
             async with asyncio.timeout_at(call.head.deadline_s):
-                if await self._parts.runner.answer_repeat(call):
+                if await self._parts.runner.replay_recorded_response(call):
                     return None
         except TimeoutError:
             return error
@@ -220,19 +220,19 @@
             body_digest=call.body.digest().encode(),
         )
         verdict = self._verdict(fingerprint)
-        if call.alone and verdict is Verdict.CLEAR:
-            verdict = Verdict.ALONE
+        if call.isolated and verdict is DispatchVerdict.CLEAR:
+            verdict = DispatchVerdict.ISOLATED
         if call.from_entry:
-            job = Work(call, fingerprint, verdict, no_pace)
+            job = RunnerJob(call, fingerprint, verdict, unlimited_pace)
             return await self._parts.runner.run(job)
         return await self._route_with_retries(call, fingerprint, verdict)
 
-    def _verdict(self, fingerprint: int) -> Verdict:
-        self._parts.strike_words.read_waiting()
+    def _verdict(self, fingerprint: int) -> DispatchVerdict:
+        self._parts.strike_exchange.read_pending()
         now_s = time.monotonic()
         quarantine = self._parts.quarantine
         verdict = quarantine.verdict(fingerprint=fingerprint, now_s=now_s)
-        if verdict is Verdict.QUARANTINED:
+        if verdict is DispatchVerdict.QUARANTINED:
             left_s = quarantine.remaining_s(
                 fingerprint=fingerprint, now_s=now_s
             )
@@ -243,38 +243,38 @@
         return verdict
 
     async def _route_with_retries(
-        self, call: Call, fingerprint: int, verdict: Verdict
+        self, call: Call, fingerprint: int, verdict: DispatchVerdict
     ) -> AlmondstairError | None:
         budget = self._budgets[call.head.service]
-        budget.first_try(now_s=time.monotonic())
+        budget.record_first_attempt(now_s=time.monotonic())
         tried: frozenset[str] = frozenset()
         error = self._no_region_error(call)
         for _ in range(MAX_ATTEMPTS):
             hop = self._next_hop(call, tried)
-            if verdict is Verdict.ALONE:
+            if verdict is DispatchVerdict.ISOLATED:
                 hop = self._owner(call, fingerprint)
             if hop is None or hop.row.name in tried:
                 break
             tried = tried | {hop.row.name}
             attempt_error = await self._attempt(call, hop, fingerprint, verdict)
             if attempt_error is None:
-                self._parts.quarantine.answered(fingerprint=fingerprint)
+                self._parts.quarantine.record_answer(fingerprint=fingerprint)
                 return None
             error = attempt_error
             if not self._may_retry(call, error, budget):
                 break
             self._parts.metrics.count(Metric.RETRIES)
-            call.answer.reset()
+            call.response.reset()
             verdict = self._verdict(fingerprint)
             if error.kind is ErrorKind.UPSTREAM_LOST:
                 # The report of the strike by the other entry may not have
                 # arrived yet. An ordinary retry could crash an upstream that
                 # runs other requests, so the retry runs isolated.
-                call = call._replace(alone=True)
+                call = call._replace(isolated=True)
                 await asyncio.sleep(STRIKE_PROPAGATION_S)
                 verdict = self._verdict(fingerprint)
-                if verdict is Verdict.CLEAR:
-                    verdict = Verdict.ALONE
+                if verdict is DispatchVerdict.CLEAR:
+                    verdict = DispatchVerdict.ISOLATED
         return _jitter_retry_after(error)
 
     def _no_region_error(self, call: Call) -> AlmondstairError:
@@ -304,14 +304,14 @@
             now_s=now_s,
             draw=random.random(),
         )
-        live = self._parts.membership.live(now_s=now_s)
+        live = self._parts.membership.live_entries(now_s=now_s)
         fallback: _Hop | None = None
         for region in regions:
             rows = []
             for row in live:
                 if row.region == region:
                     rows.append(row)
-            ranked = self._parts.hops.order(
+            ranked = self._parts.hops.ranked_entries(
                 rows=tuple(rows),
                 service=call.head.service,
                 tried=tried,
@@ -327,8 +327,8 @@
 
     def _owner(self, call: Call, fingerprint: int) -> _Hop | None:
         now_s = time.monotonic()
-        row = self._parts.hops.owner(
-            rows=tuple(self._parts.membership.live(now_s=now_s)),
+        row = self._parts.hops.designated_entry(
+            rows=tuple(self._parts.membership.live_entries(now_s=now_s)),
             service=call.head.service,
             fingerprint=fingerprint,
             now_s=now_s,
@@ -336,13 +336,13 @@
         return None if row is None else _Hop(row.region, row)
 
     async def _attempt(
-        self, call: Call, hop: _Hop, fingerprint: int, verdict: Verdict
+        self, call: Call, hop: _Hop, fingerprint: int, verdict: DispatchVerdict
     ) -> AlmondstairError | None:
         service = call.head.service
         start = self._attempt_start()
         priority = call.head.request_class.priority
         pacers = self._parts.pacers
-        pacers.check(
+        pacers.check_capacity(
             region=hop.region,
             priority=priority,
             body_bytes=call.body_bytes,
@@ -350,44 +350,52 @@
             now_s=start.started_s,
         )
         kind = f"{service}/{call.head.request_class.name}"
-        transfer = pacers.transfer(
+        transfer = pacers.make_transfer(
             region=hop.region,
             priority=priority,
             deadline_s=call.head.deadline_s,
             body_bytes=call.body_bytes,
-            kind=kind,
+            response_kind=kind,
+        )
+        call.response.pace = transfer.pace_response
+        self._parts.hops.record_sent(entry=hop.row.name, service=service)
+        self._parts.steering.regions.record_sent(
+            region=hop.region, service=service
         )
-        call.answer.pace = transfer.answer
-        self._parts.hops.sent(entry=hop.row.name, service=service)
-        self._parts.steering.regions.sent(region=hop.region, service=service)
         error: AlmondstairError | None = AlmondstairError(
             kind=ErrorKind.UPSTREAM_TIMEOUT
         )
         try:
-            await transfer.start()
+            await transfer.reserve_response()
             if hop.row.name == self._parts.own.name:
-                job = Work(call, fingerprint, verdict, transfer.request)
+                job = RunnerJob(
+                    call, fingerprint, verdict, transfer.pace_request
+                )
                 error = await self._run_locally(job)
             else:
                 self._parts.metrics.count(Metric.FORWARDS, hop.region)
-                error = await self._forward(call, hop, transfer.request)
+                error = await self._forward(call, hop, transfer.pace_request)
             if error is None:
-                pacers.note_answer(kind=kind, size_bytes=transfer.answer_bytes)
+                pacers.record_response_size(
+                    response_kind=kind, size_bytes=transfer.response_bytes
+                )
         finally:
             transfer.end()
-            self._parts.hops.returned(entry=hop.row.name, service=service)
+            self._parts.hops.record_finished(
+                entry=hop.row.name, service=service
+            )
             self._report_to_steering(call, hop, error, start)
         return error
 
     def _attempt_start(self) -> _AttemptStart:
         return _AttemptStart(
-            started_s=time.monotonic(), stalled_s=self._stalled_s()
+            started_s=time.monotonic(), stall_s=self._stall_s()
         )
 
-    def _stalled_s(self) -> float:
-        return self._parts.standstill.total_s(now_s=time.monotonic())
+    def _stall_s(self) -> float:
+        return self._parts.loop_stall.total_s(now_s=time.monotonic())
 
-    async def _run_locally(self, job: Work) -> AlmondstairError | None:
+    async def _run_locally(self, job: RunnerJob) -> AlmondstairError | None:
         try:
             return await self._parts.runner.run(job)
         except AlmondstairError as error:
@@ -396,7 +404,7 @@
     async def _forward(
         self, call: Call, hop: _Hop, pace: Pace
     ) -> AlmondstairError | None:
-        attempt = await self._parts.sender.to_entry(
+        attempt = await self._parts.sender.forward_to_entry(
             call=call,
             entry=hop.row,
             pace=pace,
@@ -404,8 +412,8 @@
         )
         if attempt.error is not None:
             return attempt.error
-        if call.progress.answer():
-            await call.answer.complete()
+        if call.progress.try_answer():
+            await call.response.complete()
         return None
 
     def _report_to_steering(
@@ -420,28 +428,30 @@
         service = call.head.service
         request_class = call.head.request_class
         regions = self._parts.steering.regions
-        if error is None and call.answer.status >= SERVER_ERROR:
+        if error is None and call.response.status >= MIN_SERVER_ERROR_STATUS:
             # The caller gets this response, but the region counts as failed: a
             # region that fails fast would otherwise look the least loaded.
-            regions.failed(region=hop.region, service=service, now_s=now_s)
+            regions.record_failure(
+                region=hop.region, service=service, now_s=now_s
+            )
             return
         if error is None:
-            regions.answered(
+            regions.record_answer(
                 region=hop.region,
                 service=service,
                 priority=request_class.priority,
                 request_class=request_class.name,
                 latency_ms=duration_ms,
                 now_s=now_s,
-                still_ms=(self._stalled_s() - start.stalled_s) * 1000,
+                stall_ms=(self._stall_s() - start.stall_s) * 1000,
             )
             return
         if error.kind is ErrorKind.NO_SLOT:
-            self._parts.hops.refused(
+            self._parts.hops.record_refusal(
                 entry=hop.row.name, service=service, now_s=now_s
             )
         if error.kind in _REGION_REFUSALS:
-            regions.refused(
+            regions.record_refusal(
                 region=hop.region,
                 service=service,
                 priority=request_class.priority,
@@ -452,9 +462,11 @@
         timed_out = error.kind is ErrorKind.UPSTREAM_TIMEOUT
         too_short = timed_out and duration_ms < min_ms
         if error.kind in _FAILURES and not too_short:
-            regions.failed(region=hop.region, service=service, now_s=now_s)
+            regions.record_failure(
+                region=hop.region, service=service, now_s=now_s
+            )
             return
-        regions.returned(region=hop.region, service=service)
+        regions.record_finished(region=hop.region, service=service)
 
     def _may_retry(
         self, call: Call, error: AlmondstairError, budget: RetryBudget
@@ -466,7 +478,7 @@
         refused, and retries without a budget would saturate the system with
         refusals.
         """
-        if not call.answer.untouched or call.answer.caller_gone:
+        if not call.response.nothing_sent or call.response.caller_disconnected:
             return False
         if not call.body.replayable and call.body.consumed:
             return False
@@ -478,7 +490,7 @@
             return False
         if error.kind is ErrorKind.UPSTREAM_TIMEOUT:
             return False
-        return budget.may_retry(now_s=time.monotonic())
+        return budget.try_retry(now_s=time.monotonic())
 
     def _record_metrics(
         self, call: Call, error: AlmondstairError | None, started_s: float
--- a/almondstair/tools/operator_client.py
+++ b/almondstair/tools/operator_client.py
@@ -13,16 +13,16 @@
 
 _CONNECT_TIMEOUT_S = 2.0
 _REQUEST_TIMEOUT_S = 10.0
-# For one of many entries, so that a frozen one does not hold up the rest.
-_ONE_OF_MANY_TIMEOUT_S = 2.0
+# Shorter for one of many entries, so that a frozen one does not delay the rest.
+_SINGLE_ENTRY_TIMEOUT_S = 2.0
 
 
-class Silence(NamedTuple):
-    """An entry that gave no answer.
+class UnreachableEntry(NamedTuple):
+    """Describes an entry that did not answer.
 
     Attributes:
-      address: its operators' listener.
-      reason: what was seen.
+      address: address of its operators' listener.
+      reason: the error of the connection or request.
     """
 
     address: str
@@ -30,35 +30,35 @@
 
 
 class RemoteError(errors.AlmondstairError):
-    """An error that an entry answered.
+    """Reports an error that an entry answered.
 
     Attributes:
-      body: the whole answer, with members beyond those of every problem.
+      body: the complete problem, with members that are specific to its kind.
     """
 
     def __init__(self, *, kind: errors.ErrorKind, body: dict[str, Any]) -> None:
-        """Makes the error from an answer's body."""
+        """Makes the error from the body of a response."""
         super().__init__(kind=kind, detail=str(body.get("detail", "")))
         self.body = body
 
 
 class OperatorClient:
-    """Asks entries, in the order given, until one answers.
+    """Sends requests to entries, in the order given, until one answers.
 
     Attributes:
-      silences: entries that gave no answer so far, and why.
+      unreachable_entries: entries that have not answered, with the reason.
     """
 
     def __init__(self, *, addresses_text: str) -> None:
         """Makes a client.
 
         Args:
-          addresses_text: operators' listeners, `ip:port`, parted by commas.
+          addresses_text: operators' listeners, `ip:port`, separated by commas.
 
         Raises:
           AlmondstairError: USAGE if there is none or one is malformed.
         """
-        self.silences: list[Silence] = []
+        self.unreachable_entries: list[UnreachableEntry] = []
         self._addresses = _parse_addresses(addresses_text)
         self._http = httpclient.HTTPClient()
 
@@ -71,9 +71,9 @@
         return self._get("/v1/configuration/history")
 
     def check(self, *, text: str) -> None:
-        """Has an entry check a configuration; raises if it is not valid."""
+        """Has an entry check a configuration; raises if it is invalid."""
         body = operator_api.CheckBody(text=text)
-        self._ask("POST", "/v1/configuration/check", body=body)
+        self._request("POST", "/v1/configuration/check", body=body)
 
     def edit(self, edit: operator_api.EditBody) -> operator_api.EditState:
         """Sends an edit and returns its state, pending or accepted."""
@@ -92,48 +92,48 @@
             return _pending_state(error, edit_id=edit_id)
 
     def drain(self, *, name: str) -> operator_api.DrainBody:
-        """Returns what is still running on a VM, as its home knows it."""
+        """Returns what is still running on a VM, as its home reports it."""
         path = f"/v1/drains/{urlparse.quote(name, safe='')}"
         drain: operator_api.DrainBody = self._get(path)
         if drain["in_flight"] is not None or not drain["home_address"]:
             return drain
-        return self._ask_one(drain["home_address"], path) or drain
+        return self._request_from(drain["home_address"], path) or drain
 
     def status(self) -> operator_api.StatusBody:
-        """Returns what one entry knows."""
+        """Returns the status that one entry reports."""
         return self._get("/v1/status")
 
     def status_of(self, *, address: str) -> operator_api.StatusBody | None:
-        """Returns what a certain entry knows, None if it does not answer."""
-        return self._ask_one(address, "/v1/status")
+        """Returns the status from a given entry, None if it does not answer."""
+        return self._request_from(address, "/v1/status")
 
-    def _ask_one(self, address: str, path: str) -> Any:
-        """Asks a certain entry; None if it does not answer."""
+    def _request_from(self, address: str, path: str) -> Any:
+        """Sends a GET to a given entry; returns None if it does not answer."""
         try:
-            return self._exchange(
+            return self._send(
                 address,
                 "GET",
                 path,
                 body=None,
-                timeout_s=_ONE_OF_MANY_TIMEOUT_S,
+                timeout_s=_SINGLE_ENTRY_TIMEOUT_S,
             )
         except OSError as error:
-            self._note_silence(address, error=error)
+            self._record_unreachable(address, error=error)
         except errors.AlmondstairError as error:
-            self._note_silence(address, error=OSError(error.detail))
+            self._record_unreachable(address, error=OSError(error.detail))
         return None
 
     def _get(self, path: str) -> Any:
-        return self._ask("GET", path, body=None)
+        return self._request("GET", path, body=None)
 
-    def _ask(self, method: str, path: str, *, body: Any) -> Any:
-        """Asks each entry in turn; only for requests that change nothing."""
+    def _request(self, method: str, path: str, *, body: Any) -> Any:
+        """Tries each entry in turn; only for requests without side effects."""
         for address in tuple(self._addresses):
             try:
-                return self._exchange(address, method, path, body=body)
+                return self._send(address, method, path, body=body)
             except OSError as error:
-                self._note_silence(address, error=error)
-        raise self._unreachable()
+                self._record_unreachable(address, error=error)
+        raise self._unreachable_error()
 
     def _write(
         self,
@@ -141,38 +141,41 @@
         *,
         body: operator_api.EditBody | operator_api.MarkBody,
     ) -> operator_api.EditState:
-        """Sends a write to the first entry that takes a connection.
+        """Sends a write to the first entry that accepts a connection.
 
-        When the connection breaks after that, the write may have taken effect
-        though its answer is lost. Sending it again elsewhere could undo what
-        another operator did since, so the fate of the edit is asked instead.
+        If the connection breaks after that, the write may have taken effect
+        although its response is lost. A retry at another entry could undo a
+        later edit of another operator, so the status of the edit is read
+        instead.
         """
         edit_id = body["edit_id"]
         for address in tuple(self._addresses):
             try:
-                answer = self._exchange(address, "POST", path, body=body)
-                return _edit_state(answer, edit_id=edit_id)
+                response = self._send(address, "POST", path, body=body)
+                return _edit_state(response, edit_id=edit_id)
             except RemoteError as error:
                 return _pending_state(error, edit_id=edit_id)
             except ConnectionRefusedError as error:
-                self._note_silence(address, error=error)
+                self._record_unreachable(address, error=error)
             except OSError as error:
-                self._note_silence(address, error=error)
-                return self._state_after_loss(edit_id=edit_id)
-        raise self._unreachable()
+                self._record_unreachable(address, error=error)
+                return self._state_after_lost_response(edit_id=edit_id)
+        raise self._unreachable_error()
 
-    def _state_after_loss(self, *, edit_id: str) -> operator_api.EditState:
+    def _state_after_lost_response(
+        self, *, edit_id: str
+    ) -> operator_api.EditState:
         try:
             return self.edit_state(edit_id=edit_id)
         except errors.AlmondstairError as error:
-            # "Not found" may be said before the lost write has taken effect.
+            # An entry may answer "not found" before the write takes effect.
             raise errors.AlmondstairError(
                 kind=errors.ErrorKind.EDIT_UNKNOWN,
-                detail="the answer to the edit was lost; ask later with: "
+                detail="the response to the edit was lost; check later with: "
                 f"almondstairctl edit status {edit_id}",
             ) from error
 
-    def _exchange(
+    def _send(
         self,
         address: str,
         method: str,
@@ -196,21 +199,25 @@
             raise OSError(str(error)) from error
         return _decode(response, address=address)
 
-    def _note_silence(self, address: str, *, error: OSError) -> None:
-        """Notes a silent entry once and asks it last from now on."""
+    def _record_unreachable(self, address: str, *, error: OSError) -> None:
+        """Records an unreachable entry once and tries it last from now on."""
         if address in self._addresses:
             self._addresses.remove(address)
             self._addresses.append(address)
-        for silence in self.silences:
-            if silence.address == address:
+        for unreachable in self.unreachable_entries:
+            if unreachable.address == address:
                 return
         reason = error.strerror or str(error) or type(error).__name__
-        self.silences.append(Silence(address=address, reason=reason))
+        self.unreachable_entries.append(
+            UnreachableEntry(address=address, reason=reason)
+        )
 
-    def _unreachable(self) -> errors.AlmondstairError:
+    def _unreachable_error(self) -> errors.AlmondstairError:
         lines: list[str] = []
-        for silence in self.silences:
-            lines.append(f"{silence.address} does not answer: {silence.reason}")
+        for unreachable in self.unreachable_entries:
+            lines.append(
+                f"{unreachable.address} does not answer: {unreachable.reason}"
+            )
         return errors.AlmondstairError(
             kind=errors.ErrorKind.ENTRY_UNREACHABLE, detail="\n".join(lines)
         )
@@ -239,23 +246,23 @@
 
 
 def _decode(response: httpclient.HTTPResponse, *, address: str) -> Any:
-    """Returns an answer's JSON body; raises if it is a problem."""
+    """Returns the JSON body of a response; raises if it is a problem."""
     try:
         body = json.loads(response.body)
     except ValueError:
         body = None
     if not isinstance(body, dict):
-        raise _not_operators(address)
+        raise _wrong_listener(address)
     if "kind" not in body and response.code == http.HTTPStatus.OK:
         return body
     try:
         kind = errors.ErrorKind(str(body.get("kind")))
     except ValueError as error:
-        raise _not_operators(address) from error
+        raise _wrong_listener(address) from error
     raise RemoteError(kind=kind, body=body)
 
 
-def _not_operators(address: str) -> errors.AlmondstairError:
+def _wrong_listener(address: str) -> errors.AlmondstairError:
     return errors.AlmondstairError(
         kind=errors.ErrorKind.ENTRY_UNREACHABLE,
         detail=f"{address} answers, but not as an operators' listener; "
@@ -277,7 +284,7 @@
 def _pending_state(
     error: RemoteError, *, edit_id: str
 ) -> operator_api.EditState:
-    """Returns the state in a pending answer; raises any other error again."""
+    """Returns the state from a pending error; raises any other error again."""
     if error.kind is not errors.ErrorKind.EDIT_PENDING:
         raise error
     return operator_api.EditState(
--- /dev/null
+++ b/almondstair/tools/request_explanations.py
@@ -0,0 +1,238 @@
+"""Explanations of single requests, from the log lines of several VMs."""
+
+from collections.abc import Iterable
+import json
+from typing import Any, NamedTuple
+
+from almondstair.log import Event
+
+_ANSWERED = Event.REQUEST_ANSWERED.value.number
+_ATTEMPT_FAILED = Event.TRY_FAILED.value.number
+_REFUSED = Event.GATEWAY_REFUSED.value.number
+_FAILED = Event.REQUEST_FAILED.value.number
+_ABANDONED = Event.REQUEST_ABANDONED.value.number
+_WAITED = Event.ANSWER_WAITED.value.number
+_LINES_DROPPED = Event.LINES_LEFT_OUT.value.number
+_STORE_LOST = Event.STORE_LOST.value.number
+_STORE_BACK = Event.STORE_BACK.value.number
+_IN_FORCE = Event.CONFIGURATION_IN_FORCE.value.number
+_UPSTREAM_EVENTS = frozenset(
+    (
+        Event.UPSTREAM_CHANGED.value.number,
+        Event.UPSTREAM_GONE.value.number,
+        Event.UPSTREAM_UNREACHABLE.value.number,
+    )
+)
+# Fields that don't help to explain the outcome.
+_COMMON_FIELDS = frozenset(("time", "level", "message", "event", "event_name"))
+# Ratio of actual to expected latency above which the upstream was slow; below
+# it, a long latency was expected.
+_SLOW_RUN_RATIO = 1.5
+
+
+class LogLine(NamedTuple):
+    """Holds one line of a log.
+
+    Attributes:
+      time: when it was written, in the format of the log.
+      source: name of the log file.
+      event: number of the event.
+      fields: all fields of the line.
+    """
+
+    time: str
+    source: str
+    event: int
+    fields: dict[str, Any]
+
+
+class RequestExplanation(NamedTuple):
+    """Explains what happened to a request and why.
+
+    Attributes:
+      request: id of the request.
+      cause: its outcome and the reason, in one sentence.
+      lines: lines that name the request, in order of time.
+      around: lines about its upstreams and about the store.
+    """
+
+    request: str
+    cause: str
+    lines: list[LogLine]
+    around: list[LogLine]
+
+
+def read_lines(source: str, text: Iterable[str]) -> list[LogLine]:
+    """Reads JSON lines; skips other lines, such as a traceback."""
+    lines = []
+    for row in text:
+        start = row.find("{")
+        if start < 0:
+            continue
+        try:
+            fields = json.loads(row[start:])
+        except json.JSONDecodeError:
+            continue
+        if not isinstance(fields, dict) or "event" not in fields:
+            continue
+        lines.append(
+            LogLine(
+                time=str(fields.get("time", "")),
+                source=source,
+                event=int(fields["event"]),
+                fields=fields,
+            )
+        )
+    return lines
+
+
+def explain(request: str, lines: list[LogLine]) -> RequestExplanation:
+    """Explains a request from log lines."""
+    ordered = sorted(lines, key=lambda line: line.time)
+    own_lines = [
+        line for line in ordered if line.fields.get("request") == request
+    ]
+    upstreams = _upstreams_tried(own_lines)
+    context = []
+    for line in ordered:
+        if _is_context(line, own_lines, upstreams):
+            context.append(line)
+    return RequestExplanation(
+        request=request,
+        cause=_describe_cause(own_lines, ordered),
+        lines=own_lines,
+        around=context,
+    )
+
+
+def _upstreams_tried(own_lines: list[LogLine]) -> set[str]:
+    found = set()
+    for line in own_lines:
+        if "upstream" in line.fields:
+            found.add(line.fields["upstream"])
+        found.update(line.fields.get("tried", []))
+    return found
+
+
+def _is_context(
+    line: LogLine, own_lines: list[LogLine], upstreams: set[str]
+) -> bool:
+    if not own_lines:
+        return False
+    if line.event in (_STORE_LOST, _STORE_BACK, _IN_FORCE):
+        return (
+            line.source == own_lines[-1].source
+            and line.time <= own_lines[-1].time
+        )
+    if line.event not in _UPSTREAM_EVENTS:
+        return False
+    return line.fields.get("upstream") in upstreams
+
+
+def _describe_cause(own_lines: list[LogLine], ordered: list[LogLine]) -> str:
+    if not own_lines:
+        return _describe_absence(ordered)
+    last = own_lines[-1].fields
+    event = own_lines[-1].event
+    if event == _ANSWERED:
+        return _describe_answered(own_lines, last)
+    if event == _FAILED:
+        return _describe_failure(own_lines, last)
+    if event == _WAITED:
+        return (
+            f"{_describe_cause(own_lines[:-1], ordered)}; "
+            f"{_describe_wait(last)}"
+        )
+    if event == _REFUSED:
+        return _describe_refusal(last)
+    return _describe_unanswered(event, last)
+
+
+def _describe_unanswered(event: int, last: dict[str, Any]) -> str:
+    if event == _ABANDONED:
+        return f"the caller disconnected after {last.get('after_ms')} ms"
+    return "no log line shows how it ended; the process may have been killed"
+
+
+def _describe_absence(ordered: list[LogLine]) -> str:
+    for line in ordered:
+        if line.event == _LINES_DROPPED:
+            return (
+                "no log line names it; lines were dropped at "
+                f"{line.time}: {line.fields.get('lines')}"
+            )
+    return "no log line names it: it reached none of these VMs"
+
+
+def _describe_answered(own_lines: list[LogLine], last: dict[str, Any]) -> str:
+    took_ms = last.get("took_ms", 0)
+    expected_ms = last.get("expected_ms", 0)
+    text = f"answered {last.get('status')} after {took_ms} ms"
+    if len(own_lines) > 1:
+        return (
+            f"{text}, after {len(own_lines) - 1} failed attempts: "
+            f"{_failed_attempts(own_lines)}"
+        )
+    if took_ms > _SLOW_RUN_RATIO * max(1, expected_ms):
+        return (
+            f"{text}, expected {expected_ms} ms: upstream "
+            f"{last.get('upstream')} was slow"
+        )
+    if not last.get("warm"):
+        return f"{text}, as expected: the upstream had not cached the object"
+    return f"{text}, as expected with {last.get('busy')} requests there"
+
+
+def _describe_wait(last: dict[str, Any]) -> str:
+    text = (
+        f"the response waited {last.get('waited_ms')} ms on its connection "
+        f"behind request {last.get('behind')}"
+    )
+    if last.get("delivered"):
+        return text
+    return f"{text}, and the caller left before it was sent"
+
+
+def _describe_refusal(last: dict[str, Any]) -> str:
+    kind = last.get("kind")
+    if kind == "no_slot":
+        text = (
+            f"refused, not run: service {last.get('service')} had "
+            f"{last.get('use')} of its slots in use at "
+            f"{last.get('upstreams')} upstreams"
+        )
+        held_back = last.get("held_back")
+        if held_back:
+            text += f"; held back from {', '.join(held_back)}"
+        return text
+    if kind == "unknown_path":
+        return f"no route: {last.get('detail')}"
+    return f"refused, not run: {kind} {last.get('detail')}"
+
+
+def _describe_failure(own_lines: list[LogLine], last: dict[str, Any]) -> str:
+    if last.get("kind") == "upstream_timeout":
+        return (
+            f"no response after {last.get('after_ms')} ms from upstream "
+            f"{', '.join(last.get('tried', []))}"
+        )
+    return f"may have run, no whole answer: {_failed_attempts(own_lines)}"
+
+
+def _failed_attempts(own_lines: list[LogLine]) -> str:
+    parts = []
+    for line in own_lines:
+        if line.event != _ATTEMPT_FAILED:
+            continue
+        fields = line.fields
+        parts.append(f"{fields.get('upstream')}: {fields.get('cause')}")
+    return "; ".join(parts) or "no failed attempt is logged"
+
+
+def details(line: LogLine) -> str:
+    """Returns the fields of a line other than its time and event."""
+    parts = []
+    for name, value in line.fields.items():
+        if name not in _COMMON_FIELDS:
+            parts.append(f"{name}={value}")
+    return " ".join(parts)
--- a/benchmarks/heartbeats.py
+++ b/benchmarks/heartbeats.py
@@ -1,14 +1,15 @@
-"""Measures heartbeats: sizes, traffic, processor time, age of what is known.
+"""Measures heartbeats: sizes, traffic, CPU time, age of known statuses.
 
-Run with `python -m benchmarks.heartbeats`; it takes half a minute. With
-`--target` the spread at the target size takes three minutes more. Three parts:
+Run: python -m benchmarks.heartbeats (half a minute)
+With `--target`, the spread at the target size takes three minutes more. There
+are three parts:
 
-* sizes: encoded bytes of each message at today's and the target size;
-* sockets: 4 to 64 entries with real sockets on loopback, four to a process,
-  bytes a second and processor time for each entry;
+* sizes: encoded bytes of each message at the present and the target size;
+* sockets: 4 to 64 entries with real sockets on loopback, four per process:
+  bytes per second and CPU time for each entry;
 * spread: the pure core of one zone and of the target size stepped through
-  simulated seconds without loss; how old the word on each entry gets, how long
-  a new configuration version takes to be known, and how long to be reported.
+  simulated seconds without loss: the age of the status of each entry, and the
+  time until a new configuration version is known and until it is reported.
 """
 
 import asyncio
@@ -24,10 +25,10 @@
 
 from almondstair import messages
 from almondstair.core.configuration import StoredConfiguration
-from almondstair.core.configuration import lacking_entries
-from almondstair.core.heartbeat_words import MemberWord
-from almondstair.core.heartbeat_words import make_digest
-from almondstair.core.heartbeat_words import make_view
+from almondstair.core.configuration import lagging_entries
+from almondstair.core.heartbeat_payloads import MemberStatus
+from almondstair.core.heartbeat_payloads import make_digest
+from almondstair.core.heartbeat_payloads import make_view
 from almondstair.core.heartbeats import DIGESTS_TO_NEAR
 from almondstair.core.heartbeats import FAR_SILENCE_S
 from almondstair.core.heartbeats import PACKET_OVERHEAD_BYTES
@@ -36,7 +37,7 @@
 from almondstair.messages import TableDocument
 from features.support.heartbeat_entries import INTERVAL_MS
 from features.support.heartbeat_entries import Entry
-from features.support.heartbeat_entries import Steps
+from features.support.heartbeat_entries import HeartbeatSimulation
 from features.support.heartbeat_entries import make_table
 from features.support.heartbeat_entries import oldest_age_s
 from features.support.heartbeat_entries import two_services
@@ -46,7 +47,7 @@
 SOCKET_RUN_S = 2.0
 SOCKET_LIMIT_S = 20.0
 ENTRIES_PER_PROCESS = 4
-NEVER_HEARD = -1.0
+NEVER_RECEIVED = -1.0
 PART_ARGUMENTS = 4
 TODAY = (10, 6)
 TARGET = (770, 14)
@@ -57,13 +58,13 @@
     print("sizes, encoded bytes without packet headers")
     words = []
     for number in range(ZONE[0]):
-        words.append(MemberWord(f"entry-{number:03d}", True, 1.0, 2300))
-    view = make_view(epoch=900, words=words, configuration_version=2300)
+        words.append(MemberStatus(f"entry-{number:03d}", True, 1.0, 2300))
+    view = make_view(epoch=900, members=words, configuration_version=2300)
     loads = two_services().loads
     digest = make_digest(
         availability_zone="region0-00",
         epoch=900,
-        words=words,
+        members=words,
         version=2300,
         loads=loads,
     )
@@ -105,7 +106,7 @@
 
 
 class Measured(NamedTuple):
-    """What one process measured over its entries."""
+    """Results of one process over its entries."""
 
     entries: int
     sent_messages_per_s: float
@@ -116,7 +117,7 @@
 
 
 async def measure(count: int, first: int, last: int) -> Measured:
-    # All in one zone: the largest group that these counts can make.
+    # All entries are in one zone, the largest group possible at this count.
     table = make_table(count, 1)
     entries = []
     for row in table.entries[first:last]:
@@ -136,7 +137,7 @@
         sent_messages += entry.peers.counts.sent_messages - counts.sent_messages
     oldest_s = oldest_age_s(entries, time.monotonic())
     if oldest_s == float("inf"):
-        oldest_s = NEVER_HEARD
+        oldest_s = NEVER_RECEIVED
     for entry in entries:
         entry.heartbeats.stop()
         entry.peers.stop()
@@ -156,8 +157,8 @@
 
 
 def run_sockets(count: int) -> None:
-    """Runs entries in several processes, few in each for their descriptors."""
-    # An age of -1 stands for an entry that was never heard.
+    """Runs entries in several processes, few in each to limit descriptors."""
+    # An age of -1 means that no heartbeat of some entry was received.
     parts = []
     for first in range(0, count, ENTRIES_PER_PROCESS):
         last = min(count, first + ENTRIES_PER_PROCESS)
@@ -173,7 +174,7 @@
     cpu = sum(part.cpu_s_per_s for part in measured) / count
     resident_bytes = max(part.resident_bytes for part in measured)
     ages_s = [part.oldest_s for part in measured]
-    oldest_s = NEVER_HEARD if NEVER_HEARD in ages_s else max(ages_s)
+    oldest_s = NEVER_RECEIVED if NEVER_RECEIVED in ages_s else max(ages_s)
     print(
         f"  {count:7} {sent:10.1f} {sent_bytes:10.0f} "
         f"{sent_bytes + sent * PACKET_OVERHEAD_BYTES:12.0f} "
@@ -184,7 +185,7 @@
 
 
 def report_spread(title: str, count: int, zones: int, warm_s: float) -> None:
-    steps = Steps(count, zones)
+    steps = HeartbeatSimulation(count, zones)
     steps.run(warm_s)
     steps.sent_bytes = 0
     near_s, far_s = [], []
@@ -192,7 +193,7 @@
     for _ in range(samples):
         steps.run(1.0)
         for entry in list(steps.entries.values())[:20]:
-            near = entry.heartbeats._fan_out.near_names
+            near = entry.heartbeats._scheduler.near_names
             for row in entry.membership.table.entries:
                 age_s = entry.membership.age_s(name=row.name, now_s=steps.now_s)
                 if row.name in near:
@@ -206,23 +207,25 @@
             continue
         ages_s.sort()
         print(
-            f"    age of the word, {group}: mean {statistics.mean(ages_s):.2f}"
+            f"    status age, {group}: mean {statistics.mean(ages_s):.2f}"
             f" s, p99 {ages_s[int(len(ages_s) * 0.99)]:.2f} s,"
-            f" most {ages_s[-1]:.2f} s"
+            f" max {ages_s[-1]:.2f} s"
         )
     report_edit(steps)
 
 
-def report_edit(steps: Steps) -> None:
-    """Gives a new version to two entries a zone, as watches would."""
+def report_edit(steps: HeartbeatSimulation) -> None:
+    """Offers a new version to two entries per zone, as watches would."""
     started_s = steps.now_s
     per_zone: dict[str, int] = {}
     for entry in steps.entries.values():
         zone = entry.own.availability_zone
         per_zone[zone] = per_zone.get(zone, 0) + 1
         if per_zone[zone] <= 2:
-            entry.configuration.offer(StoredConfiguration(2, "2", "", "", ""))
-    steps.pulls = True
+            entry.configuration.apply_if_newer(
+                StoredConfiguration(2, "2", "", "", "")
+            )
+    steps.pulls_configuration = True
     in_force_s = None
     first = next(iter(steps.entries.values()))
     while steps.now_s - started_s < 40.0:
@@ -232,7 +235,7 @@
             versions.append(entry.configuration.version)
         if in_force_s is None and min(versions) == 2:
             in_force_s = steps.now_s - started_s
-        lacking = lacking_entries(
+        lacking = lagging_entries(
             version=2,
             reports=first.membership.version_reports(
                 own_version=first.configuration.version, now_s=steps.now_s
@@ -242,8 +245,8 @@
         if in_force_s is not None and not lacking:
             break
     print(
-        f"    new version in force everywhere after {in_force_s} s, reported "
-        f"by every entry to one after {steps.now_s - started_s:.2f} s"
+        f"    new version in force on all entries after {in_force_s} s, "
+        f"reported by all to one entry after {steps.now_s - started_s:.2f} s"
         f"{'' if not lacking else f' (still lacking {len(lacking)})'}"
     )
 
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -6,15 +6,15 @@
 
 from almondstair.core.admission import SlotTable
 from almondstair.core.admission_queue import AdmissionQueue
-from almondstair.core.admission_queue import Waiting
+from almondstair.core.admission_queue import QueuedRequest
 from almondstair.core.admission_records import Admission
 from almondstair.core.admission_records import Outcome
 from almondstair.core.admission_records import Refusal
 from almondstair.core.admission_records import UpstreamReport
-from almondstair.core.duty_records import NOBODY
-from almondstair.core.duty_records import DutyOffer
 from almondstair.core.entry_table import EntryRow
 from almondstair.core.entry_table import EntryTable
+from almondstair.core.handover_records import NO_SOURCE
+from almondstair.core.handover_records import HandoverOffer
 from almondstair.core.home_records import HomedUpstream
 from almondstair.core.homes import Homes
 from almondstair.core.model import Configuration
@@ -25,22 +25,22 @@
 from almondstair.core.model import RequestClass
 from almondstair.core.model import Service
 from almondstair.core.model import Upstream
-from almondstair.core.slot_book import SlotBook
+from almondstair.core.slot_tracker import SlotTracker
 from almondstair.errors import ErrorKind
-from features.support.homes_run import Counts
-from features.support.homes_run import Run
+from features.support.homes_simulation import Counts
+from features.support.homes_simulation import HomesSimulation
 
-LONG_S = 10.0
-SHORT_S = 1.0
+LONG_DEADLINE_S = 10.0
+SHORT_DEADLINE_S = 1.0
 SLOTS = 3
 NO_ADDRESSES = ("", "", "", "")
-NOBODY_HELD = DutyOffer(NOBODY, ())
+NO_PREVIOUS_HOME = HandoverOffer(NO_SOURCE, ())
 
 
 class WithoutT1(Homes):
     """The home always uses the reserve."""
 
-    def _reserve_is_mine(self, *, upstream, now_s):
+    def _may_use_reserve(self, *, upstream, now_s):
         return True
 
 
@@ -48,26 +48,26 @@
     """The successor does not wait for the home's reserve work to end."""
 
     def __init__(self, **arguments):
-        """Passes everything on."""
+        """Forwards all arguments."""
         super().__init__(**arguments)
         self._t2_s = 0.0
 
 
 class WithoutWait(Homes):
-    """A new home starts before the last holder has said what it runs."""
+    """A new home starts before the last holder reports what it runs."""
 
-    def _last_holder(self, *, upstream):
-        return super()._last_holder(upstream=upstream) or NOBODY_HELD
+    def _previous_home(self, *, upstream):
+        return super()._previous_home(upstream=upstream) or NO_PREVIOUS_HOME
 
 
 class WithoutHeldSlots(Homes):
-    """Nothing is held for an entry that was lost."""
+    """No slots are held for a lost entry."""
 
-    def _accounts_for_lost(self, *, holder):
+    def _rules_out_lost_holder(self, *, holder):
         return True
 
 
-WITHOUT = {
+HOMES_WITHOUT = {
     "the T1 check": WithoutT1,
     "T2 over the longest deadline": WithShortT2,
     "the wait for the last holder": WithoutWait,
@@ -76,10 +76,10 @@
 
 
 class Bench:
-    """Two entries, one upstream, and the time."""
+    """Simulates two entries that share an upstream, in virtual time."""
 
     def __init__(self, *, slots=SLOTS):
-        """Starts with one entry, which is home."""
+        """Starts with one entry, the home of the upstream."""
         self.now_s = 0.0
         self.upstream = _upstream_that_moves()
         self.slots = slots
@@ -90,19 +90,21 @@
         self.apply("a")
 
     def add(self, name, incarnation):
-        book = SlotBook(margin_s=0.0)
+        tracker = SlotTracker(margin_s=0.0)
         homes = Homes(
             entry_name=name,
             incarnation=incarnation,
             t1_s=0.5,
-            reserve_deadline_s=SHORT_S,
+            reserve_deadline_s=SHORT_DEADLINE_S,
             margin_s=0.1,
-            book=book,
+            tracker=tracker,
         )
         homes.set_upstreams(
-            upstreams=(HomedUpstream(self.upstream, "r", self.slots, LONG_S),)
+            upstreams=(
+                HomedUpstream(self.upstream, "r", self.slots, LONG_DEADLINE_S),
+            )
         )
-        table = SlotTable(homes=homes, book=book)
+        table = SlotTable(homes=homes, tracker=tracker)
         table.set_configuration(configuration=self._configuration())
         self.entries[name] = homes
         self.tables[name] = table
@@ -126,16 +128,20 @@
 
     def report(self, sender, receiver):
         report = self.entries[sender].report_to(peer=receiver, now_s=self.now_s)
-        self.entries[receiver].heard(report=report, now_s=self.now_s)
+        self.entries[receiver].record_report(report=report, now_s=self.now_s)
 
-    def duty(self, name):
-        return self.entries[name].duty(upstream=self.upstream, now_s=self.now_s)
+    def dispatch_rights(self, name):
+        return self.entries[name].dispatch_rights(
+            upstream=self.upstream, now_s=self.now_s
+        )
 
-    def choose(self, *, priority=Priority.INTERACTIVE, left_s=SHORT_S):
-        return self.tables["a"].choose(
+    def acquire(
+        self, *, priority=Priority.INTERACTIVE, remaining_s=SHORT_DEADLINE_S
+    ):
+        return self.tables["a"].acquire(
             service="s",
             priority=priority,
-            deadline_s=self.now_s + left_s,
+            deadline_s=self.now_s + remaining_s,
             now_s=self.now_s,
         )
 
@@ -147,12 +153,12 @@
 
     def answer_many(self, *, times, after_s):
         for _ in range(times):
-            self.answer(self.choose(), after_s=after_s)
+            self.answer(self.acquire(), after_s=after_s)
 
-    def free(self):
+    def free_slots(self):
         return self.tables["a"].free_slots(service="s", now_s=self.now_s)
 
-    def usable(self):
+    def usable_slots(self):
         return self.tables["a"].usable_slots(service="s", now_s=self.now_s)
 
 
@@ -166,7 +172,7 @@
             t1_s=1.0,
             reserve_deadline_s=1.0,
             margin_s=0.0,
-            book=SlotBook(margin_s=0.0),
+            tracker=SlotTracker(margin_s=0.0),
         )
         homes.set_upstreams(upstreams=(HomedUpstream(name, "r", 1, 1.0),))
         table = EntryTable()
@@ -181,7 +187,7 @@
 
 @when("entries run for {seconds:d} s from seed {seed:d}")
 def run_from_seed(context, seconds, seed):
-    context.counts = Run(seed=seed).go(seconds=seconds)
+    context.counts = HomesSimulation(seed=seed).run(seconds=seconds)
 
 
 @when(
@@ -191,20 +197,22 @@
 def run_without(context, guard, seconds, first, last):
     context.counts = Counts()
     for seed in range(first, last + 1):
-        run = Run(seed=seed, homes_class=WITHOUT[guard])
-        context.counts = run.go(seconds=seconds)
-        if context.counts.most_over_slots > 0:
+        simulation = HomesSimulation(
+            seed=seed, homes_class=HOMES_WITHOUT[guard]
+        )
+        context.counts = simulation.run(seconds=seconds)
+        if context.counts.max_over_slots > 0:
             return
 
 
 @then("no upstream had more in flight than its slots")
 def none_over(context):
-    assert context.counts.most_over_slots == 0, context.counts
+    assert context.counts.max_over_slots == 0, context.counts
 
 
 @then("some upstream had more in flight than its slots")
 def some_over(context):
-    assert context.counts.most_over_slots > 0, context.counts
+    assert context.counts.max_over_slots > 0, context.counts
 
 
 @then("nothing was written after its deadline")
@@ -236,15 +244,15 @@
 def warm_home(context, slots):
     context.bench = Bench(slots=slots)
     context.bench.answer_many(times=40, after_s=0.1)
-    assert context.bench.usable() == slots
+    assert context.bench.usable_slots() == slots
 
 
 @given("an entry that is home of an upstream and fills its slots")
 def full_home(context):
     bench = Bench()
     bench.answer_many(times=40, after_s=0.1)
-    for left_s in (LONG_S, LONG_S, SHORT_S):
-        assert isinstance(bench.choose(left_s=left_s), Admission)
+    for remaining_s in (LONG_DEADLINE_S, LONG_DEADLINE_S, SHORT_DEADLINE_S):
+        assert isinstance(bench.acquire(remaining_s=remaining_s), Admission)
     context.bench = bench
 
 
@@ -271,8 +279,8 @@
 
 @then("the second entry counts the first one's requests as taken")
 def counted(context):
-    duty = context.bench.duty("b")
-    assert len(duty.busy_until_s) == SLOTS, duty
+    rights = context.bench.dispatch_rights("b")
+    assert len(rights.busy_until_s) == SLOTS, rights
 
 
 @given("both apply the table and report")
@@ -295,43 +303,47 @@
 @then("every slot counts as taken until the longest deadline has passed")
 def all_taken(context):
     bench = context.bench
-    bench.now_s += SHORT_S + LONG_S / 2
+    bench.now_s += SHORT_DEADLINE_S + LONG_DEADLINE_S / 2
     bench.report("a", "b")
-    assert len(bench.duty("b").busy_until_s) == SLOTS - 1, bench.duty("b")
-    bench.now_s += LONG_S / 2
-    assert not bench.duty("b").busy_until_s, bench.duty("b")
+    assert len(bench.dispatch_rights("b").busy_until_s) == SLOTS - 1, (
+        bench.dispatch_rights("b")
+    )
+    bench.now_s += LONG_DEADLINE_S / 2
+    assert not bench.dispatch_rights("b").busy_until_s, bench.dispatch_rights(
+        "b"
+    )
 
 
 @then("the second entry dispatches and the first does not")
-def moved(context):
-    assert context.bench.duty("b").allowed_slots == SLOTS
-    assert context.bench.duty("a").allowed_slots == 0
+def home_moved(context):
+    assert context.bench.dispatch_rights("b").allowed_slots == SLOTS
+    assert context.bench.dispatch_rights("a").allowed_slots == 0
 
 
 @then("nothing counts as taken")
 def nothing_taken(context):
-    assert not context.bench.duty("b").busy_until_s
+    assert not context.bench.dispatch_rights("b").busy_until_s
 
 
 @then("it has no successor and the home uses every slot")
 def no_successor(context):
     bench = context.bench
     assert bench.entries["a"].successor_of(upstream=bench.upstream) is None
-    assert bench.duty("a").allowed_slots == SLOTS
+    assert bench.dispatch_rights("a").allowed_slots == SLOTS
 
 
 @when("batch work takes all it may")
 def batch_takes(context):
     result = None
     while not isinstance(result, Refusal):
-        result = context.bench.choose(priority=Priority.BATCH)
+        result = context.bench.acquire(priority=Priority.BATCH)
     context.result = result
 
 
 @then("{count:d} slots are left to interactive work")
 @then("{count:d} slots are free")
 def slots_free(context, count):
-    assert context.bench.free() == count, context.bench.free()
+    assert context.bench.free_slots() == count, context.bench.free_slots()
 
 
 @then("batch work is refused with a time to come back")
@@ -343,7 +355,7 @@
 @then("{count:d} slot is usable")
 @then("{count:d} slots are usable")
 def slots_usable(context, count):
-    assert context.bench.usable() == count, context.bench.usable()
+    assert context.bench.usable_slots() == count, context.bench.usable_slots()
 
 
 @when("it answers {times:d} requests in the usual time")
@@ -358,7 +370,7 @@
 
 @then("fewer than {count:d} slots are usable")
 def fewer_usable(context, count):
-    assert context.bench.usable() < count, context.bench.usable()
+    assert context.bench.usable_slots() < count, context.bench.usable_slots()
 
 
 @when("a request runs on it for {running_s:f} s")
@@ -366,22 +378,26 @@
     bench = context.bench
     if not bench.tables["a"].status(now_s=bench.now_s)[0].in_flight:
         context.began_s = bench.now_s
-        bench.choose(left_s=LONG_S)
+        bench.acquire(remaining_s=LONG_DEADLINE_S)
     bench.now_s = context.began_s + running_s
 
 
 @when("the upstream reports that it drains")
 def drains(context):
-    _hear(context.bench, UpstreamReport(slots=4, busy=0, draining=True))
+    _record_upstream_report(
+        context.bench, UpstreamReport(slots=4, busy=0, draining=True)
+    )
 
 
 @when("the upstream reports {busy:d} busy slots though nothing runs")
 def claims_full(context, busy):
-    _hear(context.bench, UpstreamReport(slots=4, busy=busy, draining=False))
+    _record_upstream_report(
+        context.bench, UpstreamReport(slots=4, busy=busy, draining=False)
+    )
 
 
-def _hear(bench, report):
-    bench.tables["a"].heard_upstream(
+def _record_upstream_report(bench, report):
+    bench.tables["a"].record_upstream_report(
         upstream=bench.upstream, report=report, now_s=bench.now_s
     )
 
@@ -393,7 +409,7 @@
 
 @then("work is refused since no upstream takes it")
 def no_upstream(context):
-    result = context.bench.choose()
+    result = context.bench.acquire()
     assert isinstance(result, Refusal)
     assert result.kind is ErrorKind.NO_UPSTREAM
 
@@ -402,7 +418,7 @@
 def cancelled(context, how):
     bench = context.bench
     bench.tables["a"].release(
-        admission=bench.choose(),
+        admission=bench.acquire(),
         outcome=Outcome.CANCELLED,
         now_s=bench.now_s,
         connection_closed=how == "closed",
@@ -411,7 +427,7 @@
 
 @when("its deadline passes")
 def deadline_passes(context):
-    context.bench.now_s += SHORT_S
+    context.bench.now_s += SHORT_DEADLINE_S
 
 
 @given("requests take {milliseconds:d} ms")
@@ -429,29 +445,29 @@
         result = _request(context, Priority.INTERACTIVE)
         assert isinstance(result, Admission), result
         context.admissions.append(result)
-    context.waiting = []
+    context.queued = []
     context.refused = []
     for number in range(more):
         priority = (Priority.BATCH, Priority.INTERACTIVE)[number % 2]
         result = _request(context, priority)
-        if isinstance(result, Waiting):
-            context.waiting.append(result)
+        if isinstance(result, QueuedRequest):
+            context.queued.append(result)
         else:
             context.refused.append(result)
 
 
 def _request(context, priority):
     bench = context.bench
-    return context.queue.request(
+    return context.queue.submit(
         priority=priority,
-        deadline_s=bench.now_s + SHORT_S,
+        deadline_s=bench.now_s + SHORT_DEADLINE_S,
         now_s=bench.now_s,
     )
 
 
 @then("some wait and the others are refused at once with a time to come back")
 def some_wait(context):
-    assert context.waiting
+    assert context.queued
     assert context.refused
     for refusal in context.refused:
         assert isinstance(refusal, Refusal), refusal
@@ -468,9 +484,9 @@
 def first_gets_it(context):
     decisions = context.queue.advance(now_s=context.bench.now_s)
     first = None
-    for waiting in context.waiting:
-        if first is None and waiting.priority is Priority.INTERACTIVE:
-            first = waiting
+    for queued in context.queued:
+        if first is None and queued.priority is Priority.INTERACTIVE:
+            first = queued
     assert len(decisions) == 1, decisions
     assert decisions[0].number == first.number
     assert isinstance(decisions[0].result, Admission)
@@ -484,6 +500,6 @@
 @then("all that waited are refused")
 def all_refused(context):
     decisions = context.queue.advance(now_s=context.bench.now_s)
-    assert len(decisions) == len(context.waiting) - 1, decisions
+    assert len(decisions) == len(context.queued) - 1, decisions
     for decision in decisions:
         assert isinstance(decision.result, Refusal), decision
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -1,3 +1,5 @@
+"""Steps of configuration.feature."""
+
 import asyncio
 
 from behave import given
@@ -5,12 +7,12 @@
 from behave import when
 
 from almondstair import messages
+from almondstair.core.configuration import ApplyOutcome
 from almondstair.core.configuration import ConfigurationState
 from almondstair.core.configuration import Edit
-from almondstair.core.configuration import EditFate
-from almondstair.core.configuration import Offer
+from almondstair.core.configuration import EditStatus
 from almondstair.core.configuration import VersionReport
-from almondstair.core.configuration import applied_result
+from almondstair.core.configuration import result_of_stored_edit
 from almondstair.errors import AlmondstairError
 from almondstair.store import ConfigurationStore
 from almondstair.store import decode_configuration
@@ -21,7 +23,7 @@
 FRESH_LIMIT_S = 3.0
 
 
-def names_of(text):
+def split_names(text):
     return [name.strip() for name in text.split(",")]
 
 
@@ -35,30 +37,30 @@
     )
 
 
-async def follow(context, name):
+async def start_watcher(context, name):
     def on_configuration(stored):
-        context.states[name].offer(stored)
+        context.states[name].apply_if_newer(stored)
 
-    follower = context.store.follower(on_configuration=on_configuration)
-    follower.start()
+    watcher = context.store.watcher(on_configuration=on_configuration)
+    watcher.start()
     await asyncio.sleep(0.01)
-    return follower
+    return watcher
 
 
-def learn_from_platform(context, name):
-    async def learn():
-        follower = await follow(context, name)
-        follower.stop()
+def read_from_platform(context, name):
+    async def read():
+        watcher = await start_watcher(context, name)
+        watcher.stop()
 
-    asyncio.run(learn())
+    asyncio.run(read())
     context.ages_s[name] = 0.0
 
 
-def reports(context):
-    made = []
+def version_reports(context):
+    found = []
     for name, state in context.states.items():
-        made.append(VersionReport(name, state.version, context.ages_s[name]))
-    return made
+        found.append(VersionReport(name, state.version, context.ages_s[name]))
+    return found
 
 
 def highest_version(context):
@@ -66,19 +68,21 @@
 
 
 async def run_edit(context, edit):
-    all_heard = max(context.ages_s.values()) <= FRESH_LIMIT_S
+    all_fresh = max(context.ages_s.values()) <= FRESH_LIMIT_S
     return await context.store.edit(
         edit=edit,
         highest_version=highest_version(context),
-        all_heard=all_heard,
+        all_heard=all_fresh,
     )
 
 
-def judged(context):
+def edit_result(context):
     stored = asyncio.run(context.store.read())
-    note = stored.find(edit_id=context.edit.edit_id)
-    return applied_result(
-        note=note, reports=reports(context), fresh_limit_s=FRESH_LIMIT_S
+    edit_record = stored.find_edit(edit_id=context.edit.edit_id)
+    return result_of_stored_edit(
+        edit_record=edit_record,
+        reports=version_reports(context),
+        fresh_limit_s=FRESH_LIMIT_S,
     )
 
 
@@ -88,8 +92,10 @@
             messages.pack(encode_configuration(context.states[sender].in_force))
         )
     )
-    value = messages.unpack(messages.decode(frame).packed)
-    return context.states[receiver].offer(decode_configuration(value))
+    document = messages.unpack(messages.decode(frame).packed)
+    return context.states[receiver].apply_if_newer(
+        decode_configuration(document)
+    )
 
 
 @given('entries "{names}" over one platform')
@@ -101,9 +107,9 @@
     context.states = {}
     context.ages_s = {}
     context.results = {}
-    for name in names_of(names):
+    for name in split_names(names):
         context.states[name] = ConfigurationState()
-        learn_from_platform(context, name)
+        read_from_platform(context, name)
 
 
 @given("the platform loses the answer of the next write")
@@ -148,16 +154,16 @@
 @when("the platform is rolled back")
 def step_rolled_back(context):
     async def roll_back():
-        followers = []
+        watchers = []
         for name in context.states:
-            followers.append(await follow(context, name))
+            watchers.append(await start_watcher(context, name))
         context.platform.roll_back()
-        for follower in followers:
-            follower.stop()
+        for watcher in watchers:
+            watcher.stop()
 
     asyncio.run(roll_back())
     for name in context.states:
-        learn_from_platform(context, name)
+        read_from_platform(context, name)
 
 
 @when('operator "{author}" edits version {base:d}')
@@ -194,18 +200,18 @@
 
 @when('"{names}" learn of it from the platform')
 def step_learn(context, names):
-    for name in names_of(names):
-        learn_from_platform(context, name)
+    for name in split_names(names):
+        read_from_platform(context, name)
 
 
 @when('"{name}" learns of it from its peer "{peer}"')
 def step_learn_from_peer(context, name, peer):
-    assert send_document(context, peer, name) is Offer.APPLIED
+    assert send_document(context, peer, name) is ApplyOutcome.APPLIED
 
 
 @when('"{peer}" sends its version to "{name}"')
 def step_send(context, peer, name):
-    assert send_document(context, peer, name) is Offer.OLDER
+    assert send_document(context, peer, name) is ApplyOutcome.OLDER
 
 
 @when('"{name}" is silent for {age:d} seconds')
@@ -216,7 +222,7 @@
 @when('entry "{name}" starts and asks its peers')
 def step_start(context, name):
     context.states[name] = ConfigurationState()
-    learn_from_platform(context, name)
+    read_from_platform(context, name)
     assert context.states[name].in_force is None
     for peer in ("c", "a", "b"):
         send_document(context, peer, name)
@@ -224,39 +230,41 @@
 
 @then('the edit is pending and lacks "{names}"')
 def step_pending(context, names):
-    result = judged(context)
-    assert result.fate is EditFate.PENDING, result
-    assert list(result.lacking) == names_of(names), result
+    result = edit_result(context)
+    assert result.status is EditStatus.PENDING, result
+    assert list(result.lagging_entries) == split_names(names), result
 
 
 @then("the edit is accepted as version {version:d}")
 def step_accepted(context, version):
-    result = judged(context)
-    assert result.fate is EditFate.ACCEPTED, result
+    result = edit_result(context)
+    assert result.status is EditStatus.ACCEPTED, result
     assert result.version == version, result
 
 
 @then('the fate of the edit is "{fate}"')
 def step_fate(context, fate):
-    assert context.result.fate == fate, context.result
+    assert context.result.status == fate, context.result
 
 
 @then('asking for the edit says "{fate}"')
 def step_ask(context, fate):
     result = asyncio.run(
-        context.store.fate(
+        context.store.edit_status(
             edit_id=context.edit.edit_id,
             base_version=context.edit.base_version,
         )
     )
-    assert result.fate == fate, result
+    assert result.status == fate, result
 
 
 @then('asking for the edit of "{author}" says "{fate}"')
 def step_ask_author(context, author, fate):
     edit_id = context.results[author].edit_id
-    result = asyncio.run(context.store.fate(edit_id=edit_id, base_version=1))
-    assert result.fate == fate, result
+    result = asyncio.run(
+        context.store.edit_status(edit_id=edit_id, base_version=1)
+    )
+    assert result.status == fate, result
 
 
 @then('the edit is refused with kind "{kind}" and did not run')
@@ -274,25 +282,25 @@
 
 @then("the platform's history names {count:d} edits")
 def step_history(context, count):
-    notes = asyncio.run(context.store.history())
-    assert len(notes) == count, notes
+    edit_records = asyncio.run(context.store.history())
+    assert len(edit_records) == count, edit_records
 
 
 @then("exactly one edit is applied")
 def step_one_applied(context):
-    fates = sorted(str(result.fate) for result in context.race)
-    assert fates == ["conflict", "pending"], fates
+    statuses = sorted(str(result.status) for result in context.race)
+    assert statuses == ["conflict", "pending"], statuses
 
 
 @then("the other is told of the winner and its version")
 def step_winner(context):
     for result in context.race:
-        if result.fate is EditFate.PENDING:
-            won = result
+        if result.status is EditStatus.PENDING:
+            winner = result
         else:
-            lost = result
-    assert lost.winner.edit_id == won.edit_id, lost
-    assert lost.winner.version == won.version == 2, lost
+            loser = result
+    assert loser.conflicting_edit.edit_id == winner.edit_id, loser
+    assert loser.conflicting_edit.version == winner.version == 2, loser
 
 
 @then("every entry has version {version:d} in force")
@@ -308,10 +316,10 @@
 
 @then("the text of version {version:d} is kept")
 def step_kept(context, version):
-    past = asyncio.run(context.store.past(version=version))
+    past = asyncio.run(context.store.past_version(version=version))
     assert past.text == make_edit("moira", version - 1).text, past
 
 
 @then("the text of version {version:d} is no longer kept")
 def step_not_kept(context, version):
-    assert asyncio.run(context.store.past(version=version)) is None
+    assert asyncio.run(context.store.past_version(version=version)) is None
--- a/features/steps/emulator_steps.py
+++ b/features/steps/emulator_steps.py
@@ -18,7 +18,7 @@
 from emulator import experiment
 from emulator import load
 from emulator import report
-from emulator.caller_wire import Reply
+from emulator.caller_wire import EmulatedResponse
 from emulator.deployment import Deployment
 from emulator.deployment import RouteRule
 from emulator.deployment import Service
@@ -27,7 +27,7 @@
 from emulator.load import Arrival
 from emulator.load import Outcome
 from emulator.ports import free_address
-from emulator.proxy import HarmfulProxy
+from emulator.proxy import FaultProxy
 from emulator.store import Store
 from emulator.world import World
 from features.support import control
@@ -71,7 +71,7 @@
 
 @then('the error names the file and "{words}"')
 def step_error(context, words):
-    assert context.error is not None, "it was taken"
+    assert context.error is not None, "the deployment was accepted"
     assert str(context.path) in context.error.detail, context.error.detail
     assert words in context.error.detail, context.error.detail
 
@@ -89,18 +89,18 @@
 # Load.
 
 
-def _route(**more):
+def _route(**overrides):
     return RouteRule(
         **{
             "prefix": "/safe/",
             "service": "service",
             "rate_per_s": _RATE_PER_S,
-            **more,
+            **overrides,
         }
     )
 
 
-def _plan(seed, seconds=_LOAD_S):
+def _plan_load(seed, seconds=_LOAD_S):
     routes = [_route(), _route(prefix="/unsafe/", kind="unsafe")]
     return load.plan(
         routes=routes, zones=["a1", "b1"], seed=seed, seconds=seconds
@@ -109,27 +109,29 @@
 
 @then("two loads of seed 3 are equal, and seed 4's differs")
 def step_loads(context):
-    assert _plan(3) == _plan(3)
-    assert _plan(3) != _plan(4)
+    assert _plan_load(3) == _plan_load(3)
+    assert _plan_load(3) != _plan_load(4)
 
 
 @then("a load of 200 s has within a tenth of the requests that its rates say")
 def step_rate(context):
     expected = 2 * _RATE_PER_S * _LOAD_S
-    assert abs(len(_plan(3)) - expected) < 0.1 * expected, len(_plan(3))
+    assert abs(len(_plan_load(3)) - expected) < 0.1 * expected, len(
+        _plan_load(3)
+    )
 
 
-def _reply(text):
+def _parse_response(text):
     if text == "none":
         return None
     status, _, back = text.partition(" back in ")
     headers = {"retry-after": back.split()[0]} if back else {}
-    return Reply(status=int(status), headers=headers, body=b"")
+    return EmulatedResponse(status=int(status), headers=headers, body=b"")
 
 
 @then("after {status} a caller of a {kind} route with 0.9 s left waits {pause}")
 def step_pause(context, status, kind, pause):
-    found = load.pause_s(_route(kind=kind), _reply(status), 0.9)
+    found = load.retry_delay_s(_route(kind=kind), _parse_response(status), 0.9)
     if pause == "never":
         assert found is None, found
         return
@@ -154,7 +156,7 @@
     target = free_address()
     ip, _, port = target.rpartition(":")
     server = await asyncio.start_server(echo, ip, int(port))
-    proxy = HarmfulProxy(target=target, distance_s=distance_s)
+    proxy = FaultProxy(target=target, distance_s=distance_s)
     address = free_address()
     await proxy.listen(address)
     ip, _, port = address.rpartition(":")
@@ -162,9 +164,9 @@
     expected = b""
     began_s = time.monotonic()
     for number in range(count):
-        piece = f"piece {number}\n".encode()
-        expected += piece
-        writer.write(piece)
+        chunk = f"piece {number}\n".encode()
+        expected += chunk
+        writer.write(chunk)
         await asyncio.sleep(0)
     received = await reader.readexactly(len(expected))
     took_s = time.monotonic() - began_s
@@ -190,21 +192,25 @@
 # Views of the store.
 
 
-async def _registered(zone, key, field):
+async def _read_registrations(zone, key, field):
     store = Store()
-    whole = store.listen("127.0.0.1", 0)
+    unfiltered = store.listen("127.0.0.1", 0)
     view = store.listen("127.0.0.1", 0, zone)
-    store.ways = {"127.0.0.1:1": {zone: "127.0.0.1:2", "c1": "127.0.0.1:3"}}
+    store.zone_addresses = {
+        "127.0.0.1:1": {zone: "127.0.0.1:2", "c1": "127.0.0.1:3"}
+    }
     record = {field: "127.0.0.1:1", "zone": "a1"}
     await store.put_text(key, json.dumps(record))
     client = httpclient.AsyncHTTPClient()
-    shown = []
-    for port in (view, whole):
-        answer = await client.fetch(f"http://127.0.0.1:{port}/kv-key?key={key}")
-        value = json.loads(answer.body)["value"]
-        shown.append(json.loads(base64.b64decode(value)))
+    values = []
+    for port in (view, unfiltered):
+        response = await client.fetch(
+            f"http://127.0.0.1:{port}/kv-key?key={key}"
+        )
+        value = json.loads(response.body)["value"]
+        values.append(json.loads(base64.b64decode(value)))
     await store.close()
-    return shown
+    return values
 
 
 @given(
@@ -213,14 +219,16 @@
 )
 def step_view(context, zone, key, field):
     context.field = field
-    context.shown = asyncio.run(_registered(zone, key, field))
+    context.shown = asyncio.run(_read_registrations(zone, key, field))
 
 
 @then('the view shows the way from "b1", and the store what was written')
 def step_views(context):
-    view, whole = context.shown
+    view, unfiltered = context.shown
     assert view == {context.field: "127.0.0.1:2", "zone": "a1"}, view
-    assert whole == {context.field: "127.0.0.1:1", "zone": "a1"}, whole
+    assert unfiltered == {context.field: "127.0.0.1:1", "zone": "a1"}, (
+        unfiltered
+    )
 
 
 # Experiments.
@@ -266,7 +274,7 @@
     assert cost_a.runs_per_request == 0.9, cost_a
 
 
-def _small():
+def _small_deployment():
     return Deployment(
         zones={"a1": "east", "b1": "west"},
         gateways={"a1": 1, "b1": 1},
@@ -280,11 +288,11 @@
 
 @given("a small deployment whose regions are 10 ms apart")
 def step_apart(context):
-    context.deployment = _small()
+    context.deployment = _small_deployment()
 
 
-async def _ways_used(deployment, seconds):
-    """Plays a deployment; returns datagrams by zone and gateway."""
+async def _count_datagrams(deployment, seconds):
+    """Runs a deployment; returns datagram counts by zone and gateway."""
     with tempfile.TemporaryDirectory() as folder:
         world = World(deployment=deployment, directory=Path(folder))
         try:
@@ -294,27 +302,36 @@
             await asyncio.sleep(seconds)
         finally:
             await world.end()
-        return {way: datagrams.passed for way, datagrams in world.ways.items()}
+        return {
+            proxy_key: datagrams.received_count
+            for proxy_key, datagrams in world.datagram_proxies.items()
+        }
 
 
 @when("its gateways have taken callers for {seconds:d} s")
 def step_play(context, seconds):
-    context.ways = asyncio.run(_ways_used(context.deployment, seconds))
+    context.datagram_counts = asyncio.run(
+        _count_datagrams(context.deployment, seconds)
+    )
 
 
 @then(
     "each gateway was reached by the other's way, and by none from its own zone"
 )
 def step_ways(context):
-    used = {way for way, count in context.ways.items() if count}
-    assert used == {("a1", "g1"), ("b1", "g0")}, context.ways
+    used = {
+        proxy_key
+        for proxy_key, count in context.datagram_counts.items()
+        if count
+    }
+    assert used == {("a1", "g1"), ("b1", "g0")}, context.datagram_counts
 
 
 @when("two settings are compared on a small deployment for {seconds:g} s")
 def step_compare(context, seconds):
     context.rounds = asyncio.run(
         experiment.compare(
-            deployment=_small(),
+            deployment=_small_deployment(),
             sides=(
                 Side("a", ROOT, {}),
                 Side("b", ROOT, {"maxShift": 0.5}),
@@ -348,8 +365,8 @@
         path,
         title="a < b",
         rounds=context.rounds,
-        found=report.rows(context.rounds, zones=["a1", "b1"]),
-        cost=report.costs(context.rounds, seconds=context.seconds),
+        summary_rows=report.rows(context.rounds, zones=["a1", "b1"]),
+        cost_rows=report.costs(context.rounds, seconds=context.seconds),
     )
     text = path.read_text(encoding="utf-8")
     assert text.count("<table>") == 2, text[:500]
--- a/features/steps/gateway_change_lines_steps.py
+++ b/features/steps/gateway_change_lines_steps.py
@@ -1,4 +1,4 @@
-"""Steps of gateway_change_lines.feature."""
+"""Steps for the log lines that a gateway writes on changes of the store."""
 
 import json
 from unittest import mock
@@ -9,8 +9,8 @@
 
 from almondstair import log
 from almondstair.core.fleet import Fleet
-from almondstair.gateway.following import Follower
 from almondstair.gateway.sources import Batch
+from almondstair.gateway.store_sync import StoreSync
 from almondstair.platform import documents
 from almondstair.platform.kv import Item
 from features.steps.gateway_incarnations_steps import _registration
@@ -38,11 +38,11 @@
     return Item(key, documents.encode_entry(record), 900 + number)
 
 
-def _take(context, items, *, listing):
+def _apply_items(context, items, *, listing):
     context.revision += 1000
     batch = Batch(items, listing, context.revision, 0.0, from_store=True)
     with mock.patch.object(log, "event") as event:
-        context.follower._take(batch, fresh=True)
+        context.follower._apply_batch(batch, fresh=True)
     context.lines = event.call_args_list
 
 
@@ -52,7 +52,7 @@
 )
 def step_entry(context, upstreams, entries):
     context.revision = 0
-    context.follower = Follower(
+    context.follower = StoreSync(
         client=mock.Mock(),
         fleet=Fleet(own_name="e", own_region="east", zones=_ZONES),
         pool=mock.Mock(),
@@ -66,7 +66,7 @@
 
 @when("it takes the first listing")
 def step_first(context):
-    _take(context, context.items, listing=True)
+    _apply_items(context, context.items, listing=True)
 
 
 @when("{count:d} upstreams drain")
@@ -76,7 +76,7 @@
     for number in range(count):
         item = _upstream(number, "draining")
         items.append(item._replace(revision=context.revision + number + 1))
-    _take(context, items, listing=False)
+    _apply_items(context, items, listing=False)
 
 
 @then("it has written {most:d} lines at most")
@@ -86,8 +86,8 @@
 
 @then("it has written a line for each of them")
 def step_each(context):
-    told = {call.kwargs["upstream"] for call in context.lines}
-    assert len(told) == len(context.lines) == context.count, told
+    reported = {call.kwargs["upstream"] for call in context.lines}
+    assert len(reported) == len(context.lines) == context.count, reported
 
 
 @then("one of them counts {changes:d} changes, by service and zone")
--- a/features/steps/gateway_waiting_steps.py
+++ b/features/steps/gateway_waiting_steps.py
@@ -11,10 +11,10 @@
 from almondstair.core.entry_waits import EntryQueue
 from emulator import documents
 from features.support import harness
-from features.support.mixed_load import Kind
 from features.support.mixed_load import MixedLoad
+from features.support.mixed_load import RequestKind
 
-# Parts of the slots that each kind asks for at a load of 1.
+# Shares of the slots that each kind uses at a load of 1.
 _SHORT_SHARE = 0.3
 _LONG_SHARE = 0.7
 
@@ -37,8 +37,8 @@
     work = times * context.upstreams * context.slots
     runs_s = context.runs_s
     context.kinds = [
-        Kind("short", _SHORT_SHARE * work / runs_s["short"], 0.1, 0.25),
-        Kind("long", _LONG_SHARE * work / runs_s["long"], 0.45, 1.0),
+        RequestKind("short", _SHORT_SHARE * work / runs_s["short"], 0.1, 0.25),
+        RequestKind("long", _LONG_SHARE * work / runs_s["long"], 0.45, 1.0),
     ]
     context.span_s = span_s
     context.found = MixedLoad(
@@ -46,20 +46,20 @@
         slots=context.slots,
         kinds=context.kinds,
         waits=True,
-    ).play(span_s=span_s)
+    ).run(span_s=span_s)
 
 
 @then("{share:g} of the {name} requests are answered in their aim")
 def step_in_aim(context, share, name):
     found = context.found[name]
-    assert found.in_aim >= share * found.asked, context.found
+    assert found.in_target >= share * found.asked, context.found
 
 
 @then("what is answered in its aim takes {share:g} of the slots")
 def step_work(context, share):
     work_s = 0.0
     for kind in context.kinds:
-        work_s += context.found[kind.name].in_aim * kind.run_s
+        work_s += context.found[kind.name].in_target * kind.run_s
     used = work_s / context.span_s / context.upstreams / context.slots
     assert used >= share, (used, context.found)
 
@@ -70,14 +70,14 @@
 )
 def step_bounded(context, count, most_bytes, looks):
     waits = EntryQueue()
-    places = []
+    waiting = []
     while waits.has_capacity(body_bytes=0):
-        places.append(waits.hold_waiting(body_bytes=0))
-        places[-1].__enter__()
-        assert len(places) / waits.attempt_interval_s <= looks, len(places)
-    assert len(places) == count
-    for place in places:
-        place.__exit__(None, None, None)
+        waiting.append(waits.hold_waiting(body_bytes=0))
+        waiting[-1].__enter__()
+        assert len(waiting) / waits.attempt_interval_s <= looks, len(waiting)
+    assert len(waiting) == count
+    for request in waiting:
+        request.__exit__(None, None, None)
     with waits.hold_waiting(body_bytes=most_bytes):
         assert not waits.has_capacity(body_bytes=1)
     assert waits.has_capacity(body_bytes=most_bytes)
@@ -143,7 +143,7 @@
                 found.setdefault(line["request"], []).append(line)
         return found if len(found) == len(wanted) else None
 
-    found = harness.wait_until(answered, what="all answers in the log")
+    found = harness.wait_until(answered, what="all responses in the log")
     for lines in found.values():
         assert [line["queue_ms"] for line in lines] == [0], lines
         assert lines[0]["tries"] == 1, lines
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -4,10 +4,10 @@
 from behave import then
 from behave import when
 
-from almondstair.core.announcing import Announcing
-from almondstair.core.message_delays import MessageDelays
+from almondstair.core.announcement_limiter import AnnouncementLimiter
+from almondstair.core.message_delays import MessageDelayEstimator
+from almondstair.core.quarantine import DispatchVerdict
 from almondstair.core.quarantine import Quarantine
-from almondstair.core.quarantine import Verdict
 from almondstair.core.quarantine import body_digest
 from almondstair.core.quarantine import request_fingerprint
 
@@ -29,16 +29,16 @@
     context.crashed = set()
 
 
-def _exchange(context, *, transit_s):
+def _exchange_heartbeats(context, *, transit_s):
     """Sends one heartbeat of every entry to every entry."""
-    digests = []
+    marks_by_entry = []
     for quarantine in context.quarantines:
-        digests.append(quarantine.digest(now_s=context.now_s))
+        marks_by_entry.append(quarantine.next_marks(now_s=context.now_s))
     context.now_s += transit_s
-    for marks in digests:
+    for marks in marks_by_entry:
         for quarantine in context.quarantines:
-            quarantine.expire(now_s=context.now_s)
-            quarantine.merge(marks=marks, now_s=context.now_s)
+            quarantine.drop_expired(now_s=context.now_s)
+            quarantine.merge_marks(marks=marks, now_s=context.now_s)
 
 
 @when("a crashing request is sent {count:d} times, each time to the next entry")
@@ -46,23 +46,23 @@
     for attempt in range(count):
         quarantine = context.quarantines[attempt % len(context.quarantines)]
         verdict = quarantine.verdict(fingerprint=CRASHING, now_s=context.now_s)
-        if verdict is not Verdict.QUARANTINED:
+        if verdict is not DispatchVerdict.QUARANTINED:
             upstream = f"upstream-{attempt}"
             context.crashed.add(upstream)
-            quarantine.strike(
+            quarantine.record_strike(
                 fingerprint=CRASHING,
                 upstream=upstream,
                 ran_s=0.01,
                 now_s=context.now_s,
             )
-        _exchange(context, transit_s=HEARTBEAT_S)
+        _exchange_heartbeats(context, transit_s=HEARTBEAT_S)
 
 
 @when("{length_s:d} s pass with heartbeats that take {transit_s:g} s")
 def time_passes(context, length_s, transit_s):
-    ends_s = context.now_s + length_s
-    while context.now_s < ends_s:
-        _exchange(context, transit_s=transit_s)
+    end_s = context.now_s + length_s
+    while context.now_s < end_s:
+        _exchange_heartbeats(context, transit_s=transit_s)
 
 
 @when(
@@ -71,18 +71,18 @@
 )
 def marks_repeated(context, count):
     first, second = context.quarantines[:2]
-    first.strike(
+    first.record_strike(
         fingerprint=CRASHING, upstream="u", ran_s=0.01, now_s=context.now_s
     )
-    marks = first.digest(now_s=context.now_s)
+    marks = first.next_marks(now_s=context.now_s)
     for _ in range(count):
-        second.merge(marks=marks, now_s=context.now_s)
+        second.merge_marks(marks=marks, now_s=context.now_s)
 
 
 @when("entry 0 has strikes against {count:d} requests")
 def many_strikes(context, count):
     for fingerprint in range(count):
-        context.quarantines[0].strike(
+        context.quarantines[0].record_strike(
             fingerprint=fingerprint,
             upstream="u",
             ran_s=0.01,
@@ -103,7 +103,7 @@
 
 @then("the request is quarantined on every entry")
 def quarantined_everywhere(context):
-    _assert_verdicts(context, CRASHING, Verdict.QUARANTINED)
+    _assert_verdicts(context, CRASHING, DispatchVerdict.QUARANTINED)
     for quarantine in context.quarantines:
         remaining_s = quarantine.remaining_s(
             fingerprint=CRASHING, now_s=context.now_s
@@ -113,20 +113,20 @@
 
 @then("the request is clear on every entry")
 def clear_everywhere(context):
-    _assert_verdicts(context, CRASHING, Verdict.CLEAR)
+    _assert_verdicts(context, CRASHING, DispatchVerdict.CLEAR)
 
 
 @then("another request is clear on every entry")
 def other_clear_everywhere(context):
-    _assert_verdicts(context, HARMLESS, Verdict.CLEAR)
+    _assert_verdicts(context, HARMLESS, DispatchVerdict.CLEAR)
 
 
 @then("entry 1 tells the request to run alone")
-def runs_alone(context):
+def runs_isolated(context):
     verdict = context.quarantines[1].verdict(
         fingerprint=CRASHING, now_s=context.now_s
     )
-    assert verdict is Verdict.ALONE, verdict
+    assert verdict is DispatchVerdict.ISOLATED, verdict
 
 
 @then("each digest of entry 0 has at most {limit:d} marks")
@@ -138,38 +138,40 @@
 def heartbeats_carry(context, count, requests):
     first, second = context.quarantines[:2]
     for _ in range(count):
-        marks = first.digest(now_s=context.now_s)
+        marks = first.next_marks(now_s=context.now_s)
         assert len(marks) <= context.limit, len(marks)
-        second.merge(marks=marks, now_s=context.now_s)
+        second.merge_marks(marks=marks, now_s=context.now_s)
     assert len(second) == requests, len(second)
 
 
-# Announcements.
+# Announcements of strikes.
 
 
 @given("announcements that are spaced by {span_ms:d} ms")
-def step_announcing(context, span_ms):
-    context.announcing = Announcing(interval_s=span_ms / 1000)
+def step_announcements(context, span_ms):
+    context.announcement_limiter = AnnouncementLimiter(
+        interval_s=span_ms / 1000
+    )
     context.announced_s = []
 
 
-def _strike_at(context, at_s):
-    planned = getattr(context, "planned_s", None)
-    if planned is not None and planned <= at_s:
-        context.announcing.planned_told(now_s=planned)
-        context.announced_s.append(planned)
-        context.planned_s = None
-    wait_s = context.announcing.wait_s(now_s=at_s)
+def _record_strike_at(context, at_s):
+    scheduled_s = getattr(context, "scheduled_s", None)
+    if scheduled_s is not None and scheduled_s <= at_s:
+        context.announcement_limiter.record_scheduled_sent(now_s=scheduled_s)
+        context.announced_s.append(scheduled_s)
+        context.scheduled_s = None
+    wait_s = context.announcement_limiter.wait_s(now_s=at_s)
     if wait_s == 0:
         context.announced_s.append(at_s)
     elif wait_s is not None:
-        context.planned_s = at_s + wait_s
+        context.scheduled_s = at_s + wait_s
 
 
 @when("strikes come at 0, 13 and 16 ms")
 def step_three_strikes(context):
     for at_ms in (0, 13, 16):
-        _strike_at(context, at_ms / 1000)
+        _record_strike_at(context, at_ms / 1000)
 
 
 @then("they are announced at 0, 13 and 16 ms")
@@ -180,7 +182,7 @@
 @when("{count:d} strikes come within {span_ms:d} ms")
 def step_many_strikes(context, count, span_ms):
     for number in range(count):
-        _strike_at(context, number * span_ms / 1000 / count)
+        _record_strike_at(context, number * span_ms / 1000 / count)
 
 
 @then(
@@ -189,52 +191,54 @@
 )
 def step_count_announced(context, count, after_ms):
     assert len(context.announced_s) == count - 1, context.announced_s
-    assert abs(context.planned_s - after_ms / 1000) < 1e-9, context.planned_s
+    assert abs(context.scheduled_s - after_ms / 1000) < 1e-9, (
+        context.scheduled_s
+    )
 
 
 @given(
     "quarantines of {count:d} entries whose heartbeats usually take "
     "{usual_ms:d} ms"
 )
-def usual_heartbeats(context, count, usual_ms):
+def measure_usual_delay(context, count, usual_ms):
     quarantines(context, count)
     context.now_s = 1000.0
-    # Entries share no clock.
-    context.ahead_s = [700.0 * number for number in range(count)]
-    context.delays = [MessageDelays() for _ in range(count)]
+    # Entries have no common clock.
+    context.clock_offsets_s = [700.0 * number for number in range(count)]
+    context.delays = [MessageDelayEstimator() for _ in range(count)]
     for _ in range(5):
-        _timed_exchange(context, transit_s=usual_ms / 1000)
+        _exchange_timed_heartbeats(context, transit_s=usual_ms / 1000)
 
 
-def _timed_exchange(context, *, transit_s):
-    """Exchanges heartbeats that tell when they were sent."""
+def _exchange_timed_heartbeats(context, *, transit_s):
+    """Exchanges heartbeats that carry the time when they were sent."""
     sent = []
     for number, quarantine in enumerate(context.quarantines):
-        clock_s = context.now_s + context.ahead_s[number]
-        sent.append((clock_s, quarantine.digest(now_s=clock_s)))
+        clock_s = context.now_s + context.clock_offsets_s[number]
+        sent.append((clock_s, quarantine.next_marks(now_s=clock_s)))
     context.now_s += transit_s
     for number, quarantine in enumerate(context.quarantines):
-        clock_s = context.now_s + context.ahead_s[number]
+        clock_s = context.now_s + context.clock_offsets_s[number]
         for sender, (sent_s, marks) in enumerate(sent):
             if sender == number:
                 continue
-            usual_s = context.delays[number].usual_arrival_s(
+            arrival_s = context.delays[number].undelayed_arrival_s(
                 sender=str(sender), incarnation=1, sent_s=sent_s, now_s=clock_s
             )
-            quarantine.merge(marks=marks, now_s=usual_s)
+            quarantine.merge_marks(marks=marks, now_s=arrival_s)
 
 
 @when(
     "upstreams of both die {apart_ms:d} ms apart while they run one look-up "
     "for {ran_ms:d} ms"
 )
-def both_die(context, apart_ms, ran_ms):
+def both_crash(context, apart_ms, ran_ms):
     for number, quarantine in enumerate(context.quarantines):
-        quarantine.strike(
+        quarantine.record_strike(
             fingerprint=CRASHING,
             upstream=f"upstream-{number}",
             ran_s=ran_ms / 1000,
-            now_s=context.now_s + context.ahead_s[number],
+            now_s=context.now_s + context.clock_offsets_s[number],
         )
         context.now_s += apart_ms / 1000
 
@@ -243,28 +247,30 @@
     "one of that look-up that ran for {ran_ms:d} ms is lost at the second as "
     "well"
 )
-def just_begun(context, ran_ms):
-    context.quarantines[1].strike(
+def short_run_lost(context, ran_ms):
+    context.quarantines[1].record_strike(
         fingerprint=CRASHING,
         upstream="upstream-1",
         ran_s=ran_ms / 1000,
-        now_s=context.now_s + context.ahead_s[1],
+        now_s=context.now_s + context.clock_offsets_s[1],
     )
 
 
 @when("the heartbeats that tell it take {held_ms:d} ms")
-def held_up(context, held_ms):
-    _timed_exchange(context, transit_s=held_ms / 1000)
+def delay_heartbeats(context, held_ms):
+    _exchange_timed_heartbeats(context, transit_s=held_ms / 1000)
 
 
 def _verdicts(context):
     found = []
     for number, quarantine in enumerate(context.quarantines):
-        clock_s = context.now_s + context.ahead_s[number]
+        clock_s = context.now_s + context.clock_offsets_s[number]
         found.append(quarantine.verdict(fingerprint=CRASHING, now_s=clock_s))
     return found
 
 
 @then("the request is not quarantined on any entry")
 def not_quarantined(context):
-    assert Verdict.QUARANTINED not in _verdicts(context), _verdicts(context)
+    assert DispatchVerdict.QUARANTINED not in _verdicts(context), _verdicts(
+        context
+    )
