--- a/features/support/heartbeat_entries.py
+++ b/features/support/heartbeat_entries.py
@@ -135,7 +135,7 @@
                 entry.heartbeats.send_round()
 
     def deliver(self, sender_name: str, name: str, frame: bytes) -> None:
-        """Delivers a frame, with the configuration if `pulls_configuration`."""
+        """Delivers a frame, and a newer configuration if it is pulled."""
         entry = self.entries[name]
         heartbeat = messages.decode(frame)
         entry.receive(sender_name, 1, heartbeat)
