--- a/almondstair/claims.py
+++ b/almondstair/claims.py
@@ -143,7 +143,7 @@
         if not self._gate.allows_call(now_s=self._now()):
             raise AlmondstairError(
                 kind=ErrorKind.CLAIM_UNAVAILABLE,
-                detail="the platform did not respond to recent claims",
+                detail="the platform did not answer the last claims",
             )
         claiming = idempotency.ClaimAttempt(
             wanted=new_record, find_context=self._observe
@@ -379,7 +379,7 @@
         except TimeoutError as error:
             raise base.PlatformError(
                 failure=base.PlatformFailure.UNAVAILABLE,
-                detail="timeout while requesting a lease",
+                detail="no lease in time",
             ) from error
 
     def _release_unheld(
@@ -406,7 +406,7 @@
         if verdict is None or verdict is idempotency.ClaimOutcome.OURS:
             if self._now() >= deadline_s:
                 raise AlmondstairError(kind=ErrorKind.DEADLINE_PASSED)
-            detail = "the platform does not respond"
+            detail = "the platform does not answer"
             if claiming.failure is not None:
                 detail = claiming.failure.detail
             raise AlmondstairError(
--- a/almondstair/configuration_checks.py
+++ b/almondstair/configuration_checks.py
@@ -67,14 +67,14 @@
             continue
         faults.add(
             key=key,
-            problem=f"{name!r} is not a valid name",
+            problem=f"{name!r} is not a name",
             remedy=_NAME_REMEDY,
         )
     if _RESERVED_SERVICE in configuration.services:
         # Requests to it would be indistinguishable from requests to the entry.
         faults.add(
             key=f"services.{_RESERVED_SERVICE}",
-            problem="the name is reserved for the entries' own paths",
+            problem="the name is taken by the entries' own paths",
             remedy="give the service another name",
         )
 
@@ -131,7 +131,7 @@
         if request_class.name in seen:
             faults.add(
                 key=f"{key}.name",
-                problem=f"{request_class.name!r} already names another class",
+                problem=f"{request_class.name!r} names an earlier class too",
                 remedy="give each class of a service its own name",
             )
         seen.add(request_class.name)
@@ -154,7 +154,7 @@
         request_class.methods,
         _HTTP_METHODS,
         key=f"{key}.methods",
-        problem="{!r} is not a supported HTTP method",
+        problem="{!r} is no HTTP method that is served",
         faults=faults,
     )
     if (
--- a/almondstair/configuration_manager.py
+++ b/almondstair/configuration_manager.py
@@ -241,7 +241,7 @@
             kind=ErrorKind.NOT_FOUND,
             ran=Ran.UNKNOWN,
             detail=f"no edit {edit_id} among the latest; it was not applied, "
-            "is older than the edits kept, or its write is still in flight",
+            "is older than those remembered, or its write is under way yet",
         )
 
     def _record_in_force(self, edit_id: str) -> EditRecord | None:
@@ -382,7 +382,7 @@
 def _conflict_detail(result: EditResult) -> str:
     winner = result.conflicting_edit
     if winner is None:
-        return "the edited version is not the one in force; read it again"
+        return "the version edited is not the one in force; read it again"
     return (
         f"{winner.author} made version {winner.version} at {winner.edited_at}; "
         "read it and edit again"
--- a/almondstair/core/blocks.py
+++ b/almondstair/core/blocks.py
@@ -213,7 +213,7 @@
         """
         complete = self._shard_counts == {len(self._families)}
         if not complete or len(self._versions) != 1:
-            raise _invalid("missing shards or shards of different versions")
+            raise _invalid("shards that do not make up one table")
         (version,) = self._versions
         table = BlockTable(version=version)
         for number in sorted(self._families):
@@ -244,7 +244,7 @@
         rows.blocks.frombytes(shard.blocks)
         rows.sites.frombytes(shard.sites)
     except ValueError as error:
-        raise _invalid("a shard with an incomplete row") from error
+        raise _invalid("a shard with half a row") from error
     _to_little_endian(words=rows.blocks)
     _to_little_endian(words=rows.sites)
     if len(rows.blocks) != len(rows.sites) or not rows.blocks:
--- a/almondstair/core/idempotency.py
+++ b/almondstair/core/idempotency.py
@@ -233,8 +233,7 @@
     """
     return AlmondstairError(
         kind=ErrorKind.OUTCOME_UNKNOWN,
-        detail=f"the request ran with status {response.status}; "
-        "its response is too large to keep",
+        detail=f"it ran and was answered {response.status}; too large to keep",
         ran=Ran.YES,
     )
 
@@ -410,7 +409,7 @@
         if self.phase not in (ClaimPhase.HELD, ClaimPhase.DISPATCHED):
             raise AlmondstairError(
                 kind=ErrorKind.INTERNAL,
-                detail=f"cannot dispatch: the claim is {self.phase.name}",
+                detail=f"dispatch of a claim that is {self.phase.name}",
                 ran=Ran.NO,
             )
         if now_s >= self.deadline_s:
@@ -422,7 +421,7 @@
         if self.phase not in (ClaimPhase.HELD, ClaimPhase.DISPATCHED):
             raise AlmondstairError(
                 kind=ErrorKind.INTERNAL,
-                detail=f"the claim is already {self.phase.name}",
+                detail=f"claim is {self.phase.name} already",
             )
         self.phase = phase
 
--- a/almondstair/dispatch.py
+++ b/almondstair/dispatch.py
@@ -272,7 +272,7 @@
     if exchange.outcome is ExchangeOutcome.TOO_LATE:
         return AlmondstairError(
             kind=ErrorKind.NO_UPSTREAM,
-            detail=f"the request to upstream {name} can no longer be sent",
+            detail=f"this entry may not send it to upstream {name} any more",
         )
     if exchange.outcome is ExchangeOutcome.REFUSED:
         return AlmondstairError(
--- a/almondstair/frontend.py
+++ b/almondstair/frontend.py
@@ -461,14 +461,14 @@
 def _service_argument(start_line: httputil.RequestStartLine, query: str) -> str:
     if start_line.method not in ("GET", "HEAD"):
         raise AlmondstairError(
-            kind=ErrorKind.BAD_REQUEST, detail="a look-up must be a GET request"
+            kind=ErrorKind.BAD_REQUEST, detail="a look-up is a GET"
         )
     arguments = httputil.parse_qs_bytes(query)
     values = arguments.get("service", [])
     if len(values) != 1:
         raise AlmondstairError(
             kind=ErrorKind.BAD_REQUEST,
-            detail="pass one service parameter: /v1/entries?service=NAME",
+            detail="give the service once: /v1/entries?service=NAME",
         )
     return values[0].decode("utf-8", "replace")
 
@@ -476,5 +476,5 @@
 def _body_too_large(limit_bytes: int) -> AlmondstairError:
     return AlmondstairError(
         kind=ErrorKind.BODY_TOO_LARGE,
-        detail=f"the body is over the limit of {limit_bytes} bytes",
+        detail=f"the body may have {limit_bytes} bytes",
     )
--- a/almondstair/gateway/caller_connection.py
+++ b/almondstair/gateway/caller_connection.py
@@ -153,7 +153,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._reject_malformed("only HTTP/1.1 is supported")
+            self._reject_malformed("no protocol but HTTP/1.1 is spoken")
         except httptools.HttpParserError as error:
             if not self._reading_ended:
                 self._reject_malformed(str(error))
@@ -441,7 +441,7 @@
     if not request.target.startswith("/"):
         raise AlmondstairError(
             kind=ErrorKind.BAD_REQUEST,
-            detail="the request target must be a path",
+            detail="the target must be a path",
         )
     hosts = 0
     for name, _ in request.headers:
@@ -450,7 +450,7 @@
     if hosts != 1:
         raise AlmondstairError(
             kind=ErrorKind.BAD_REQUEST,
-            detail="the request must have exactly one Host header",
+            detail="Host must be given once",
         )
     if (
         request.body_length is not None
--- a/almondstair/gateway/forwarder.py
+++ b/almondstair/gateway/forwarder.py
@@ -179,7 +179,7 @@
                     kind=ErrorKind.UPSTREAM_TIMEOUT
                 ) from error
             raise AlmondstairError(
-                kind=ErrorKind.NO_SLOT, detail="no response before the deadline"
+                kind=ErrorKind.NO_SLOT, detail="no answer in time"
             ) from error
 
     async def _serve(self, call: ForwardedCall) -> None:
@@ -276,13 +276,13 @@
         if call.may_have_run:
             return AlmondstairError(
                 kind=ErrorKind.UPSTREAM_LOST,
-                detail="the request may crash upstreams",
+                detail="it may end upstreams",
             )
         if standing is CrashVerdict.REFUSED:
             return AlmondstairError(kind=ErrorKind.QUARANTINED)
         return AlmondstairError(
             kind=ErrorKind.QUARANTINED,
-            detail="checking whether the request crashed upstreams",
+            detail="whether it ended upstreams is being found out",
             retry_after_ms=SUSPECT_RETRY_AFTER_MS,
         )
 
--- a/almondstair/gateway/upstream_connection.py
+++ b/almondstair/gateway/upstream_connection.py
@@ -191,7 +191,7 @@
             return
         self._head_bytes += len(name) + len(value)
         if self._head_bytes > MAX_HEAD_BYTES:
-            raise httptools.HttpParserError("response head too long")
+            raise httptools.HttpParserError("head too long")
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
--- a/almondstair/gateway/upstream_connector.py
+++ b/almondstair/gateway/upstream_connector.py
@@ -115,7 +115,7 @@
                 log.Event.UPSTREAM_UNREACHABLE,
                 upstream=record.upstream_id,
                 address=record.address,
-                detail=str(error) or "connection timed out",
+                detail=str(error) or "no answer to a connection",
             )
             return None
         self._record_round_trip(upstream.region, now_s() - began_s)
--- a/almondstair/gateway/upstream_sender.py
+++ b/almondstair/gateway/upstream_sender.py
@@ -85,9 +85,7 @@
                 return _not_sent(call, "upstream unreachable")
             if self._newly_suspected(call):
                 self._pool.release(connection, incarnation=upstream.incarnation)
-                return _not_sent(
-                    call, "the request may have crashed an upstream"
-                )
+                return _not_sent(call, "it may have ended an upstream")
             call.attempts += 1
             ran_before = call.may_have_run
             call.may_have_run = True
@@ -212,7 +210,7 @@
             return AttemptResult(
                 AttemptVerdict.UNKNOWN,
                 exchange,
-                f"response {exchange.end.value}",
+                f"answer {exchange.end.value}",
             )
         self._record_load(upstream_headers=head.headers, choice=choice)
         cause = _unusable_cause(head)
@@ -269,7 +267,7 @@
         head.status in _SUCCESS
         and find_header(head.headers, names.RESPONSE_SEAL) is None
     ):
-        return "response without signature"
+        return "answer without signature"
     return ""
 
 
--- a/almondstair/http_messages.py
+++ b/almondstair/http_messages.py
@@ -79,9 +79,7 @@
     if not _FRAMING_HEADERS.isdisjoint(_connection_tokens(headers)):
         # If the length were removed as a hop-by-hop header, the upstream would
         # read the body as further requests.
-        raise _bad_request(
-            "Connection must not list Content-Length or Transfer-Encoding"
-        )
+        raise _bad_request("Connection may not name the body's length")
     return _body_length(start_line, headers)
 
 
@@ -92,12 +90,10 @@
     encodings = headers.get_list("Transfer-Encoding")
     if lengths and encodings:
         raise _bad_request(
-            "Content-Length and Transfer-Encoding are both present"
+            "Content-Length and Transfer-Encoding exclude each other"
         )
     if len(lengths) > 1 or len(encodings) > 1:
-        raise _bad_request(
-            "Content-Length or Transfer-Encoding is present twice"
-        )
+        raise _bad_request("the body's length is given twice")
     if encodings:
         if encodings[0].lower() != "chunked":
             raise _bad_request("Transfer-Encoding must be chunked")
--- a/almondstair/key_value/etcd.py
+++ b/almondstair/key_value/etcd.py
@@ -131,7 +131,7 @@
         if len(results) != len(writes):
             raise base.PlatformError(
                 failure=base.PlatformFailure.UNKNOWN,
-                detail="the platform returned a different number of results",
+                detail="the platform answered for another number of keys",
             )
         return tuple(results)
 
--- a/almondstair/key_value/json_client.py
+++ b/almondstair/key_value/json_client.py
@@ -50,7 +50,7 @@
 
     async def receive_data(self, chunk: bytes) -> None:
         if len(self.body) + len(chunk) > MAX_RESPONSE_BYTES:
-            raise OSError("the response is too large")
+            raise OSError("the answer is too large")
         self.body += chunk
 
 
@@ -113,7 +113,7 @@
         except TimeoutError as error:
             raise base.PlatformError(
                 failure=base.PlatformFailure.UNAVAILABLE,
-                detail="too many calls to the platform are in flight",
+                detail="too many calls to the platform are under way",
             ) from error
         try:
             response = await self._fetch(path, body, writes, deadline_s)
--- a/almondstair/link_pacers.py
+++ b/almondstair/link_pacers.py
@@ -444,6 +444,6 @@
         retry_after_s = MAX_QUEUE_DELAY_S
     return AlmondstairError(
         kind=ErrorKind.LINK_FULL,
-        detail=f"the queue of the link to {region} takes {queued_s:.1f} s",
+        detail=f"the link to {region} has work for {queued_s:.1f} s",
         retry_after_ms=max(MIN_RETRY_AFTER_MS, int(retry_after_s * 1000)),
     )
--- a/almondstair/lookups.py
+++ b/almondstair/lookups.py
@@ -81,7 +81,7 @@
             names = ", ".join(sorted(configuration.services))
             raise AlmondstairError(
                 kind=ErrorKind.UNKNOWN_SERVICE,
-                detail=f"unknown service {service!r}; known services: {names}",
+                detail=f"there is no service {service!r}; there are: {names}",
             )
         entries: list[EntryBody] = []
         block = caller_block(address=caller_ip)
@@ -95,7 +95,7 @@
         if not entries:
             raise AlmondstairError(
                 kind=ErrorKind.NO_UPSTREAM,
-                detail="no entry accepts work yet",
+                detail="no entry takes work yet",
                 retry_after_ms=STARTUP_RETRY_AFTER_MS,
             )
         return LookupBody(service=service, entries=entries, ttl_s=self._ttl_s)
--- a/almondstair/store.py
+++ b/almondstair/store.py
@@ -133,7 +133,7 @@
                 return planned
         raise AlmondstairError(
             kind=ErrorKind.PLATFORM_UNAVAILABLE,
-            detail=f"the entry table changed during {CHANGE_ATTEMPTS} attempts",
+            detail=f"the entry table changed {CHANGE_ATTEMPTS} times meanwhile",
         )
 
     async def _try_write(
@@ -249,7 +249,7 @@
             return EditResult(EditStatus.UNKNOWN, edit.edit_id)
         raise PlatformError(
             failure=PlatformFailure.UNAVAILABLE,
-            detail="the compare-and-swap failed repeatedly without a cause",
+            detail="the compare-and-swap kept failing without a cause",
         )
 
     async def _attempt(
@@ -415,8 +415,8 @@
             ran=Ran.NO,
             detail=(
                 "the platform lost versions of the configuration, and a silent "
-                "entry may have a higher version than any reported; retry when "
-                "every entry reports or is removed from the entry table"
+                "entry may have a higher one than is known; edit again when "
+                "every entry is heard or gone from the entry table"
             ),
         )
     return None
@@ -428,8 +428,8 @@
         raise AlmondstairError(
             kind=ErrorKind.CONFIGURATION_INVALID,
             detail=(
-                f"the document has {length_bytes} bytes, but at most "
-                f"{DOCUMENT_LIMIT_BYTES} fit into a value of the platform"
+                f"the document has {length_bytes} bytes, at most "
+                f"{DOCUMENT_LIMIT_BYTES} fit into the platform's value"
             ),
         )
 
