--- a/almondstair/core/admission.py
+++ b/almondstair/core/admission.py
@@ -241,8 +241,8 @@
         for capacity in capacities:
             usable += capacity.usable
             free += capacity.free
-        kept = math.ceil(self._held_back_fraction[priority] * usable)
-        return free > max(0, min(kept, usable - 1))
+        held_back = math.ceil(self._held_back_fraction[priority] * usable)
+        return free > max(0, min(held_back, usable - 1))
 
     def release(
         self,
@@ -279,9 +279,9 @@
         ratio = self._baseline_latency.record(
             work=f"{admission.service}/{work}", latency_s=latency_s
         )
-        still_s = self.loop_stall.total_s(now_s=now_s) - admission.stall_s
+        stall_s = self.loop_stall.total_s(now_s=now_s) - admission.stall_s
         ratio = ratio_without_stall(
-            ratio=ratio, latency_s=latency_s, stall_s=still_s
+            ratio=ratio, latency_s=latency_s, stall_s=stall_s
         )
         state.ramp.record_answer(ratio=ratio, now_s=now_s)
         self._update_service_time(
@@ -372,7 +372,7 @@
         return tuple(rows)
 
     def _relevant_upstreams(self) -> list[str]:
-        """Returns upstreams of this entry's roles or requests in flight."""
+        """Returns the upstreams at which this entry has a role or requests."""
         names = dict.fromkeys(self._homes.assigned_upstreams())
         names.update(dict.fromkeys(self._tracker.upstreams()))
         return list(names)
@@ -485,7 +485,7 @@
         return ErrorKind.NO_UPSTREAM
 
     def _wait_for_slots_s(self, *, now_s: float) -> float:
-        """Returns the seconds until a slot held for others comes free."""
+        """Returns the seconds until the first slot held for others is free."""
         soonest_s = now_s + INITIAL_SERVICE_TIME_S * 5
         for name in self._homes.assigned_upstreams():
             rights = self._homes.dispatch_rights(upstream=name, now_s=now_s)
--- a/almondstair/core/admission_queue.py
+++ b/almondstair/core/admission_queue.py
@@ -25,8 +25,8 @@
     """Bounds of the queue.
 
     Attributes:
-      length: maximum of queued requests.
-      wait_s: longest time in the queue.
+      length: maximum number of queued requests.
+      wait_s: longest time in the queue, in seconds.
     """
 
     length: int = 32
@@ -92,8 +92,8 @@
     ) -> Admission | QueuedRequest | Refusal:
         """Admits, queues or refuses a request.
 
-        If this returns `QueuedRequest`, call `advance` at once: it refuses a
-        queued request that this one has displaced.
+        If this returns `QueuedRequest`, call `advance` at once: if the queue is
+        too long now, it refuses the queued request that this one displaces.
         """
         if not self._ahead_of(priority=priority):
             result = self._slots.acquire(
@@ -148,7 +148,7 @@
         self._waiting = kept
 
     def next_due_s(self) -> float | None:
-        """Returns when `advance` is due at the latest, None if it is not."""
+        """Returns when `advance` is due at the latest, None if none wait."""
         soonest_s = None
         for waiting in self._waiting:
             if soonest_s is None or waiting.expires_s < soonest_s:
@@ -190,15 +190,15 @@
         usable = self._slots.usable_slots(service=self._service, now_s=now_s)
         if usable < 1:
             return False
-        each_s = self._slots.service_time_s(service=self._service)
-        wait_s = each_s * (ahead + 1) / (usable + 1)
+        service_time_s = self._slots.service_time_s(service=self._service)
+        wait_s = service_time_s * (ahead + 1) / (usable + 1)
         if wait_s > self._limits.wait_s:
             return False
-        return now_s + wait_s + each_s <= deadline_s
+        return now_s + wait_s + service_time_s <= deadline_s
 
     def _insert(self, *, waiting: QueuedRequest) -> None:
-        place = self._ahead_of(priority=waiting.priority)
-        self._waiting.insert(place, waiting)
+        position = self._ahead_of(priority=waiting.priority)
+        self._waiting.insert(position, waiting)
 
     def _refusal(self, *, now_s: float) -> Refusal:
         return self._slots.refusal(
--- a/almondstair/core/admission_records.py
+++ b/almondstair/core/admission_records.py
@@ -36,7 +36,7 @@
 
 
 class Refusal(NamedTuple):
-    """Refuses a slot.
+    """States why no slot was granted, and when to retry.
 
     Attributes:
       kind: the reason.
--- a/almondstair/core/blocks.py
+++ b/almondstair/core/blocks.py
@@ -142,7 +142,7 @@
 def table_from_rows(
     *, rows: Iterable[BlockSite], version: int = 0
 ) -> BlockTable:
-    """Returns the table of unsorted rows.
+    """Returns a table built from rows in any order.
 
     Raises:
       AlmondstairError: CONFIGURATION_INVALID if a block is neither 3 nor 6
@@ -204,7 +204,7 @@
         self._families[shard.number] = _read_rows(shard=shard)
 
     def table(self) -> BlockTable:
-        """Returns the table after every shard was added.
+        """Returns the table; every shard must have been added.
 
         Raises:
           AlmondstairError: CONFIGURATION_INVALID if shards are missing, belong
--- a/almondstair/core/choosing.py
+++ b/almondstair/core/choosing.py
@@ -13,21 +13,22 @@
 # Cost in seconds of each position further down in a key's order. It only
 # breaks ties, so that entries without any load reports choose alike.
 POSITION_COST_S = 0.002
-# Cost of running an object where it is not cached, as a factor on the
+# Cost of running a request where its object is not cached, as a factor on the
 # additional run time: a minimum, and a part that grows with the utilisation of
 # the service, because the longer run takes capacity from other requests.
 UNKNOWN_COST = 1.0
 UNKNOWN_COST_BY_USE = 2.0
-# Utilisation of a service above which an object runs only where it is cached or
-# at its home, the first eligible upstream in its order. Uncached runs elsewhere
-# take so long that upstreams would no longer get to requests for the objects
-# that they have cached.
+# Utilisation of a service above which a request runs only where its object is
+# cached or at the object's home, the first eligible upstream in its order.
+# Uncached runs elsewhere take so long that upstreams would no longer get to
+# requests for the objects that they have cached.
 CROWDED_USE = 0.8
 # Part of an upstream's slots that stays free for the next higher priority.
 RESERVE_SHARE = 0.25
 # A request that has to wait is sent only if its expected time to the response
-# is at most these parts of its latency target and of the time until it is given
-# up. A longer queue would make every response late, so the request is refused.
+# is at most these multiples of the time left within its latency target and of
+# the time left before it is given up. A longer queue would make every response
+# late, so the request is refused.
 WAIT_AIM_SHARE = 1.6
 WAIT_TIME_SHARE = 0.9
 
@@ -68,7 +69,7 @@
       tried: ids of upstreams to which it was already sent.
       cached_upstreams: hashes of the eligible upstreams that are assumed to
         have its object cached.
-      run_times: its expected run time.
+      run_times: its expected run times, with and without its object cached.
       service_run_s: mean run time of its service, in seconds.
       utilisation: utilisation of the service's slots, 0 to 1.
       target_left_s: time left within its latency target, in seconds.
@@ -110,7 +111,8 @@
 
     It is the one with the lowest expected cost: round trip, wait for a slot,
     and run time, which is shorter where the object is cached. A request that
-    would wait past its latency target is not sent at all.
+    would have to wait too long for its latency target, or for the time left
+    before it is given up, is not sent at all.
     """
     best: Choice | None = None
     best_cost_s = 0.0
--- a/almondstair/core/configuration.py
+++ b/almondstair/core/configuration.py
@@ -69,7 +69,7 @@
 
 
 class ApplyOutcome(enum.StrEnum):
-    """Outcome for a configuration that the platform or a peer served.
+    """Outcome of applying a configuration from the platform or a peer.
 
     Attributes:
       APPLIED: it was newer and is in force.
@@ -243,12 +243,12 @@
 
     Attributes:
       CURRENT: the edit is based on the stored version.
-      DONE: the edit is already applied.
-      BEHIND: another edit was applied since.
+      ALREADY_APPLIED: the edit is already applied.
+      OUTDATED: another edit was applied since.
       ROLLED_BACK: the edit is based on the version in force, which the
         platform lost.
-      UNSURE: the platform lost versions and some entries of the table are
-        silent, so a version above the base may be in force on one of them.
+      UNDECIDABLE: the platform lost versions and some entries of the table
+        are silent, so a version above the base may be in force on one of them.
     """
 
     CURRENT = "current"
@@ -271,7 +271,7 @@
       edit: the edit.
       stored: what the platform stores, None for nothing.
       highest_version: highest version that any entry reported in force.
-      all_heard: whether no entry of the table is silent.
+      all_heard: whether every entry of the table was heard recently.
     """
     stored_version = 0
     if stored is not None:
@@ -300,7 +300,7 @@
     stored: StoredConfiguration | None,
     highest_version: int,
 ) -> StoredConfiguration:
-    """Returns the document that an edit writes, above every known version."""
+    """Returns what an edit writes, with a version above every known one."""
     recent: tuple[EditRecord, ...] = ()
     version = highest_version
     if stored is not None:
--- a/almondstair/core/crash_suspects.py
+++ b/almondstair/core/crash_suspects.py
@@ -21,13 +21,14 @@
 
 import xxhash
 
-# Crashed upstreams from which on a request is refused. The operators' limit
-# counts from the third.
+# Number of crashed upstreams at which a request is refused. The operators'
+# limit counts from the third.
 MIN_STRIKES_TO_REFUSE = 3
 # Consecutive strikes that are needed to refuse a request: the loss of a rack
 # ends several upstreams at once, whatever ran there.
 MIN_CONSECUTIVE_TO_REFUSE = 2
-# Losses and strikes at which a request with an unconfirmed loss does not run.
+# Number of upstreams with an unconfirmed loss or a strike at which a request
+# does not run while one of the losses is unconfirmed.
 MIN_UPSTREAMS_TO_HOLD = 2
 # Time after a lost response within which the end of the upstream counts as a
 # crash, and time for which a strike is kept. A crashed upstream is back after
@@ -106,8 +107,8 @@
     def add_unconfirmed(self, upstream: int, loss: _Loss) -> None:
         """Adds an unconfirmed loss; of several the longest run counts.
 
-        If the last one counted, a short request that had just begun would be
-        lost along with long ones and would seem to have crashed the upstream.
+        If the last one counted, a run that had just begun, and was lost along
+        with longer ones, would seem to have crashed the upstream.
         """
         before = self.unconfirmed.get(upstream)
         if before is not None:
@@ -121,7 +122,7 @@
         return self.unconfirmed.pop(upstream, dismissed)
 
     def count_consecutive(self) -> int:
-        """Returns the number of strikes from runs that began after another."""
+        """Returns how many strikes are of runs begun after the previous one."""
         count = 0
         last_s = -math.inf
         for loss in sorted(self.strikes.values()):
@@ -201,7 +202,7 @@
         case = self._case(strike.fingerprint)
         loss = case.pop_loss(strike.upstream)
         if loss is None:
-            # Its begin is unknown and may precede other strikes.
+            # Its start is unknown and may precede other strikes.
             loss = _Loss(lost_s=now_s, began_s=-math.inf)
         self._strike(strike.fingerprint, strike.upstream, loss)
 
--- a/almondstair/core/entry_directory.py
+++ b/almondstair/core/entry_directory.py
@@ -7,8 +7,9 @@
 zone, and large ones are returned to more callers than small ones.
 
 The selection follows from a hash of caller and entry. So a repeated lookup
-returns the same entries, since callers close connections to entries that are no
-longer returned, and the end of an entry changes only the lists that contain it.
+returns the same entries, and the end of an entry changes only the lists that
+contain it. This matters because callers close connections to entries that are
+no longer returned.
 """
 
 from collections.abc import Iterable
@@ -19,14 +20,14 @@
 
 from almondstair.core.registered_entries import Entry
 
-# Most addresses that callers accept.
+# Maximum number of addresses that callers accept.
 MAX_ADDRESSES = 64
 # Entries per zone in a weighted list: one may be draining and another slow. The
 # shorter the list, the closer the traffic follows the weights.
 ENTRIES_PER_ZONE = 3
 # Entries whose weights differ by less than this factor count as equal.
 EQUAL_WEIGHT_RATIO = 1.25
-# Cached lists, 0.5 kB each.
+# Maximum number of cached lists, 0.5 kB each.
 MAX_CACHED_LISTS = 4096
 _HASH_RANGE = 2.0**64
 
@@ -53,7 +54,8 @@
         self._lists = {}
         for entry in found:
             seed = xxhash.xxh3_64_intdigest(entry.name.encode())
-            # Entries of an older version do not state it; then all are equal.
+            # Entries of an older version report no throughput. If there are
+            # any, all weights are equal.
             weight = entry.throughput_mbps if has_weights else 1.0
             self._entries.append(_Weighted(entry, weight, seed))
 
--- a/almondstair/core/entry_selection.py
+++ b/almondstair/core/entry_selection.py
@@ -104,8 +104,8 @@
             ranked.append((-free_slots, offset, row))
         ranked.sort(key=_sort_key)
         ordered = []
-        for negative, _, row in ranked:
-            ordered.append(RankedEntry(row, -negative))
+        for negated_free_slots, _, row in ranked:
+            ordered.append(RankedEntry(row, -negated_free_slots))
         return tuple(ordered)
 
     def designated_entry(
--- a/almondstair/core/entry_table.py
+++ b/almondstair/core/entry_table.py
@@ -42,11 +42,11 @@
     """The entries under one epoch.
 
     Attributes:
-      epoch: grows by one with each change; 0 is the empty table before any.
+      epoch: grows by one with each change; 0 is the initial, empty table.
       entries: the rows, in any order.
       lost_epoch: the last epoch that removed an entry which had not released
         its home roles; 0 if there was none. No entry knows which of its
-        requests still run, so slots are held back after it.
+        requests still run, so slots are held back after such a loss.
     """
 
     epoch: int = 0
--- a/almondstair/core/entry_waits.py
+++ b/almondstair/core/entry_waits.py
@@ -16,8 +16,8 @@
 import contextlib
 import math
 
-# Ratio of a request's latency target to the shortest one of its service from
-# which on it yields to shorter requests.
+# Ratio of a request's latency target to the shortest one of its service at
+# which it starts to yield to shorter requests.
 PATIENT_TIMES = 2.0
 # Longest wait at the entry, whatever the latency target: callers of slow
 # requests can retry, and a draining entry ends in time.
--- a/almondstair/core/fleet.py
+++ b/almondstair/core/fleet.py
@@ -192,9 +192,9 @@
 
     def _add_upstream(self, record: UpstreamRecord, now_s: float) -> None:
         if self._ended.was_draining(record):
-            # The store applied a write from before the draining late. Without
-            # this the upstream would get requests again, and nothing would
-            # remove the registration.
+            # A write from before the draining, which the store applied late.
+            # Without this the upstream would get requests again, and nothing
+            # would remove the registration.
             record = record._replace(draining=True)
         region = self._zones.get(record.availability_zone, "")
         state = UpstreamState(
@@ -208,10 +208,10 @@
     def _cold_until_s(self, record: UpstreamRecord, now_s: float) -> float:
         """Returns until when a newly registered upstream is cold.
 
-        An unknown incarnation counts as cold. A known one that registers again
-        has only lost its registration. If it counted as cold, it would get
-        almost no requests for the whole cold time of its service, although its
-        caches are still warm.
+        An unknown incarnation counts as cold, except in the first listing. A
+        known one that registers again has only lost its registration. If it
+        counted as cold, it would get almost no requests for the whole cold time
+        of its service, although its caches are still warm.
         """
         remembered_s = self._ended.cold_until_s(record)
         cold_s = record.cold_left_s
--- a/almondstair/core/handover_records.py
+++ b/almondstair/core/handover_records.py
@@ -1,4 +1,4 @@
-"""Records of home roles: held here, offered for handover, and by peer."""
+"""Records of home roles held here or offered for handover, and of peers."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class HandoverSource(NamedTuple):
-    """Identifies the process, and its epoch, that a role is taken over from."""
+    """Identifies the process and last epoch that a role is taken over from."""
 
     entry: str
     incarnation: str
@@ -35,7 +35,7 @@
 
 
 class HandoverOffer(NamedTuple):
-    """Holds a record received in the current epoch, in this entry's time."""
+    """Holds a handover record of this epoch, in times of this entry's clock."""
 
     source: HandoverSource
     busy_until_s: tuple[float, ...]
--- a/almondstair/core/health.py
+++ b/almondstair/core/health.py
@@ -24,14 +24,14 @@
 MAX_SAMPLE_WEIGHT = 0.5
 # Latency up to this multiple of the baseline counts as noise.
 MAX_NORMAL_STRETCH = 2.0
-# Fraction of failed requests from which an upstream counts as failing. Below
+# Fraction of failed requests at which an upstream counts as failing. Below
 # it, the cause may as well be some requests that fail wherever they run, and
 # withdrawing slots would only cost capacity.
 FAILING_FRACTION = 0.6
-# Least time between two requests to a failing upstream. An upstream that fails
-# fast also frees its slots fast, and without a pause it would attract more work
-# than healthy ones; the symptom is that the answers of this upstream alone
-# increase while its load report says idle.
+# Minimum time between two requests to a failing upstream. An upstream that
+# fails fast also frees its slots fast, and without a pause it would attract
+# more work than healthy ones; the symptom is that the answers of this upstream
+# alone increase while its load report says idle.
 PROBE_INTERVAL_S = 0.25
 # Above zero, since recovery is only noticed by sending requests.
 MIN_FACTOR = 0.02
--- a/almondstair/core/heartbeat_payloads.py
+++ b/almondstair/core/heartbeat_payloads.py
@@ -69,7 +69,8 @@
 
     Attributes:
       epoch: epoch of the entry table that defines the order of the bytes.
-      ages: one byte per entry, the age in `AGE_UNIT_S`; 255 for silent.
+      ages: one byte per entry, the age in `AGE_UNIT_S`; 255 if the entry is
+        silent or leaving.
       versions_behind: one byte per entry, the number of configuration versions
         behind `configuration_version`; 255 for 255 or more, or unknown.
       configuration_version: highest version that the sender knows of.
@@ -108,7 +109,7 @@
 
     Attributes:
       name: name of the entry.
-      live: whether it is not silent and accepts work.
+      live: whether it is neither silent nor leaving.
       age_s: time since it was heard in seconds; infinity for never.
       version: lower bound of its configuration version; 0 if unknown.
     """
@@ -132,10 +133,10 @@
     selected = []
     for step in range(min(count, len(names))):
         selected.append(names[(start + step) % len(names)])
-    next_place = 0
+    next_index = 0
     if names:
-        next_place = (start + len(selected)) % len(names)
-    return tuple(selected), next_place
+        next_index = (start + len(selected)) % len(names)
+    return tuple(selected), next_index
 
 
 def names_by_zone(*, table: EntryTable) -> dict[str, list[str]]:
@@ -247,10 +248,10 @@
     """
     age_s = digest.age_ms / 1000 + RELAY_DELAY_S
     members = []
-    for place, name in enumerate(names):
-        live = _is_bit_set(digest.live_bits, place)
+    for position, name in enumerate(names):
+        live = _is_bit_set(digest.live_bits, position)
         version = 0
-        if _is_bit_set(digest.version_bits, place):
+        if _is_bit_set(digest.version_bits, position):
             version = digest.version
         members.append(MemberStatus(name, live, age_s, version))
     return members
@@ -258,16 +259,16 @@
 
 def _pack_bits(flags: Sequence[bool]) -> bytes:
     packed = bytearray((len(flags) + 7) // 8)
-    for place, flag in enumerate(flags):
+    for position, flag in enumerate(flags):
         if flag:
-            packed[place // 8] |= 1 << (place % 8)
+            packed[position // 8] |= 1 << (position % 8)
     return bytes(packed)
 
 
-def _is_bit_set(packed: bytes, place: int) -> bool:
-    if place // 8 >= len(packed):
+def _is_bit_set(packed: bytes, position: int) -> bool:
+    if position // 8 >= len(packed):
         return False
-    return bool(packed[place // 8] >> (place % 8) & 1)
+    return bool(packed[position // 8] >> (position % 8) & 1)
 
 
 class DigestStore:
--- a/almondstair/core/heartbeats.py
+++ b/almondstair/core/heartbeats.py
@@ -17,8 +17,8 @@
 group are known by `ZoneDigest`, two bits per entry. A far contact gets some
 digests every `FAR_PERIOD_S`, and every heartbeat within the group carries some.
 
-Results of `python -m benchmarks.heartbeats --target`, as sent by each entry,
-with packet headers and without partners:
+Traffic that each entry sends, with packet headers and without partners, and age
+of the reports (`python -m benchmarks.heartbeats --target`):
 
 * 10 entries: 2.0 KB/s, every report at most 0.5 s old.
 * 770 entries in 14 zones: 2.3 KB/s. Reports on the own zone are 1.6 s old on
@@ -28,8 +28,8 @@
 
 Ten partners add 1.0 KB/s, calculated from the size of a heartbeat. Received
 traffic is as much again, so both directions together exceed 5 KB/s at the
-target size. Loads of far zones arrive later than steering needs them; there it
-depends on the in-band loads on answers.
+target size. Loads of far zones arrive later than steering needs them, so
+steering to those zones relies on the in-band loads on answers.
 """
 
 from collections.abc import Iterable
@@ -62,10 +62,9 @@
 # An entry is silent after this many consecutive rounds without a heartbeat.
 MISSED_ROUNDS = 3
 # With views, most reports arrive by relays, long before the entry's own
-# heartbeat. Twice the greatest age in a zone of 55 entries in the benchmark.
+# heartbeat. Well above the greatest age in a zone of 55 entries, 3.7 s.
 VIEW_SILENCE_S = 6.0
-# Twice the greatest age outside of the group in the benchmark at the target
-# size.
+# Well above the greatest age outside of the group at the target size, 14.4 s.
 FAR_SILENCE_S = 25.0
 WATCHERS_PER_ZONE = 2
 
--- a/almondstair/core/homes.py
+++ b/almondstair/core/homes.py
@@ -4,19 +4,19 @@
 counted in one place. The home role moves with the entry table, under these
 rules:
 
-* The home of an epoch starts when the previous home has applied the same epoch
-  and has reported which slots its work still takes. The previous home is known
-  if it held the role in the epoch just before, or if every entry of the region
-  has applied this epoch and none held the role in a later one.
+* The home of an epoch starts to dispatch when the previous home has applied the
+  same epoch and has reported which slots its work still takes. The previous
+  home is known if it held the role in the epoch just before, or if every entry
+  of the region has applied this epoch and none held the role in a later one.
 * If an entry was lost since, it may have been the previous home. Every slot
   then counts as taken until the longest deadline has passed.
 * One slot of each upstream is a reserve for short work. The home uses it only
   while its successor, the next entry in rank, has acknowledged it within T1.
   The successor uses it after it has received nothing from the home for T2 = T1
   + the longest deadline of work allowed in the reserve + a margin, and does not
-  acknowledge the home while it has work there. So a home that resumes after a
-  freeze and still assumes its role never exceeds the slots together with its
-  successor.
+  acknowledge the home while it has work there. So even if a frozen home resumes
+  and still assumes its role, it and its successor together never exceed the
+  slots.
 
 None of this needs the platform's service or a vote: without them, the home
 roles of the last table stay in force.
@@ -123,7 +123,7 @@
         return rank[1]
 
     def update_table(self, *, table: EntryTable, now_s: float) -> None:
-        """Applies a table unless it is not newer than the one in use."""
+        """Applies a table if it is newer than the one in use."""
         if table.epoch <= self._table.epoch:
             return
         old_epoch = self._table.epoch
@@ -350,7 +350,7 @@
         return True
 
     def _settled_s(self, *, region: str) -> float | None:
-        """Returns when all of a region had settled, None if not all have."""
+        """Returns when a region's last entry settled, None if not all have."""
         if region not in self._settled_cache:
             self._settled_cache[region] = self._last_settled_s(region=region)
         return self._settled_cache[region]
@@ -434,8 +434,9 @@
         """Returns the previous home's handover, None while it is not known.
 
         An epoch has one home, so a record of the epoch just before is the
-        latest. Otherwise every entry must have settled under this epoch, since
-        one that is frozen, or whose report was lost, may still dispatch.
+        latest. Otherwise every entry of the region must have settled under this
+        epoch, since one that is frozen, or whose report was lost, may still
+        dispatch.
         """
         best = HandoverOffer(NO_SOURCE, ())
         own = self._roles.get(upstream.name)
--- a/almondstair/core/idempotency.py
+++ b/almondstair/core/idempotency.py
@@ -40,7 +40,7 @@
     """State of a key in the service.
 
     Attributes:
-      CLAIMED: claimed; the request may have been dispatched or still be.
+      CLAIMED: claimed; the request may have been dispatched, or may yet be.
       DONE: answered by an upstream.
       UNKNOWN: dispatched, but no complete response arrived.
       RELEASED: certainly has not run and never will; may be claimed again.
@@ -247,7 +247,7 @@
 
 
 class ClaimAttempt:
-    """Makes one claim: decides on each call from the result of the last one.
+    """Makes one claim; the result of each call decides on the next one.
 
     A write whose reply was lost may be applied now, later or never. Treating
     it as failed would leave a claim that nobody releases; treating it as
--- a/almondstair/core/leaving_reports.py
+++ b/almondstair/core/leaving_reports.py
@@ -1,8 +1,8 @@
 """Peers' reports of leaving upstreams, kept while the VM list is unavailable.
 
-Suppose only one entry has read a new leaving mark when the VM list becomes
-unavailable, and that entry restarts. If the others dropped its report with its
-old process, the upstream would get new work.
+A report is kept beyond the end of the process that sent it. Otherwise, if only
+one entry has read a new leaving mark when the VM list becomes unavailable, and
+that entry restarts, the upstream would get new work.
 """
 
 from collections.abc import Collection
@@ -70,7 +70,7 @@
 
         Args:
           known: name and incarnation of each entry of the table.
-          since_s: later reports are kept, also those of other processes.
+          since_s: later reports are kept, also those of ended processes.
         """
         for process, report in tuple(self._reports.items()):
             if process not in known and report.received_s < since_s:
--- a/almondstair/core/links.py
+++ b/almondstair/core/links.py
@@ -37,7 +37,8 @@
 OWN_USE_FRACTION = 0.05
 # Headroom over the measured use that an entry keeps or asks for.
 HEADROOM_FACTOR = 1.25
-# Bounds the number of messages in a zone of many entries.
+# Peers asked for a loan in one round, besides current lenders. Bounds the
+# number of messages in a zone of many entries.
 PEERS_PER_ROUND = 4
 # Bounds a returned wait, since a loan may arrive in the meantime.
 MAX_WAIT_S = 0.05
@@ -85,23 +86,23 @@
     """Measures the use of the link, smoothed over about a second."""
 
     def __init__(self, *, now_s: float) -> None:
-        self._moved_bytes = 0
+        self._sent_bytes = 0
         self._since_s = now_s
         self._used_bytes_per_s = 0.0
 
     def add(self, size_bytes: int) -> None:
         """Counts bytes that were sent."""
-        self._moved_bytes += size_bytes
+        self._sent_bytes += size_bytes
 
     def used_bytes_per_s(self, *, now_s: float) -> float:
         """Returns the smoothed use in bytes per second."""
         elapsed_s = now_s - self._since_s
         if elapsed_s < METER_INTERVAL_S:
             return self._used_bytes_per_s
-        latest = self._moved_bytes / elapsed_s
+        latest = self._sent_bytes / elapsed_s
         weight = min(1.0, elapsed_s / METER_SMOOTHING_S)
         self._used_bytes_per_s += (latest - self._used_bytes_per_s) * weight
-        self._moved_bytes = 0
+        self._sent_bytes = 0
         self._since_s = now_s
         return self._used_bytes_per_s
 
@@ -200,11 +201,11 @@
           tokens for half a bucket, or for the whole chunk, are available.
         """
         self._advance(now_s=now_s)
-        least_bytes = min(size_bytes, int(self._bucket.depth_bytes / 2) + 1)
+        min_bytes = min(size_bytes, int(self._bucket.depth_bytes / 2) + 1)
         self._bucket.refill(now_s=now_s)
-        wait_s = self._wait_s(size_bytes=least_bytes)
+        wait_s = self._wait_s(size_bytes=min_bytes)
         taken_bytes = 0
-        if self._bucket.tokens >= least_bytes:
+        if self._bucket.tokens >= min_bytes:
             taken_bytes = self._bucket.acquire_up_to(
                 size_bytes=size_bytes, now_s=now_s
             )
@@ -397,7 +398,7 @@
         self._update_allowance(now_s=now_s)
         own = self._allowance_bytes_per_s - self._lent.share_bytes_per_s
         share = max(0, own) + self._borrowed.share_bytes_per_s
-        # The rest covers clock drift: a fast clock would exceed the share.
+        # A fast clock would exceed the share without this allowance for drift.
         steady_fraction = 1.0 - DEPTH_FRACTION - self._timing.drift_fraction
         self._bucket.resize(
             rate_bytes_per_s=share * steady_fraction,
@@ -438,7 +439,8 @@
     def _may_answer(self, request: LoanRequest) -> bool:
         if self._released or request.lender != self._entry_name:
             return False
-        # `apply_table` drops loans; a loan of another epoch would outlive that.
+        # `apply_table` drops loans at a new epoch. A loan across epochs would
+        # escape that.
         if request.epoch != self._epoch:
             return False
         return request.borrower in self._entries
