--- a/almondstair/core/loads.py
+++ b/almondstair/core/loads.py
@@ -86,7 +86,7 @@
           free_slots: free slots among them.
           measured_s: monotonic time of the measurement.
           limit_s: age in seconds at which this report expires; None for the
-            limit given to the load.
+            default limit.
         """
         last = self._reports.get(source)
         if last is not None and last.measured_s > measured_s:
@@ -164,7 +164,7 @@
 def configured_slots(
     *, configuration: Configuration
 ) -> dict[tuple[str, str], int]:
-    """Returns the slots by region and service, without leaving upstreams."""
+    """Returns slots by region and service, except upstreams marked leaving."""
     slots: dict[tuple[str, str], int] = {}
     for region in configuration.regions:
         for service in configuration.services:
--- a/almondstair/core/loans.py
+++ b/almondstair/core/loans.py
@@ -180,7 +180,11 @@
         return request.sequence < state.last_loan.sequence
 
     def record_request(self, *, borrower: str, now_s: float) -> int:
-        """Records a request; returns how many borrowers asked within a term."""
+        """Records a request made at `now_s`.
+
+        Returns:
+          How many borrowers have made a request within the last term.
+        """
         self._state_of(borrower).asked_s = now_s
         asking = 0
         for state in self._borrowers.values():
--- a/almondstair/core/lookup.py
+++ b/almondstair/core/lookup.py
@@ -47,13 +47,13 @@
     """Returns the network of a caller: /24 for IPv4, /48 for IPv6.
 
     Args:
-      address: an IP number without port.
+      address: an IP address without port.
 
     Returns:
       The leading 3 bytes (IPv4, also when mapped into IPv6) or 6 bytes (IPv6).
 
     Raises:
-      ValueError: `address` is not an IP number.
+      ValueError: `address` is not an IP address.
     """
     parsed = ipaddress.ip_address(address)
     if isinstance(parsed, ipaddress.IPv4Address):
@@ -167,7 +167,7 @@
 def _highest_scored(
     *, group: tuple[_ScoredEntry, ...], bucket: int, count: int
 ) -> list[LookupEntry]:
-    """Returns the highest scores of a group by rendezvous hashing."""
+    """Returns the `count` highest entries of a group by rendezvous hashing."""
     digest = xxhash.xxh3_64_intdigest
     scores: list[tuple[int, int]] = []
     for position, scored in enumerate(group):
--- a/almondstair/core/loop_stall.py
+++ b/almondstair/core/loop_stall.py
@@ -6,8 +6,8 @@
 slots and callers would be refused, although the upstream is as fast as before.
 """
 
-# Interval of the ticks. A stall is underestimated by up to this much; shorter
-# ticks would cost CPU time that the control loop lacks.
+# Interval of the ticks. A stall is underestimated by up to this much; a shorter
+# interval would use more CPU time, of which the control side has little.
 TICK_INTERVAL_S = 0.05
 # Shorter delays of a tick are ignored. Processes that share CPUs regularly
 # wait that long; if that counted, a slow upstream would look less slow on a
--- a/almondstair/core/membership.py
+++ b/almondstair/core/membership.py
@@ -31,9 +31,9 @@
 ABSENT_LISTINGS = 2
 # Incarnation of an entry known only from relays.
 NO_INCARNATION = 0
-# Lifetime of the cached live entries, which are read many times a second at the
-# target size. Every change except the passing of time clears the cache, so only
-# the detection of a silent entry is delayed by this much.
+# Lifetime of the cached live entries, which a deployment of the target size
+# reads many times a second. Every change except the passing of time clears the
+# cache, so only the detection of a silent entry is delayed by this much.
 LIVE_CACHE_TTL_S = 0.1
 
 
@@ -127,9 +127,7 @@
 
     @property
     def is_registered(self) -> bool:
-        """Whether this process is in the table.
-
-        Without that it has no home role.
+        """Whether this process is in the table; if not, it has no home role.
 
         A row of an earlier process of this VM does not count: no entry knows
         which of its requests still run, so its row must be replaced first.
@@ -315,7 +313,7 @@
             self._live_cache = _LiveCache()
 
     def last_heartbeat(self, *, name: str) -> ReceivedHeartbeat | None:
-        """Returns the latest state that an entry reported, None if none."""
+        """Returns the latest known state of an entry, None if never heard."""
         return self._heartbeats.get(name)
 
     def age_s(self, *, name: str, now_s: float) -> float:
@@ -458,13 +456,13 @@
 
 
 def _rank(name: str, rows: tuple[EntryRow, ...], epoch: int) -> int:
-    own_weight = _turn_weight(name, epoch)
+    own_score = _rank_score(name, epoch)
     rank = 0
     for row in rows:
-        if row.name != name and _turn_weight(row.name, epoch) > own_weight:
+        if row.name != name and _rank_score(row.name, epoch) > own_score:
             rank += 1
     return rank
 
 
-def _turn_weight(name: str, epoch: int) -> int:
+def _rank_score(name: str, epoch: int) -> int:
     return xxhash.xxh64_intdigest(f"{epoch}/{name}".encode())
--- a/almondstair/core/message_delays.py
+++ b/almondstair/core/message_delays.py
@@ -1,9 +1,9 @@
-"""Estimates how much later than usual messages of other entries arrive.
+"""Estimates how much later than usual messages from other entries arrive.
 
 Entries share no clock, so the transit time of a single message is unknown. But
 the difference between its local arrival time and the sender's timestamp is
 nearly constant while transit times are. The delay of a message is its
-difference less the least difference of late.
+difference minus the smallest one seen recently.
 
 Strikes against requests need this: a strike counts only if its request started
 after the previous strike. If a heartbeat is delayed for longer than the
@@ -35,7 +35,7 @@
 
 
 class MessageDelayEstimator:
-    """Tracks the least transit time of each sender's messages."""
+    """Estimates delays from the least difference of each sender's messages."""
 
     def __init__(self) -> None:
         """Starts without senders."""
--- a/almondstair/core/peer_loads.py
+++ b/almondstair/core/peer_loads.py
@@ -2,7 +2,7 @@
 
 Totals for hundreds of upstreams arrive several times per second and are only
 stored. The load of an upstream is computed on demand, since a request needs it
-for a few of them.
+for only a few of them.
 """
 
 from collections.abc import Mapping
@@ -29,7 +29,11 @@
         self._own = own
 
     def requests_at(self, name: int) -> int:
-        """Returns the requests of other entries at the upstream of a hash."""
+        """Returns the requests of other entries at an upstream.
+
+        Args:
+          name: hash of the upstream's incarnation.
+        """
         requests = self._total.get(name, 0)
         if not requests:
             return 0
--- a/almondstair/core/placement.py
+++ b/almondstair/core/placement.py
@@ -78,7 +78,7 @@
     capacity: Mapping[str, float],
     kept_shares: Mapping[str, float],
 ) -> dict[str, float]:
-    """Returns shares from which regions with queues have handed over keys.
+    """Returns the shares after regions with queues have handed over keys.
 
     `compute_region_shares` only considers capacity and expected demand. When
     callers move to one region and its upstreams build up queues, all keys would
--- a/almondstair/core/placement_plan.py
+++ b/almondstair/core/placement_plan.py
@@ -41,8 +41,9 @@
 # its load still indicates its state, and gets at most twice its share.
 MIN_WEIGHT = 0.2
 MAX_WEIGHT = 2.0
-# Most weights in a plan: those that move the most keys. Datagrams carry the
-# plan beside the loads, which take 9 bytes per upstream; a weight takes 7.
+# Maximum number of weights in a plan, which keeps those that move the most
+# keys. Datagrams carry the plan beside the loads, which take 9 bytes per
+# upstream; a weight takes 7.
 MAX_WEIGHTS = 1000
 _PERCENT = 100
 
--- a/almondstair/core/quarantine.py
+++ b/almondstair/core/quarantine.py
@@ -8,13 +8,14 @@
 nothing else. After strikes on two different upstreams, no entry dispatches it
 for some minutes.
 
-Upstreams also fail for other reasons, with whatever they run. When a rack is
-lost, several upstreams fail at once, all running the most popular paths, which
-must not be refused for minutes because of that. A resent request starts after
-the previous strike, while requests lost with a rack had all started before. So
-a strike counts only if its request started after the last counted strike. Once
-the request was answered completely, a single strike no longer isolates it. The
-strike itself stays, and the next one at another upstream counts.
+Upstreams also fail for other reasons, and all requests that they run are lost.
+When a rack is lost, several upstreams fail at once, all running the most
+popular paths, which must not be refused for minutes because of that. A resent
+request starts after the previous strike, while requests lost with a rack had
+all started before. So a strike counts only if its request started after the
+last counted strike. Once the request was answered completely, a single strike
+no longer isolates it. The strike itself stays, and the next one at another
+upstream counts.
 """
 
 import enum
@@ -43,7 +44,7 @@
 
     Attributes:
       CLEAR: without restriction.
-      ISOLATED: isolated, only on an upstream that runs nothing else.
+      ISOLATED: only on an upstream that runs nothing else.
       QUARANTINED: not at all.
     """
 
@@ -154,7 +155,7 @@
         )
 
     def record_answer(self, *, fingerprint: int) -> None:
-        """Records a complete answer: strikes so far stop isolating."""
+        """Records a complete answer: earlier strikes no longer isolate."""
         for strike in self._strikes.get(fingerprint, {}).values():
             strike.answered = True
 
--- a/almondstair/core/ramps.py
+++ b/almondstair/core/ramps.py
@@ -76,8 +76,8 @@
 ) -> Weights:
     """Returns weights moved to the target, each growing by at most `growth`.
 
-    Weights shrink only as far as others may grow, so that they still sum to
-    one.
+    Weights shrink only as far as others may grow, so that they still sum to one
+    and no work is left without a region.
     """
     total_rise = 0.0
     allowed_rise = 0.0
--- a/almondstair/core/region_shares.py
+++ b/almondstair/core/region_shares.py
@@ -1,11 +1,11 @@
 """Limits how fast an entry's requests move from one region to another.
 
-If traffic exceeds the capacity of a region, a third of its requests may
-otherwise move to another region at once, whose upstreams have none of the
-objects cached and become full for their own callers. The share of requests that
-run elsewhere then jumps by more than the operators' limit between two windows.
-Here the shares of each window stay close to those of the window before, in both
-directions, so that requests move step by step.
+Without a limit, when traffic exceeds the capacity of a region, a third of its
+requests may move to another region at once. The upstreams there have none of
+the objects cached and become full for their own callers, and the share of
+requests that run elsewhere jumps by more than the operators' limit between two
+windows. Here the shares of each window stay close to those of the window
+before, in both directions, so that requests move step by step.
 """
 
 from collections import Counter
@@ -14,7 +14,7 @@
 
 # The operators compare windows of this length.
 WINDOW_S = 2.0
-# Sliding windows consist of such buckets.
+# Windows consist of such buckets and slide by one bucket at a time.
 BUCKET_S = 0.25
 _BUCKETS = int(WINDOW_S / BUCKET_S)
 # Part of the limit that is used: each entry's part of the region's traffic
@@ -81,18 +81,20 @@
         if before < LEAST_REQUESTS:
             return UNLIMITED
         step = USED_SHARE * self.max_change
-        barred = []
-        due = ""
+        excluded = []
+        underserved = ""
         for region in self._previous.keys() | self._current.keys():
             if region == self._own_region:
                 continue
             share = self._previous[region] / before
             sent = self._current[region]
             if sent > (share + step) * (current + 1):
-                barred.append(region)
+                excluded.append(region)
             if sent + 1 < (share - step) * (current + 1):
-                due = region
-        return RegionLimits(excluded=frozenset(barred), underserved=due)
+                underserved = region
+        return RegionLimits(
+            excluded=frozenset(excluded), underserved=underserved
+        )
 
     def _advance(self, now_s: float) -> None:
         """Starts the buckets up to now and recounts both windows."""
--- a/almondstair/core/region_states.py
+++ b/almondstair/core/region_states.py
@@ -11,7 +11,8 @@
 from almondstair.core.steering_records import Flow
 from almondstair.core.steering_records import RegionStatus
 
-# Fraction of failed requests from which a region is treated as lost.
+# Fraction of failed requests from which a region is abandoned like a lost one,
+# except for the floor weight.
 LOST_FAILURE_FRACTION = 0.8
 
 
--- a/almondstair/core/registered_entries.py
+++ b/almondstair/core/registered_entries.py
@@ -34,8 +34,7 @@
     def throughput_mbps(self) -> float:
         """Returns the VM's throughput in Mbit/s, limited by cores or link.
 
-        It does not depend on the other entries, which change whenever one
-        joins or leaves.
+        It is not relative to the other entries, since these join and leave.
         """
         return min(self.link_mbps, self.cores * MBPS_PER_CORE)
 
--- a/almondstair/core/rendezvous_ranks.py
+++ b/almondstair/core/rendezvous_ranks.py
@@ -1,8 +1,8 @@
-"""Home and successor of each upstream, updated incrementally by table.
+"""Home and successor of each upstream, updated incrementally per table.
 
 They are the first two of the region's entries in the rendezvous order of the
 upstream. A table mostly differs from the previous one by one entry; ranking all
-entries again for each upstream would stall the event loop of large deployments.
+entries again for each upstream would stall the event loop in large deployments.
 """
 
 import xxhash
--- a/almondstair/core/report_schedule.py
+++ b/almondstair/core/report_schedule.py
@@ -53,7 +53,7 @@
         self._free_at_s = -math.inf
 
     def has_capacity(self, *, now_s: float) -> bool:
-        """Returns whether a report can be sent within a zone's interval."""
+        """Returns whether reports' bandwidth is free in `MAX_INTERVAL_S`."""
         return now_s >= self._free_at_s - MAX_INTERVAL_S
 
     def record_sent(self, sent_bytes: int, *, now_s: float) -> None:
@@ -101,7 +101,7 @@
         """Returns whether a report has new replacements or strikes.
 
         An upstream that was replaced, or that a request may have crashed, gets
-        requests from every entry that has no report of it.
+        requests from every entry that has not received the report.
         """
         last = self._last_sent
         if set(report.replaced) - set(last.replaced):
@@ -125,6 +125,6 @@
         return report.locations != self._last_sent.locations
 
     def record_sent(self, report: EntryReport, *, now_s: float) -> None:
-        """Records that a report was sent; it must not change afterwards."""
+        """Records a sent report, which must not be modified afterwards."""
         self._last_sent = report
         self._last_sent_at_s = now_s
--- a/almondstair/core/request_placer.py
+++ b/almondstair/core/request_placer.py
@@ -1,8 +1,8 @@
 """Places requests on upstreams by the entry's view of the deployment.
 
-A decision takes the order of upstreams for the request's key (`placement`), the
-selection among them (`choosing`), and the time for which the request may wait
-for a slot at the entry if there is none (`entry_waits`).
+A decision combines the order of upstreams for the request's key (`placement`),
+the selection among them (`choosing`), and the time for which the request may
+wait for a slot at the entry if there is none (`entry_waits`).
 """
 
 from collections.abc import Collection, Mapping
@@ -169,7 +169,8 @@
             now_s=now_s,
         )
         if choice.waits:
-            # The share of the wait is only estimated and would bias the mean.
+            # The wait's part of the time is only estimated and would bias the
+            # mean.
             return
         self._run_times.record_run(
             service=request.service,
--- a/almondstair/core/requests.py
+++ b/almondstair/core/requests.py
@@ -47,17 +47,17 @@
 class RequestProgress:
     """Guarantees that a request reported as not run is never run.
 
-    Otherwise a deadline could expire, the caller be informed that nothing ran,
-    and a dispatch that was waiting for a slot start a moment later; an
-    upstream's journal would then show a request that was answered with `ran:
-    no`. Every answer calls `try_answer()` before it is written and every
+    Otherwise a deadline could expire and the caller be told that nothing ran,
+    while a dispatch that was waiting for a slot starts a moment later. The
+    journal of an upstream would then show a request that was answered with
+    `ran: no`. Every answer calls `try_answer()` before it is written and every
     dispatch calls `try_dispatch()` before its first byte, so one of the two
     fails.
 
     A refusal covers only the last dispatch. An idempotent request whose first
     dispatch was lost may have run there, even if the next dispatch is certainly
-    refused. If the refusal reset the whole state, the caller would be informed
-    of "not run" for a request that an upstream has in its journal.
+    refused. If the refusal reset the whole state, the caller would be told "not
+    run" for a request that an upstream has in its journal.
     """
 
     def __init__(self) -> None:
--- a/almondstair/core/retries.py
+++ b/almondstair/core/retries.py
@@ -34,9 +34,9 @@
     A service with little load earns almost nothing, so a window of one second
     that earned less than `minimum_per_s` is topped up to it.
 
-    The first token is granted in advance and earned afterwards. Without it, the
-    first request of a new entry that goes to a peer which has just died is
-    refused, although it certainly did not run and others have free slots. This
+    The first token is granted in advance and earned afterwards. Without it, if
+    the first request of a new entry goes to a peer that has just died, it is
+    refused although it certainly did not run and others have free slots. This
     happened in 2 of 14 runs with a kill right after the start.
     """
 
--- a/almondstair/core/routing.py
+++ b/almondstair/core/routing.py
@@ -40,8 +40,8 @@
       hostname: value of `Host` that selects it.
       prefix: start of the path; begins and ends with a slash.
       kind: whether its requests may run more than once.
-      target_latency_s: latency target, in seconds; a later response loses
-        credit.
+      target_latency_s: time within which a response earns its full credit, in
+        seconds.
       timeout_s: longest time until a request is given up, in seconds.
       attempts: most upstreams to which one request is sent.
       priority: its priority; 0 is the highest.
@@ -100,7 +100,7 @@
 
 
 class RoutingTable:
-    """Finds the route of a request in time independent of their number."""
+    """Finds a request's route in time independent of the number of routes."""
 
     def __init__(self, *, configuration: RoutingConfiguration) -> None:
         """Indexes the routes by hostname and prefix."""
@@ -121,7 +121,11 @@
                 )
 
     def shortest_target_s(self, service: str) -> float:
-        """Returns the shortest latency target in a service, in seconds."""
+        """Returns the shortest latency target of the routes to a service.
+
+        Returns:
+          The target in seconds; 0 if no route leads to the service.
+        """
         return self._shortest_target_s.get(service, 0.0)
 
     def match(self, *, host: str, path: str) -> Route | None:
@@ -150,9 +154,9 @@
     """Splits the requests of a route in exact proportion to the weights.
 
     A random selection would deviate by several percent over some hundred
-    requests. Instead, each request adds every destination's weight to its
-    credit, goes to the destination with the most credit, and costs that one the
-    sum of the weights.
+    requests. Instead, each request adds to the credit of every destination its
+    weight, goes to the destination with the most credit, and subtracts the sum
+    of the weights from the credit of that one.
     """
 
     def __init__(self) -> None:
--- a/almondstair/core/run_times.py
+++ b/almondstair/core/run_times.py
@@ -9,14 +9,14 @@
 # fleet sees few requests of a route, so the first response alone would
 # otherwise determine the mean for seconds.
 ESTIMATE_SAMPLES = 3
-# Upper limit of the run time with a cached object as a part of that without.
+# Upper limit of the cached run time as a fraction of the uncached one.
 MAX_CACHED_RATIO = 0.7
-# Initial run time as a part of a route's latency target, which leaves time for
-# a queue and the round trip.
+# Initial run time as a fraction of a route's latency target, which leaves time
+# for a queue and the round trip.
 INITIAL_RUN_RATIO = 0.6
-# Initial run time with a cached object as a part of that without. With too high
-# an estimate the first seconds would spread each key over many upstreams, all
-# of which would run it uncached.
+# Initial cached run time as a fraction of the uncached one. If it were too
+# high, the first seconds would spread each key over many upstreams, all of
+# which would run it uncached.
 INITIAL_CACHED_RATIO = 0.4
 
 
@@ -54,16 +54,17 @@
           target_latency_s: the route's latency target in seconds, from which
             the initial estimate is derived.
         """
-        new_s = INITIAL_RUN_RATIO * target_latency_s
+        uncached_s = INITIAL_RUN_RATIO * target_latency_s
         uncached = self._routes.get((route, False))
         if uncached is not None:
-            new_s = uncached.with_estimate(new_s)
-        known_s = INITIAL_CACHED_RATIO * new_s
+            uncached_s = uncached.with_estimate(uncached_s)
+        cached_s = INITIAL_CACHED_RATIO * uncached_s
         cached = self._routes.get((route, True))
         if cached is not None:
-            known_s = cached.with_estimate(known_s)
+            cached_s = cached.with_estimate(cached_s)
         return ExpectedRunTimes(
-            cached_s=min(known_s, MAX_CACHED_RATIO * new_s), uncached_s=new_s
+            cached_s=min(cached_s, MAX_CACHED_RATIO * uncached_s),
+            uncached_s=uncached_s,
         )
 
     def service_run_s(self, *, service: str, default_s: float) -> float:
--- a/almondstair/core/shared_order.py
+++ b/almondstair/core/shared_order.py
@@ -1,4 +1,4 @@
-"""Orders upstreams, alike on all entries, for requests that may crash them.
+"""Orders upstreams identically on all entries for crash-suspect requests.
 
 Callers retry such a request through several entries at once. If each entry sent
 it to an upstream of its own choice, each could crash another one. The order for
--- a/almondstair/core/shared_retry_budget.py
+++ b/almondstair/core/shared_retry_budget.py
@@ -52,7 +52,7 @@
           service: the service of the request.
           entries: number of live entries, which share the slack.
           joined: whether the other entries count this one among them; until
-            then it uses less, as they have divided the whole slack.
+            then it uses less, as they divide the whole slack among themselves.
           now_s: the entry's clock, in seconds.
         """
         since_s = now_s - self._window_s
--- a/almondstair/core/steering.py
+++ b/almondstair/core/steering.py
@@ -32,7 +32,8 @@
 # After a start, reports of the regions arrive one after another. The first
 # region to report would get all work and return it only as fast as the ramp
 # allows, and callers would be served from remote regions for seconds. Until a
-# flow is this old, its weights follow the target without a ramp.
+# flow is this old, its weights follow the target without a ramp, since no
+# earlier distribution has to be preserved.
 SETTLING_S = 3.0
 # Priorities that are tried even where no slot is reported free, since reports
 # lag and admission next to the upstreams has the current state.
@@ -344,8 +345,8 @@
     ) -> ramps.Weights:
         """Returns the weights after lost and failing regions are abandoned.
 
-        A failing region keeps the floor weight, so that its recovery is
-        noticed. If no region is trusted, failing regions keep their weight,
+        A failing region keeps at most the floor weight, so that its recovery
+        is noticed. If no region is trusted, failing regions keep their weight,
         since no other region is better.
         """
         reduced = dict(current)
--- a/almondstair/core/token_bucket.py
+++ b/almondstair/core/token_bucket.py
@@ -20,7 +20,7 @@
 
     @property
     def depth_bytes(self) -> float:
-        """Maximum of stored tokens."""
+        """Maximum number of stored tokens."""
         return self._depth_bytes
 
     @property
--- a/almondstair/core/upstream_slots.py
+++ b/almondstair/core/upstream_slots.py
@@ -1,4 +1,4 @@
-"""Usable slots of one upstream under its load reports and slow start."""
+"""Limits the usable slots of an upstream by load reports and slow start."""
 
 from collections.abc import Iterable
 
--- a/almondstair/core/upstream_state.py
+++ b/almondstair/core/upstream_state.py
@@ -8,7 +8,8 @@
 from almondstair.core.peer_loads import PeerLoads
 
 # Half-life of the number of other entries' requests that a response reported.
-# Requests last a few tenths of a second, so after a second half of them ended.
+# Requests last a few tenths of a second, so half of them have ended after one
+# second.
 LOAD_HALF_LIFE_S = 1.0
 # Weight of the newest sample in running means over responses.
 SAMPLE_WEIGHT = 0.2
@@ -162,7 +163,7 @@
     # Reachability.
 
     def is_paused(self) -> bool:
-        """Returns whether it gets no requests after it was unreachable."""
+        """Returns whether it gets no requests because it was unreachable."""
         if self.is_unreachable:
             return True
         # After it is reachable again, one request at a time probes it.
