--- a/almondstair/gateway/change_log.py
+++ b/almondstair/gateway/change_log.py
@@ -26,7 +26,7 @@
         """Begins a batch of changes.
 
         Args:
-          first: whether it is the first full listing, in which all is new.
+          first: whether it is the first full listing; all its items are new.
         """
         self._single_lines_left = 0 if first else MAX_SINGLE_LINES
         self._counts.clear()
--- a/almondstair/gateway/configuration_history.py
+++ b/almondstair/gateway/configuration_history.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 import zlib
 
-# Each takes some tens of kilobytes compressed at 10,000 routes.
+# Each version takes some tens of kilobytes compressed at 10,000 routes.
 MAX_VERSIONS = 8
 
 
--- a/almondstair/gateway/connection_pool.py
+++ b/almondstair/gateway/connection_pool.py
@@ -14,7 +14,7 @@
     """Opens connections and keeps idle ones for later requests.
 
     Attributes:
-      opened: connections opened since the start.
+      connections_opened: number of connections opened since the start.
     """
 
     def __init__(self, *, id_header: bytes) -> None:
--- a/almondstair/gateway/daemon.py
+++ b/almondstair/gateway/daemon.py
@@ -54,13 +54,14 @@
 OPERATOR_PORT = "9464"
 # Overrides the port where several gateways share a VM.
 OPERATOR_PORT_VARIABLE = "ALMONDSTAIR_OPERATOR_PORT"
-# How often buffered log lines are written again.
+# How often log lines that a slow reader of the log has held up are retried.
 LOG_FLUSH_INTERVAL_S = 0.5
 # Pause before a failed background task is restarted.
 TASK_RESTART_PAUSE_S = 0.5
 # How often a stopping process checks whether it can end.
 STOP_POLL_INTERVAL_S = 0.05
-# Callers keep a lookup for its TTL, and some of them for three times as long.
+# How long a stopping entry accepts requests, in lookup TTLs. Callers keep a
+# lookup for its TTL, and some of them for three times as long.
 LOOKUP_LIFETIME_FACTOR = 1.5
 
 
@@ -85,7 +86,7 @@
         )
         self._pool = ConnectionPool(id_header=headers.REQUEST_ID)
         self._client = KvClient(address=settings.store.address)
-        self._follower = StoreSync(
+        self._store_sync = StoreSync(
             client=self._client,
             fleet=self._fleet,
             pool=self._pool,
@@ -119,7 +120,7 @@
             fleet=self._fleet,
             pool=self._pool,
             client=self._client,
-            follower=self._follower,
+            follower=self._store_sync,
             metrics=self._metrics,
             in_flight=self._forwarder.in_flight,
         )
@@ -152,7 +153,7 @@
             own_region=settings.region,
             regions=settings.zones.values(),
         )
-        placing = RequestPlacer(
+        placer = RequestPlacer(
             fleet=self._fleet,
             run_times=RunTimes(),
             cached_locations=self._cached_locations,
@@ -167,12 +168,12 @@
             crash_reports=self._crash_reports,
             metrics=self._metrics,
             connector=self._connector,
-            placer=placing,
+            placer=placer,
         )
         self._forwarder = Forwarder(
             fleet=self._fleet,
             sender=sender,
-            placer=placing,
+            placer=placer,
             retry_budget=self._retry_budget,
             crash_reports=self._crash_reports,
             metrics=self._metrics,
@@ -218,7 +219,7 @@
 
     def mirror_changes(self, *, source: str, after: int) -> bytes:
         """Returns the encoded store changes that another entry lacks."""
-        page = self._follower.mirror_page(source=source, after=after)
+        page = self._store_sync.mirror_page(source=source, after=after)
         return msgspec.msgpack.encode(page)
 
     def metrics(self) -> bytes:
@@ -257,14 +258,14 @@
             ip=self._settings.ip, port=self._settings.peer_ports[0]
         )
         # Opened last: a response here promises that every other address
-        # listens. Opened first, it responded up to 0.1 s too early on a busy
-        # VM.
+        # listens. If opened first, it would respond up to 0.1 s before callers
+        # can connect on a busy VM.
         self._pages.serve_ready(listen.ready)
         self._start_task("log", _flush_log)
         self._start_task("settings", self._settings_watcher.run)
         self._start_task("loads", self._load_exchange.run)
-        self._start_task("store", self._follower.run)
-        self._start_task("lapses", self._follower.expire)
+        self._start_task("store", self._store_sync.run)
+        self._start_task("lapses", self._store_sync.expire)
         self._start_task("registration", self._registration.run)
         log.event(
             log.Event.GATEWAY_STARTED,
@@ -306,10 +307,10 @@
             self._fleet.set_zones(settings.zones)
             self._connector.add_regions(settings.zones.values())
         if settings.seeds != before.seeds:
-            self._follower.set_seeds(_other_seeds(settings))
+            self._store_sync.set_seeds(_other_seeds(settings))
         if settings.store.address != before.store.address:
             self._client.set_address(settings.store.address)
-            self._follower.reset_revision()
+            self._store_sync.reset_revision()
 
     async def stop(self) -> None:
         """Stops without interrupting requests.
@@ -339,10 +340,10 @@
         """
         stop_s = self._settings.bounds.stop_s
         kept_s = self.lookup_ttl_s() * LOOKUP_LIFETIME_FACTOR
-        refuse_s = began_s + min(kept_s, ACCEPTING_SHARE * stop_s)
+        reject_from_s = began_s + min(kept_s, ACCEPTING_SHARE * stop_s)
         while now_s() < began_s + stop_s - STOP_MARGIN_S:
             await asyncio.sleep(STOP_POLL_INTERVAL_S)
-            if now_s() < refuse_s:
+            if now_s() < reject_from_s:
                 continue
             if not self._forwarder.rejecting:
                 self._forwarder.rejecting = True
@@ -389,7 +390,7 @@
 
 
 async def _flush_log() -> None:
-    """Flushes buffered log lines and logs how many lines were dropped."""
+    """Flushes lines held up by a slow reader and logs how many were dropped."""
     while True:
         await asyncio.sleep(LOG_FLUSH_INTERVAL_S)
         unreported = log.take_unreported_drops()
--- a/almondstair/gateway/entry_registration.py
+++ b/almondstair/gateway/entry_registration.py
@@ -15,7 +15,7 @@
 # than the pauses of a busy store.
 LEASE_S = 3.0
 # Two renewals in a TTL. Renewals are most of an entry's calls to the store; an
-# interval of 1.0 s made 1.4 times as many.
+# interval of 1.0 s makes 1.4 times as many.
 RENEWAL_INTERVAL_S = 1.4
 RENEWAL_JITTER = 0.1
 # Pauses after consecutive failed renewals. A lost response takes 1 s to time
@@ -66,10 +66,10 @@
 
     async def _register_or_renew(self) -> None:
         began_s = now_s()
-        anew = not self._lease or not await self._client.renew_lease(
+        created = not self._lease or not await self._client.renew_lease(
             self._lease
         )
-        if anew:
+        if created:
             self._lease = 0
             began_s = now_s()
             lease = await self._client.grant_lease(ttl_s=self._ttl_s)
@@ -78,9 +78,9 @@
             ):
                 return
             self._lease = lease
-        # The lease starts when the call arrives, not before `began_s`.
+        # The store starts the lease after `began_s`, when the call arrives.
         self._fleet.record_registered(
-            valid_until_s=began_s + self._ttl_s, created=anew, now_s=now_s()
+            valid_until_s=began_s + self._ttl_s, created=created, now_s=now_s()
         )
 
     async def withdraw(self) -> None:
--- a/almondstair/gateway/forwarded_call.py
+++ b/almondstair/gateway/forwarded_call.py
@@ -58,8 +58,8 @@
       request_id: its id.
       route: its route.
       service: the service that handles it.
-      deadline_s: when it times out, by the caller's deadline or the route's
-        timeout, on the entry's clock.
+      deadline_s: when it times out, on the entry's clock: at the caller's
+        deadline or after the route's timeout, whichever is earlier.
       tried: ids of the upstreams that it was sent to.
       attempts: number of upstreams that received it; another incarnation at
         an upstream's address does not count.
--- a/almondstair/gateway/forwarder.py
+++ b/almondstair/gateway/forwarder.py
@@ -38,9 +38,10 @@
     header_timeout_s=3.0,
     idle_timeout_s=15.0,
 )
-# How long a request waits for the first listing, and how long after the start.
-# A listing takes 0.1 s from the farthest region, and an attempt at an
-# unreachable store 0.4 s; latency targets begin at 0.4 s.
+# How long a request waits for the first listing, and how long after the start
+# of the process requests wait at all. A listing takes 0.1 s from the farthest
+# region, and an attempt at an unreachable store 0.4 s; latency targets begin at
+# 0.4 s.
 READY_WAIT_S = 1.0
 STARTUP_WINDOW_S = 2.0
 READY_POLL_S = 0.02
