--- a/almondstair/gateway/http_encoding.py
+++ b/almondstair/gateway/http_encoding.py
@@ -46,7 +46,7 @@
 
     Args:
       headers: headers of a message, names in lower case.
-      without: further names to omit.
+      without: further names to omit, which the entry sets or uses itself.
     """
     connection_specific = set()
     connection = find_header(headers, b"connection")
--- a/almondstair/gateway/http_pages.py
+++ b/almondstair/gateway/http_pages.py
@@ -66,7 +66,7 @@
     """Sends this entry's copy of the store's data to other entries."""
 
     def get(self) -> None:
-        """Responds with the changes after a number of this mirror."""
+        """Responds with the changes after a given number of this mirror."""
         source = self.get_query_argument("source", "")
         after = self.get_query_argument("after", "0")
         if not after.isdigit():
--- a/almondstair/gateway/load_exchange.py
+++ b/almondstair/gateway/load_exchange.py
@@ -7,7 +7,7 @@
 One entry of each availability zone, the reporter, sums the loads of its zone's
 entries, exchanges sums with the reporters of other zones, and sends the total
 to its zone. The number of messages of an entry is thus independent of the size
-of the fleet, and each zone, not each entry, sends one message to other zones.
+of the fleet, and only one entry of each zone sends loads to other zones.
 `core/report_schedule.py` decides when messages are due.
 """
 
@@ -85,8 +85,8 @@
     """Returns the sum of several loads."""
     total: UpstreamLoads = {}
     for part in parts:
-        for name, count in part.items():
-            total[name] = total.get(name, 0) + count
+        for upstream_hash, count in part.items():
+            total[upstream_hash] = total.get(upstream_hash, 0) + count
     return total
 
 
@@ -127,7 +127,7 @@
         self._zone_reports: dict[str, ReceivedReport] = {}
         self._last_heard_s: dict[str, float] = {}
         self._reported_loads: UpstreamLoads = {}
-        self._link_share = ReportBandwidth(link_mbps=link_mbps)
+        self._report_bandwidth = ReportBandwidth(link_mbps=link_mbps)
         self._own_schedule = ReportSchedule()
         self._zone_sum_schedule = ReportSchedule(
             min_interval_s=report_schedule.MIN_ZONES_INTERVAL_S
@@ -218,7 +218,7 @@
             replaced=message.replaced,
             cached_locations=message.cached_locations,
         )
-        self._forget_replaced(message.replaced)
+        self._drop_replaced(message.replaced)
         for strike in message.strikes:
             self._suspects.add_strike(Strike(*strike), now_s=now)
         if isinstance(message, OwnLoads):
@@ -275,13 +275,15 @@
         """Returns the zone whose reporter makes the plan, the first by name."""
         return min([self._own_zone, *self._zone_reports])
 
-    def _forget_replaced(self, names: list[int]) -> None:
-        """Forgets replaced upstreams, as reported, without a request to each.
+    def _drop_replaced(self, upstream_hashes: list[int]) -> None:
+        """Drops upstreams that other entries have reported as replaced.
+
+        This saves a request to each, which would be rejected.
 
         Args:
-          names: hashes of the replaced incarnations.
+          upstream_hashes: hashes of the replaced incarnations.
         """
-        for upstream_hash in names:
+        for upstream_hash in upstream_hashes:
             incarnation = self._fleet.record_replaced(upstream_hash)
             if not incarnation:
                 continue
@@ -325,10 +327,14 @@
 
     def _own_loads(self) -> UpstreamLoads:
         upstreams = self._fleet.upstreams_by_hash.items()
-        return {name: one.in_flight for name, one in upstreams if one.in_flight}
+        return {
+            upstream_hash: upstream.in_flight
+            for upstream_hash, upstream in upstreams
+            if upstream.in_flight
+        }
 
     def _ordered_entries(self, zone: str) -> list[Entry]:
-        """Returns a zone's entries in the order in which they act."""
+        """Returns a zone's entries, the preferred reporter first."""
         if self._entries_version != self._fleet.entries_version:
             self._entries_version = self._fleet.entries_version
             self._entries_by_zone = zone_roles.ranked_by_zone(
@@ -391,8 +397,8 @@
         total_report = EntryReport(
             total, list(replaced), strikes, cached_objects
         )
-        # Both share one allowance of the link: alternate so that neither
-        # starves the other.
+        # Totals and plans share one allowance of the link. They alternate so
+        # that neither starves the other.
         if self._plan_sent_last:
             self._send_total(total_report, now)
             self._send_plan(now)
@@ -418,7 +424,7 @@
         if not self._total_schedule.is_due(report, now_s=now):
             return
         if not self._total_schedule.is_urgent(report):
-            if not self._link_share.has_capacity(now_s=now):
+            if not self._report_bandwidth.has_capacity(now_s=now):
                 return
         self._total_schedule.record_sent(report, now_s=now)
         message = TotalLoads(
@@ -434,13 +440,14 @@
     def _send_to_zone(self, message: Message, now: float) -> None:
         self._plan_sent_last = isinstance(message, PlanUpdate)
         sent_bytes = self._send(message, self._ordered_entries(self._own_zone))
-        self._link_share.record_sent(sent_bytes, now_s=now)
+        self._report_bandwidth.record_sent(sent_bytes, now_s=now)
 
     def _update_plan(self, now: float) -> None:
         """Updates the plan if this zone makes it.
 
-        If each zone made its own plan, callers of different zones would have
-        the same key at different upstreams, and both would run it as new.
+        If each zone made its own plan, a key would be assigned to different
+        upstreams for callers of different zones, and each of these upstreams
+        would run it as a new key.
         """
         if self._planning_zone() != self._own_zone:
             return
@@ -456,14 +463,16 @@
         age_s = now - self._plan_published_at_s
         if plan == self._published_plan and age_s < MAX_PLAN_INTERVAL_S:
             return
-        if not self._link_share.has_capacity(now_s=now):
+        if not self._report_bandwidth.has_capacity(now_s=now):
             return
         self._published_plan = plan
         self._plan_published_at_s = now
-        first = self._planning_zone()
-        message = PlanUpdate(entry=self._own_name, zone=first, plan=plan)
+        planning_zone = self._planning_zone()
+        message = PlanUpdate(
+            entry=self._own_name, zone=planning_zone, plan=plan
+        )
         self._send_to_zone(message, now)
-        if first == self._own_zone:
+        if planning_zone == self._own_zone:
             self._send(message, self._other_reporters())
 
     def _all_zones_reported(self) -> bool:
@@ -479,7 +488,7 @@
         ]
 
     def _other_reporters(self) -> list[Entry]:
-        """Returns the first entry and the last reporter of each other zone."""
+        """Returns each other zone's preferred and latest reporters."""
         reporters: dict[str, Entry] = {}
         entries = self._fleet.entries
         for zone in self._other_zones():
--- a/almondstair/gateway/mirror.py
+++ b/almondstair/gateway/mirror.py
@@ -6,11 +6,12 @@
 
 import msgspec
 
-# Removals are kept until there are more keys than this. An entry that polls
-# later than that, instead of twice a second, gets a full listing.
+# Removals are forgotten once there are more keys than this. Entries poll about
+# twice a second; one whose last poll precedes a forgotten removal gets a full
+# listing.
 MAX_KEYS = 2000
 # Values from this size on are compressed. Registrations have a few hundred
-# bytes; an emulator configuration with 1,400 routes has 292 kB, and 8.9 kB
+# bytes; the emulator's configuration with 1,400 routes has 292 kB, and 8.9 kB
 # compressed.
 MIN_COMPRESSED_BYTES = 4096
 COMPRESSION_LEVEL = 1
@@ -63,8 +64,8 @@
     """Response to an entry that polls for changes.
 
     Attributes:
-      source: the mirror's incarnation, in which `number` is counted.
-      number: number of the last change.
+      source: the mirror's incarnation, in which `last_number` is counted.
+      last_number: number of the last change.
       revision: the store's revision that the mirror reflects.
       age_s: age of the mirror's data, in seconds.
       listing: whether the items are a full listing.
--- a/almondstair/gateway/operator_reports.py
+++ b/almondstair/gateway/operator_reports.py
@@ -29,7 +29,7 @@
         metrics: GatewayMetrics,
         in_flight: Sized,
     ) -> None:
-        """Creates the overview of one entry.
+        """Creates the reports of one entry.
 
         Args:
           entry_name: its name.
@@ -50,24 +50,24 @@
 
     def metrics(self) -> bytes:
         """Returns the metrics with up-to-date gauges."""
-        measures = self._metrics
+        metrics = self._metrics
         now = now_s()
         table = self._fleet.table
-        measures.connections.set(self._pool.connections_opened)
-        measures.store_age_s.set(now - self._follower.as_of_s)
-        measures.configuration_version.set(table.version if table else 0)
-        measures.entries.set(len(self._fleet.entries))
-        measures.requests_in_flight.set(len(self._in_flight))
+        metrics.connections.set(self._pool.connections_opened)
+        metrics.store_age_s.set(now - self._follower.as_of_s)
+        metrics.configuration_version.set(table.version if table else 0)
+        metrics.entries.set(len(self._fleet.entries))
+        metrics.requests_in_flight.set(len(self._in_flight))
         for kind, count in self._client.calls.items():
-            measures.store_calls.labels(kind).set(count)
+            metrics.store_calls.labels(kind).set(count)
         for service in self._fleet.services():
             eligible = self._fleet.eligible_upstreams(service)
-            measures.upstreams.labels(service).set(len(eligible))
-            use = self._fleet.utilisation(service, now_s=now)
-            measures.slot_use.labels(service).set(use)
+            metrics.upstreams.labels(service).set(len(eligible))
+            utilisation = self._fleet.utilisation(service, now_s=now)
+            metrics.slot_use.labels(service).set(utilisation)
         for event, count in log.dropped_lines().items():
-            measures.dropped_log_lines.labels(event).set(count)
-        return measures.render()
+            metrics.dropped_log_lines.labels(event).set(count)
+        return metrics.render()
 
     def status(self, *, ready: bool, leaving: bool) -> dict[str, object]:
         """Returns this entry's view of the fleet, with the age of its data.
--- a/almondstair/gateway/peer_messages.py
+++ b/almondstair/gateway/peer_messages.py
@@ -38,7 +38,7 @@
       replaced: hashes of upstreams that were replaced at their addresses.
       strikes: pairs of a request's fingerprint and the hash of an upstream
         that the request may have crashed.
-      places: recently found cached objects and their upstreams.
+      cached_locations: recently found cached objects and their upstreams.
     """
 
     entry: str
@@ -71,7 +71,7 @@
 
 
 class LostRequest(msgspec.Struct, array_like=True, tag=5):
-    """A request lost at an upstream, reported before its caller hears of it.
+    """A request lost at an upstream, reported before its caller is told.
 
     Attributes:
       entry: the entry that lost it.
@@ -117,6 +117,6 @@
     """Decodes a datagram.
 
     Raises:
-      msgspec.MsgspecError: the datagram is not a valid message.
+      msgspec.MsgspecError: the datagram is not a message of this version.
     """
     return _DECODER.decode(data)
--- a/almondstair/gateway/registrations.py
+++ b/almondstair/gateway/registrations.py
@@ -14,8 +14,9 @@
 from almondstair.platform import documents
 from almondstair.platform.kv import Item
 
-# Keys whose unreadable registrations are logged only once. A foreign writer may
-# change its key many times a second.
+# Latest keys with unreadable registrations, each of which is logged only once
+# while it is remembered. Another writer may change such a key many times a
+# second.
 MAX_LOGGED_KEYS = 256
 
 
@@ -64,7 +65,7 @@
         if item.revision <= self._revisions.get(upstream_id, 0):
             # A peer's first response has each upstream's last change, without
             # later renewals. Applied as current, a registration from an
-            # upstream's start would make it cold for as long as it reported
+            # upstream's start would make it cold again for the time reported
             # then, and its service would reject requests despite free slots.
             record = record._replace(cold_left_s=0.0)
         result = self._fleet.apply_upstream(record, now_s=now_s())
@@ -108,7 +109,7 @@
 
         Args:
           record: its last registration.
-          revision: the store's revision of its removal.
+          revision: the store's revision at which it is gone.
         """
         self._revisions.pop(record.upstream_id, None)
         self._pool.close_upstream(incarnation=record.incarnation)
--- a/almondstair/gateway/settings_watcher.py
+++ b/almondstair/gateway/settings_watcher.py
@@ -13,7 +13,7 @@
 from almondstair.platform import boot
 
 # How often the file is read. A new bound comes into force well within the
-# operators' shortest one, 2 s; reading 4 kB takes 15 us.
+# shortest of the operators' time limits, 2 s; reading 4 kB takes 15 us.
 POLL_INTERVAL_S = 1.0
 # Settings that need a restart: sockets, names and registrations depend on them.
 FIXED_FIELDS = (
@@ -90,10 +90,10 @@
 
 
 def _changed_fields(
-    one: boot.BootSettings, other: boot.BootSettings
+    old: boot.BootSettings, new: boot.BootSettings
 ) -> list[str]:
     changed = []
     for name in boot.BootSettings._fields:
-        if getattr(one, name) != getattr(other, name):
+        if getattr(old, name) != getattr(new, name):
             changed.append(name)
     return changed
