--- a/almondstair/gateway/sources.py
+++ b/almondstair/gateway/sources.py
@@ -15,7 +15,7 @@
 from almondstair.platform.kv import KvClient
 
 # A peer of the same zone responds in 1 ms, one of the farthest region in 0.11 s
-# and the time to connect.
+# plus the time to connect.
 PEER_TIMEOUT_S = 0.5
 _PAGE = msgspec.msgpack.Decoder(MirrorPage)
 
@@ -76,8 +76,9 @@
     async def _list(self) -> Batch:
         """Returns a full listing, page by page.
 
-        Pages are not a snapshot: concurrent changes are in the changes after
-        the first page's revision.
+        The pages are not a snapshot. The next poll returns what changed in the
+        meantime, because it asks for the changes after the first page's
+        revision.
         """
         items: list[Item] = []
         after = ""
@@ -104,17 +105,17 @@
     def __init__(self, *, address: str) -> None:
         """Creates the source of a peer at `ip:port`."""
         self.address = address
-        self._caller = SimpleHttpClient(address=address)
+        self._client = SimpleHttpClient(address=address)
         self._mirror = ""
-        self._number = 0
+        self._last_number = 0
 
     def close(self) -> None:
         """Closes the connections to the peer."""
-        self._caller.close()
+        self._client.close()
 
     async def fetch(self, *, after: int) -> Batch:
         """Fetches what the mirror has and this entry lacks."""
-        query = {"source": self._mirror, "after": self._number}
+        query = {"source": self._mirror, "after": self._last_number}
         path = "/changes?" + parse.urlencode(query)
         page = await self._fetch_page(path)
         if page.revision < after:
@@ -124,9 +125,9 @@
                 kind=ErrorKind.PLATFORM_UNAVAILABLE,
                 detail=f"peer {self.address} is behind",
             )
-        items = self._items(page)
+        items = self._decode_items(page)
         self._mirror = page.source
-        self._number = page.last_number
+        self._last_number = page.last_number
         return Batch(
             items=items,
             listing=page.listing,
@@ -135,7 +136,7 @@
             from_store=False,
         )
 
-    def _items(self, page: MirrorPage) -> list[Item]:
+    def _decode_items(self, page: MirrorPage) -> list[Item]:
         items = []
         for mirror_item in page.items:
             try:
@@ -156,7 +157,7 @@
 
     async def _fetch_page(self, path: str) -> MirrorPage:
         try:
-            status, body = await self._caller.call(
+            status, body = await self._client.call(
                 method="GET", path=path, timeout_s=PEER_TIMEOUT_S
             )
             if status != 200:
--- a/almondstair/gateway/store_sync.py
+++ b/almondstair/gateway/store_sync.py
@@ -27,7 +27,8 @@
 # blocking watch would return at each heartbeat of an upstream. The tightest
 # bound, 2 s from an upstream's leaving, allows for one lost call.
 POLL_INTERVAL_S = 0.6
-# Pause after a poll in which no source responded.
+# First and longest pause after polls in which no source gave fresh data; the
+# pause doubles with each such poll.
 FIRST_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 0.6
 # Entries of each zone that poll the store. The others poll these entries, and
@@ -40,9 +41,9 @@
 MAX_PEER_AGE_S = 1.5
 # Peers of other zones that are polled when the store rejects this entry.
 REMOTE_PEERS = 2
-# Share of the upstreams that must have written to the store during an outage
-# for it to have concerned this entry only. After an outage of the store itself,
-# they resume writing one by one.
+# If at least this share of the upstreams wrote to the store during an outage,
+# the outage concerned only this entry. After an outage of the store itself, the
+# upstreams resume writing one by one.
 MIN_WRITERS_SHARE = 0.6
 # How often the grace periods of lapsed registrations are checked.
 EXPIRY_INTERVAL_S = 0.25
@@ -67,7 +68,7 @@
         own_zone: str,
         seeds: Sequence[str],
     ) -> None:
-        """Creates a follower that updates `fleet`.
+        """Creates the synchronisation of one entry.
 
         Args:
           client: client of the store.
@@ -225,8 +226,8 @@
             age_s=round(now_s() - self.as_of_s, 2),
         )
 
-    def _record_return(self, batch: Batch) -> None:
-        """Ends an outage, and decides whether others could use the store.
+    def _record_recovery(self, batch: Batch) -> None:
+        """Ends an outage, and decides whether upstreams could use the store.
 
         Args:
           batch: the first fresh data after the outage.
@@ -235,17 +236,21 @@
             return
         self._store_lost = False
         now = now_s()
-        written_to = not batch.from_store or self._others_wrote(batch.items)
-        self._fleet.record_store_recovery(upstreams_wrote=written_to, now_s=now)
+        upstreams_wrote = not batch.from_store or self._upstreams_wrote(
+            batch.items
+        )
+        self._fleet.record_store_recovery(
+            upstreams_wrote=upstreams_wrote, now_s=now
+        )
         log.event(
             log.Event.STORE_BACK,
             revision=batch.revision,
             silent_s=round(now - self.as_of_s, 2),
-            written_to=written_to,
+            written_to=upstreams_wrote,
             from_store=batch.from_store,
         )
 
-    def _others_wrote(self, items: list[Item]) -> bool:
+    def _upstreams_wrote(self, items: list[Item]) -> bool:
         writers = set()
         for item in items:
             if item.value is None or item.revision <= self.revision:
@@ -262,16 +267,19 @@
 
         Old data is applied as well before the next source is polled. The source
         regards it as delivered and sends only later changes, so a configuration
-        or a leaving upstream in a discarded batch would be missed for good.
+        or the draining or removal of an upstream in a discarded batch would be
+        missed for good.
 
         Args:
           batch: the data of a source.
           fresh: whether it reflects the current state of the store.
         """
         if fresh:
-            self._record_return(batch)
-        lines = self._registrations.change_log
-        lines.begin(first=batch.listing and not self._fleet.upstream_count())
+            self._record_recovery(batch)
+        change_log = self._registrations.change_log
+        change_log.begin(
+            first=batch.listing and not self._fleet.upstream_count()
+        )
         for item in batch.items:
             self._apply_item(item)
         if batch.listing:
@@ -284,7 +292,7 @@
                 items=len(batch.items),
                 from_store=batch.from_store,
             )
-        lines.end(revision=batch.revision)
+        change_log.end(revision=batch.revision)
         self.revision = batch.revision
         self.as_of_s = max(self.as_of_s, now_s() - batch.age_s)
         self._fleet.as_of_s = self.as_of_s
--- a/almondstair/gateway/upstream_connector.py
+++ b/almondstair/gateway/upstream_connector.py
@@ -142,8 +142,8 @@
         """Probes an upstream until it is reachable or no longer registered.
 
         Without probes, each entry would send requests to each gone upstream to
-        find out, and each would be delayed by the connection timeout; the log
-        lines of event 411 show this.
+        find out, and each request would be delayed by the connection timeout;
+        such requests are logged as event 411.
         """
         pause_s = first_s
         try:
@@ -154,8 +154,9 @@
                     )
                     pause_s = min(MAX_PROBE_PAUSE_S, pause_s)
         finally:
-            # Before any other task runs: a request that finds the upstream
-            # gone again would assume that this probe continues.
+            # Removed before any other task runs: a request that finds the
+            # upstream gone again would otherwise assume that this probe
+            # continues, and nothing would probe the upstream.
             self._probes.pop(upstream.incarnation, None)
             self._lost_at_s.pop(upstream.incarnation, None)
 
@@ -178,7 +179,10 @@
     async def _stays_open(
         self, connection: UpstreamConnection, upstream: UpstreamState
     ) -> bool:
-        """Returns whether a connection stays open after a lost response."""
+        """Returns whether a connection stays open after a lost response.
+
+        Once it has stayed open long enough, the upstream is recorded as alive.
+        """
         while connection.usable:
             lost_s = self._lost_at_s.get(upstream.incarnation, -math.inf)
             if now_s() >= lost_s + ALIVE_AFTER_S:
--- a/almondstair/platform/__init__.py
+++ b/almondstair/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Names, formats and calls of the users' platform."""
+"""Names, formats and calls of the platform; makes no routing decisions."""
--- a/almondstair/platform/boot.py
+++ b/almondstair/platform/boot.py
@@ -1,4 +1,4 @@
-"""The settings file that the users' platform writes for each process."""
+"""The settings file that the platform writes for each process."""
 
 from pathlib import Path
 import tomllib
@@ -59,7 +59,7 @@
       cold_over: factor on the rate that a cold upstream tolerates.
       cold_slack: requests per second allowed in addition, over all entries.
       lookup_ttl_s: longest time for which callers keep a lookup.
-      region_change: part of a region's requests that may change their region
+      region_change: share of a region's requests that may change their region
         from one window to the next; 1 if unlimited.
     """
 
@@ -86,7 +86,7 @@
       means: resources of the VM.
       listen: listen addresses.
       peer_ports: first and last port for traffic between entries.
-      seeds: addresses of some entries for their peers; may be outdated.
+      seeds: addresses at which some entries serve others; may be outdated.
       zones: region of each availability zone.
       store: settings of the platform's store.
       bounds: the operators' limits.
@@ -170,7 +170,7 @@
             raise self._invalid(key, "a list of two ports")
         return first, last
 
-    def texts(self, key: str) -> tuple[str, ...]:
+    def string_list(self, key: str) -> tuple[str, ...]:
         value = self._find(key)
         if value is None:
             return ()
@@ -181,7 +181,7 @@
                 raise self._invalid(key, "a list of strings")
         return tuple(value)
 
-    def strings(self, key: str) -> dict[str, str]:
+    def string_table(self, key: str) -> dict[str, str]:
         value = self._find(key)
         if not isinstance(value, dict):
             raise self._invalid(key, "a table")
@@ -228,8 +228,8 @@
         means=means,
         listen=listen,
         peer_ports=reader.ports("network.internalPorts"),
-        seeds=reader.texts("network.seeds"),
-        zones=reader.strings("network.zones"),
+        seeds=reader.string_list("network.seeds"),
+        zones=reader.string_table("network.zones"),
         store=store,
         bounds=bounds,
     )
--- a/almondstair/platform/documents.py
+++ b/almondstair/platform/documents.py
@@ -44,7 +44,7 @@
     prefix: str
 
 
-class _Part(msgspec.Struct):
+class _TrafficShare(msgspec.Struct):
     service: str
     weight: float
 
@@ -54,7 +54,7 @@
     timeout_s: float = 0.0
     attempts: int = 1
     service: str = ""
-    traffic_split: Sequence[_Part] = ()
+    traffic_split: Sequence[_TrafficShare] = ()
     allowed_regions: Sequence[str] = ()
 
 
@@ -175,11 +175,13 @@
 
 def _route(hostname: str, rule: _Rule) -> Route:
     action = rule.action
-    parts = []
+    destinations = []
     for part in action.traffic_split:
-        parts.append(Destination(service=part.service, weight=part.weight))
-    if not parts:
-        parts.append(Destination(service=action.service, weight=1.0))
+        destinations.append(
+            Destination(service=part.service, weight=part.weight)
+        )
+    if not destinations:
+        destinations.append(Destination(service=action.service, weight=1.0))
     # Requests of unknown route types are treated as not repeatable.
     kind = _KINDS.get(rule.route_type, RouteKind.UNSAFE)
     return Route(
@@ -192,7 +194,7 @@
         attempts=action.attempts,
         priority=rule.priority,
         key_affinity=rule.session_affinity,
-        destinations=tuple(parts),
+        destinations=tuple(destinations),
         allowed_regions=tuple(action.allowed_regions),
     )
 
--- a/almondstair/platform/headers.py
+++ b/almondstair/platform/headers.py
@@ -1,4 +1,4 @@
-"""Names and formats of headers on the users' platform."""
+"""Names and formats of the platform's headers."""
 
 from almondstair.core.upstream_state import ReportedLoad
 
@@ -9,7 +9,8 @@
 EXPECTED_UPSTREAM = b"x-almondstair-expect-instance"
 # States for certain that the upstream did not run the request.
 NOT_RUN = b"x-almondstair-not-executed"
-# Signature of an upstream's response; a success without it is not valid.
+# Signature of an upstream's response; a successful response without it is
+# invalid.
 RESPONSE_SEAL = b"x-almondstair-response-seal"
 UPSTREAM_ID = b"x-almondstair-instance-id"
 LOAD = b"x-almondstair-server-load"
--- a/almondstair/platform/kv.py
+++ b/almondstair/platform/kv.py
@@ -1,4 +1,4 @@
-"""Client of the users' key-value store."""
+"""Client of the platform's key-value store."""
 
 import base64
 from typing import NamedTuple
@@ -73,9 +73,9 @@
 def _decode_value(text: str) -> bytes:
     """Decodes a value; returns the text's own bytes if it is not base64.
 
-    A single value of another writer would otherwise make the whole response
-    unreadable, and every entry would lose the store for as long as the key
-    exists. Readers reject such bytes as invalid.
+    A single invalid value of another writer would otherwise make the whole
+    response unreadable, and every entry would be cut off from the store for as
+    long as the key exists. The decoders of the values reject such bytes.
     """
     try:
         return base64.b64decode(text, validate=True)
@@ -92,24 +92,24 @@
 
     def __init__(self, *, address: str) -> None:
         """Creates a client of the store at `ip:port`."""
-        self._http_caller = SimpleHttpClient(address=address)
+        self._http_client = SimpleHttpClient(address=address)
         self.calls: dict[str, int] = {}
 
     def set_address(self, address: str) -> None:
         """Replaces the store's address; calls in flight fail."""
-        self._http_caller.close()
-        self._http_caller = SimpleHttpClient(address=address)
+        self._http_client.close()
+        self._http_client = SimpleHttpClient(address=address)
 
     def close(self) -> None:
         """Closes all connections."""
-        self._http_caller.close()
+        self._http_client.close()
 
     async def _call(
         self, kind: str, method: str, path: str, body: bytes = b""
     ) -> tuple[int, bytes]:
         self.calls[kind] = self.calls.get(kind, 0) + 1
         try:
-            return await self._http_caller.call(
+            return await self._http_client.call(
                 method=method, path=path, body=body, timeout_s=CALL_TIMEOUT_S
             )
         except (OSError, TimeoutError) as error:
@@ -133,7 +133,8 @@
         Args:
           prefix: start of the keys.
           after: last key of the previous page.
-          stale: whether the response may be seconds old; it costs a tenth.
+          stale: whether the response may be seconds old, which costs a tenth
+            of a current one.
         """
         query = {"prefix": prefix}
         if after:
