--- a/almondstair/link_pacers.py
+++ b/almondstair/link_pacers.py
@@ -22,10 +22,10 @@
 MAX_WINDOW_BYTES = 1 << 20
 # Bytes read at once, in addition to those in the kernel's buffer.
 READ_AHEAD_BYTES = 64 * 1024
-# Smoothing factor of the expected response size for larger responses. It drops
-# at once for smaller ones, so that few bytes are reserved in vain.
+# Smoothing factor for increases of the expected response size. Decreases apply
+# at once, so that few bytes are reserved and then not sent.
 SIZE_SMOOTHING = 0.2
-# Fraction of its share that an entry achieves at least; see DEPTH_FRACTION in
+# Fraction of its share that an entry can always use; see DEPTH_FRACTION in
 # core/links.py.
 ACHIEVED_FRACTION = 0.9
 
@@ -55,7 +55,7 @@
     number: int
     size_bytes: int
     future: "asyncio.Future[int]"
-    all_at_once: bool
+    whole_chunk: bool
 
 
 class LinkPacer:
@@ -97,20 +97,20 @@
                 return part.size_bytes
             self._schedule_advance(part.wait_s)
         return await self._wait(
-            size_bytes, priority, deadline_s, all_at_once=False
+            size_bytes, priority, deadline_s, whole_chunk=False
         )
 
     async def reserve(
         self, size_bytes: int, priority: Priority, deadline_s: float
     ) -> None:
-        """Waits until all of a chunk that is sent later is reserved.
+        """Waits until a whole chunk is reserved, to be sent later.
 
         Chunks are reserved one after another. If they were reserved in turns,
         several would be complete at the same moment, and bytes reserved over a
         second would be sent in an instant.
         """
         self._schedule_advance(MIN_WAIT_S)
-        await self._wait(size_bytes, priority, deadline_s, all_at_once=True)
+        await self._wait(size_bytes, priority, deadline_s, whole_chunk=True)
 
     async def _wait(
         self,
@@ -118,19 +118,19 @@
         priority: Priority,
         deadline_s: float,
         *,
-        all_at_once: bool,
+        whole_chunk: bool,
     ) -> int:
         self._number += 1
         future = asyncio.get_running_loop().create_future()
-        waiting = _QueuedChunk(
+        chunk = _QueuedChunk(
             PRIORITY_RANKS[priority],
             deadline_s,
             self._number,
             size_bytes,
             future,
-            all_at_once,
+            whole_chunk,
         )
-        heapq.heappush(self._queue, waiting)
+        heapq.heappush(self._queue, chunk)
         self._queued_bytes += size_bytes
         return await future
 
@@ -155,7 +155,7 @@
     def transfer_s(
         self, *, size_bytes: int, priority: Priority, now_s: float
     ) -> float:
-        """Returns how long a body takes behind all bytes ahead, in seconds."""
+        """Returns how long a body takes after all bytes ahead, in seconds."""
         ahead_bytes = size_bytes
         for rank, committed_bytes in self._committed_bytes.items():
             if rank <= PRIORITY_RANKS[priority]:
@@ -193,30 +193,30 @@
     def _advance(self) -> None:
         self._timer = None
         while self._queue:
-            waiting = self._queue[0]
-            if waiting.future.done():
+            chunk = self._queue[0]
+            if chunk.future.done():
                 # Its request was cancelled.
                 self._pop_first()
                 continue
             part = self.share.acquire_part(
-                size_bytes=waiting.size_bytes, now_s=time.monotonic()
+                size_bytes=chunk.size_bytes, now_s=time.monotonic()
             )
             if not part.size_bytes:
                 self._schedule_advance(part.wait_s)
                 return
             self._pop_first()
-            left_bytes = waiting.size_bytes - part.size_bytes
-            if waiting.all_at_once and left_bytes:
+            left_bytes = chunk.size_bytes - part.size_bytes
+            if chunk.whole_chunk and left_bytes:
                 self._queued_bytes += left_bytes
                 heapq.heappush(
-                    self._queue, waiting._replace(size_bytes=left_bytes)
+                    self._queue, chunk._replace(size_bytes=left_bytes)
                 )
                 continue
-            waiting.future.set_result(part.size_bytes)
+            chunk.future.set_result(part.size_bytes)
 
     def _pop_first(self) -> None:
-        waiting = heapq.heappop(self._queue)
-        self._queued_bytes -= waiting.size_bytes
+        chunk = heapq.heappop(self._queue)
+        self._queued_bytes -= chunk.size_bytes
 
 
 class Transfer:
@@ -270,24 +270,24 @@
         """Waits until bytes of the request may be sent; see `Pace`."""
         if not self._pacers:
             return size_bytes
-        moved_bytes = await self._pacers[0].acquire(
+        granted_bytes = await self._pacers[0].acquire(
             size_bytes, self._priority, self._deadline_s
         )
-        self._commit(-min(moved_bytes, self._committed_bytes))
-        return moved_bytes
+        self._commit(-min(granted_bytes, self._committed_bytes))
+        return granted_bytes
 
     async def pace_response(self, size_bytes: int) -> int:
         """Waits until bytes of the response may be read; see `Pace`."""
-        moved_bytes = min(size_bytes, self._reserved_bytes)
-        self._reserved_bytes -= moved_bytes
-        if not moved_bytes:
-            moved_bytes = size_bytes
+        granted_bytes = min(size_bytes, self._reserved_bytes)
+        self._reserved_bytes -= granted_bytes
+        if not granted_bytes:
+            granted_bytes = size_bytes
             if self._pacers:
-                moved_bytes = await self._pacers[1].acquire(
+                granted_bytes = await self._pacers[1].acquire(
                     size_bytes, self._priority, self._deadline_s
                 )
-        self.response_bytes += moved_bytes
-        return moved_bytes
+        self.response_bytes += granted_bytes
+        return granted_bytes
 
     def end(self) -> None:
         """Withdraws committed bytes that were not sent."""
@@ -389,8 +389,8 @@
                 raise _link_full(region, queue_s, queue_s)
         if not pacers or not body_bytes:
             return
-        # A body that cannot arrive before its deadline would occupy the link to
-        # no use.
+        # A body that cannot arrive before its deadline would take the link from
+        # other requests for nothing.
         transfer_s = pacers[0].transfer_s(
             size_bytes=body_bytes, priority=priority, now_s=now_s
         )
@@ -413,7 +413,8 @@
           priority: priority of the request's class.
           deadline_s: the request's deadline, in monotonic seconds.
           body_bytes: size of the request's body, 0 if it is not known.
-          response_kind: one kind of request has responses of similar size.
+          response_kind: kind of the request; requests of one kind have
+            responses of similar size.
         """
         return Transfer(
             pacers=self.pacers(region=region),
@@ -440,7 +441,8 @@
     region: str, queued_s: float, retry_after_s: float
 ) -> AlmondstairError:
     if retry_after_s > MAX_RETRY_AFTER_S:
-        # Without a share the wait is unknown; a loan takes a moment.
+        # Without a share the wait is unknown. A loan from a peer provides one
+        # within a moment.
         retry_after_s = MAX_QUEUE_DELAY_S
     return AlmondstairError(
         kind=ErrorKind.LINK_FULL,
--- a/almondstair/link_shares.py
+++ b/almondstair/link_shares.py
@@ -35,7 +35,7 @@
 
         Args:
           own: this entry's row.
-          incarnation: number of this process.
+          incarnation: random number that identifies this process.
           pacers: receives the pacers of each link.
           send: sends a message to an entry, given the entry's name.
         """
@@ -92,7 +92,11 @@
             share.record_acknowledgement(entry=entry, epoch=epoch, now_s=now_s)
 
     def acknowledgement(self) -> EpochAcknowledgement | None:
-        """Returns the lowest epoch that all shares acknowledge, to be sent."""
+        """Returns the acknowledgement for the entries of this zone.
+
+        It has the lowest epoch that a share acknowledges, or the epoch of the
+        entry table if there is no link.
+        """
         now_s = time.monotonic()
         lowest: int | None = None
         for share in self._shares.values():
--- a/almondstair/log_output.py
+++ b/almondstair/log_output.py
@@ -19,9 +19,9 @@
 class BoundedHandler(logging.Handler):
     """Writes to a file descriptor without blocking on its reader.
 
-    A blocking write to a full pipe would stall every request of the process:
-    it would run without answering anything. Lines that do not fit into the
-    buffer are dropped and counted instead.
+    A blocking write to a full pipe would stall every request: the process would
+    keep running but answer nothing. Lines that do not fit into the buffer are
+    dropped and counted instead.
 
     Attributes:
       dropped_lines: number of dropped lines since start, by event name.
--- a/almondstair/lookups.py
+++ b/almondstair/lookups.py
@@ -1,4 +1,4 @@
-"""Look-ups: which entries a caller should use, in order of preference."""
+"""Lookups: which entries a caller should use, in order of preference."""
 
 import time
 from typing import TypedDict
@@ -13,20 +13,21 @@
 from almondstair.errors import AlmondstairError
 from almondstair.errors import ErrorKind
 
-# Interval at which the live entries are read again; not on every look-up.
+# Time for which the live entries are cached, so that not every lookup reads
+# them.
 LIVE_REFRESH_S = 0.1
 STARTUP_RETRY_AFTER_MS = 500
 
 
 class EntryBody(TypedDict):
-    """Holds one entry of a look-up response."""
+    """Holds one entry of a lookup response."""
 
     address: str
     availability_zone: str
 
 
 class LookupBody(TypedDict):
-    """Holds the response to a look-up.
+    """Holds the response to a lookup.
 
     Attributes:
       service: name of the requested service.
@@ -45,7 +46,7 @@
     def __init__(
         self, *, membership: Membership, own: EntryRow, ttl_s: float
     ) -> None:
-        """Creates look-ups that are answered from `membership`.
+        """Creates lookups that are answered from `membership`.
 
         Args:
           membership: the entries and their heartbeats.
--- a/almondstair/metrics_sampler.py
+++ b/almondstair/metrics_sampler.py
@@ -54,14 +54,14 @@
         """Samples and sends until it is cancelled."""
         while True:
             await asyncio.sleep(METRICS_INTERVAL_S)
-            self._count_peers()
+            self._count_peer_traffic()
             self._sample_slots()
             self._sample_links()
             version = self._sources.configuration.version
             self._sources.metrics.gauge(Metric.CONFIGURATION_VERSION, version)
             self._sources.metrics.flush()
 
-    def _count_peers(self) -> None:
+    def _count_peer_traffic(self) -> None:
         counts = self._sources.peers.counts
         added = _difference(counts, self._last_counts)
         self._last_counts = counts
