--- a/almondstair/operator_server.py
+++ b/almondstair/operator_server.py
@@ -21,7 +21,7 @@
     """Body of an edit of the whole configuration.
 
     Attributes:
-      base_version: version that the operator edited.
+      base_version: version that the edit is based on.
       edit_id: id with which the state of the edit can be queried.
       author: author of the edit.
       text: the new document as TOML.
@@ -62,7 +62,7 @@
       edit_id: id of the edit.
       state: state of the edit as the API returns it.
       version: version that the edit created, or 0.
-      lacking: entries on which that version is not in force yet.
+      lacking: entries on which that version is not known to be in force.
       changed: dotted keys that a concurrent edit changed.
       error: the error to return, None if the edit is accepted.
     """
@@ -112,7 +112,7 @@
 
 
 class _Handler(web.RequestHandler):
-    """Base class of the handlers; reads and writes JSON, errors as problems."""
+    """Base class: JSON bodies in both directions, errors as problems."""
 
     def initialize(self, operators: OperatorHandler) -> None:
         self.operators = operators
@@ -194,10 +194,10 @@
         problem: dict[str, Any] = dict(error.problem())
         faults = getattr(error, "faults", None)
         if faults:
-            lines = []
+            fault_objects = []
             for fault in faults:
-                lines.append(fault._asdict())
-            problem["faults"] = lines
+                fault_objects.append(fault._asdict())
+            problem["faults"] = fault_objects
         self.finish(msgspec.json.encode(problem))
 
     def log_exception(self, *args: Any) -> None:
--- a/almondstair/operator_views.py
+++ b/almondstair/operator_views.py
@@ -30,7 +30,8 @@
     """Holds the components that the operators' API reads.
 
     Attributes:
-      requests_in_flight: returns the number of them on this entry.
+      requests_in_flight: returns the number of requests in flight on this
+        entry.
     """
 
     own: EntryRow
--- a/almondstair/outcome_writer.py
+++ b/almondstair/outcome_writer.py
@@ -31,7 +31,7 @@
     """Buffers outcomes and writes them to the service in batches.
 
     Attributes:
-      dropped: outcomes dropped because the memory limit was reached.
+      dropped: outcomes dropped because `MAX_PENDING` were already pending.
       superseded: outcomes whose key holds another claim.
     """
 
@@ -46,8 +46,8 @@
 
         Args:
           write: performs a write at the service.
-          delay_s: how long outcomes are collected into one call, in seconds; 0
-            disables batching.
+          delay_s: how long outcomes are collected, so that one call carries
+            several, in seconds; 0 for no delay.
           now: monotonic clock of the event loop, in seconds.
         """
         self._write = write
@@ -118,7 +118,7 @@
         """Writes an outcome without delay and waits for the write's result.
 
         Returns:
-          Whether the write succeeded or failed before `until_s`.
+          Whether the write ended before `until_s`, with success or failure.
         """
         if nonce not in self._pending:
             return True
@@ -180,12 +180,12 @@
     async def _write_round(self) -> bool:
         """Writes the oldest outcomes; returns whether every write succeeded."""
         self._flush_requested.clear()
-        recordings = []
+        writes = []
         for recording in self._pending.values():
-            recordings.append(self._write_one(recording))
-            if len(recordings) == MAX_WRITES_PER_ROUND:
+            writes.append(self._write_one(recording))
+            if len(writes) == MAX_WRITES_PER_ROUND:
                 break
-        return all(await asyncio.gather(*recordings))
+        return all(await asyncio.gather(*writes))
 
     async def _write_one(self, recording: idempotency.OutcomeRecording) -> bool:
         until_s = self._now() + WRITE_TIMEOUT_S
@@ -196,7 +196,7 @@
                 urgent = recording.record.nonce in self._attempted
                 result = await self._write(write, urgent, until_s)
             except base.PlatformError:
-                # The caller logs failures once per round.
+                # The caller logs the first of several failed rounds.
                 self._signal_attempt(recording)
                 return False
             state = recording.on_write(result)
--- a/almondstair/prober.py
+++ b/almondstair/prober.py
@@ -39,7 +39,7 @@
 
 
 class Prober:
-    """Probes the upstreams that this entry manages slots of."""
+    """Probes the upstreams whose slots this entry manages."""
 
     def __init__(
         self, *, slots: SlotTable, client: HttpClient, interval_s: float
@@ -49,8 +49,8 @@
         Args:
           slots: receives the reports.
           client: HTTP client for upstreams.
-          interval_s: age of the last report from which on an upstream is
-            probed, in seconds.
+          interval_s: age in seconds of an upstream's last report at which the
+            upstream is probed; one without a report is probed at once.
         """
         self._slots = slots
         self._client = client
--- a/almondstair/responses.py
+++ b/almondstair/responses.py
@@ -35,7 +35,7 @@
     """Buffers a small response and streams a large one.
 
     A small response is sent in one write when it is complete, so that the
-    request can still be retried if the upstream fails before. A large response
+    request can still be retried if the upstream fails first. A large response
     is streamed; if it is truncated, the caller's connection is closed before
     the end of the body, which the caller's HTTP client reports as an error.
 
--- a/almondstair/runner.py
+++ b/almondstair/runner.py
@@ -385,15 +385,15 @@
     ) -> None:
         call = job.call
         now_s = time.monotonic()
-        sent = attempt.exchange.outcome
-        if sent is ExchangeOutcome.NOT_SENT:
+        exchange_outcome = attempt.exchange.outcome
+        if exchange_outcome is ExchangeOutcome.NOT_SENT:
             log.event(log.Event.UPSTREAM_UNREACHABLE, upstream=name)
             self._core.health.record_failure(name=name, now_s=now_s)
             return
-        if sent is ExchangeOutcome.REFUSED:
+        if exchange_outcome is ExchangeOutcome.REFUSED:
             self._core.health.record_refusal(name=name, now_s=now_s)
             return
-        if sent in _NOT_UPSTREAM_FAULT:
+        if exchange_outcome in _NOT_UPSTREAM_FAULT:
             # Counted as failures, these would make the upstreams look
             # unreachable after each stall of this process: they would lose a
             # slot and get no work for a while.
@@ -405,7 +405,7 @@
             service=call.head.service,
             request_class=call.head.request_class.name,
         )
-        if sent is ExchangeOutcome.CONNECTION_LOST:
+        if exchange_outcome is ExchangeOutcome.CONNECTION_LOST:
             self._core.quarantine.record_strike(
                 fingerprint=job.fingerprint,
                 upstream=name,
