--- a/almondstair/key_value/base.py
+++ b/almondstair/key_value/base.py
@@ -262,7 +262,7 @@
 
 
 class VmList(abc.ABC):
-    """The platform's list of VMs, which lags behind the VMs."""
+    """The platform's list of VMs, which lags behind their actual state."""
 
     @abc.abstractmethod
     async def list_vms(self) -> VmListing:
--- a/almondstair/key_value/json_client.py
+++ b/almondstair/key_value/json_client.py
@@ -33,7 +33,7 @@
 
 
 def _no_refusal(head: ResponseHead) -> str:
-    """Returns no refusal: the platform has no upstream refusals."""
+    """Treats no response of the platform as an upstream's refusal."""
     del head
     return ""
 
@@ -60,7 +60,7 @@
     If no byte of a call was written, the service cannot have applied it.
     Without this distinction an outage would make every refused claim
     `unknown`. Connections are kept alive: a new one for each call took most of
-    the CPU time of a claim. A call on a connection that the service has just
+    the CPU time of a claim. A write on a connection that the service has just
     closed is lost and `unknown`; it is not sent again.
     """
 
--- a/almondstair/shutdown_sequence.py
+++ b/almondstair/shutdown_sequence.py
@@ -61,6 +61,9 @@
     async def run(self) -> None:
         """Shuts down; on return no request runs and nothing is held.
 
+        Exceptions are requests that exceed the drain limit, and what cannot be
+        released within `RELEASE_LIMIT_S`.
+
         Callers cache lookups for a while, so the entry continues to serve for
         that long after lookups stop including it. Meanwhile its home roles
         pass to other entries.
@@ -122,9 +125,9 @@
             await asyncio.sleep(DRAIN_POLL_S)
         if not components.homes.holds_no_slots(now_s=time.monotonic()):
             return
-        # If the platform is unavailable, the row stays. Because of `finished`
-        # the peers remove it once the platform is back; otherwise they would
-        # hold its upstreams' slots back for the longest deadline.
+        # If the platform is unavailable, the row stays. A heartbeat with
+        # `finished` lets the peers remove it once the platform is back; without
+        # it they would hold its upstreams' slots back for the longest deadline.
         components.forward_listener.stop_listening()
         table_manager = components.table_manager
         await table_manager.change(
--- a/almondstair/slot_allocator.py
+++ b/almondstair/slot_allocator.py
@@ -1,4 +1,4 @@
-"""Allocation of upstream slots: acquires, queues and releases."""
+"""Allocation of upstream slots, with queueing."""
 
 import asyncio
 import time
@@ -72,7 +72,8 @@
         Args:
           admission: the acquired slot.
           outcome: how the request ended.
-          finished: whether the request surely no longer runs upstream.
+          finished: whether the request definitely no longer runs at the
+            upstream.
           class_name: name of the request class, whose latencies are
             compared with each other.
         """
--- a/almondstair/startup_sequence.py
+++ b/almondstair/startup_sequence.py
@@ -57,7 +57,7 @@
         self._seed_text = seed_text
 
     async def run(self) -> None:
-        """Joins the fleet; on return, lookups include this entry."""
+        """Brings this entry into service; on return, lookups include it."""
         components = self._components
         await self._request_from_peers()
         while components.configuration_manager.configuration is None:
--- a/almondstair/strike_exchange.py
+++ b/almondstair/strike_exchange.py
@@ -23,7 +23,6 @@
 from almondstair.core.quarantine import StrikeMark
 from almondstair.errors import AlmondstairError
 
-# Datagrams per read.
 DATAGRAMS_PER_READ = 256
 # Larger than any UDP datagram.
 DATAGRAM_BYTES = 65536
--- a/almondstair/validation.py
+++ b/almondstair/validation.py
@@ -231,7 +231,7 @@
 def _arrays_for_tables(
     value: Any, *, annotation: Any, location: Location = ()
 ) -> list[tuple[Location, Any]]:
-    """Returns where an array replaces a table, and the table's type.
+    """Returns where an array is given for a table, and the table's type.
 
     pydantic would assign the array's items to the fields by position, and a
     field inserted later would silently shift the rest.
