--- a/almondstair/tools/commands.py
+++ b/almondstair/tools/commands.py
@@ -105,8 +105,8 @@
         for entry, version in body["in_force"].items():
             if version == body["version"]:
                 continue
-            known = "unknown" if version is None else str(version)
-            self._session.print_note(f"in force on {entry}: {known}")
+            shown = "unknown" if version is None else str(version)
+            self._session.print_note(f"in force on {entry}: {shown}")
 
     @command
     def check(self, file: str, *, remote: bool = False) -> None:
--- a/almondstair/tools/gateway_config_commands.py
+++ b/almondstair/tools/gateway_config_commands.py
@@ -13,7 +13,7 @@
 class GatewayConfigCommands:
     """Shows and compares the configurations in force on gateways.
 
-    The operators' store has the next configuration.
+    The store may already hold a newer configuration.
     """
 
     def __init__(self, session: session_module.Session) -> None:
--- a/almondstair/tools/gateway_views.py
+++ b/almondstair/tools/gateway_views.py
@@ -1,7 +1,7 @@
 """Views that merge the reports of several gateways.
 
-A gateway that does not answer is never counted as idle: the age of each
-gateway's data, shown with every view, marks its values as unknown.
+A gateway that does not answer is never counted as idle: every view also shows
+the age of each gateway's data, or that the gateway does not answer.
 """
 
 from collections.abc import Iterator, Sequence
--- a/almondstair/tools/request_explanations.py
+++ b/almondstair/tools/request_explanations.py
@@ -53,7 +53,7 @@
       request: id of the request.
       cause: its outcome and the reason, in one sentence.
       lines: lines that name the request, in order of time.
-      around: lines about its upstreams and about the store.
+      around: lines about its upstreams, the store and the configuration.
     """
 
     request: str
