--- a/emulator/__main__.py
+++ b/emulator/__main__.py
@@ -125,7 +125,7 @@
 
 
 def _comparing() -> Any:
-    """Imports `comparing` on demand; upstreams start without pygal."""
+    """Imports `comparing` on demand, so that upstreams need no pygal."""
     return importlib.import_module("emulator.comparing")
 
 
--- a/emulator/deployment.py
+++ b/emulator/deployment.py
@@ -86,7 +86,7 @@
 class Deployment(
     msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True
 ):
-    """A complete deployment.
+    """The content of a deployment file.
 
     Attributes:
       zones: region of each availability zone.
--- a/emulator/documents.py
+++ b/emulator/documents.py
@@ -28,7 +28,7 @@
     Attributes:
       name: name of its VM.
       zone: its availability zone.
-      addresses: `ip:port` of each of `PARTS`.
+      addresses: `ip:port` of each of `LISTENERS`.
       store: `ip:port` of the store.
       zones: region of each availability zone.
       seed: control `ip:port` of another gateway; empty for its own.
@@ -54,6 +54,7 @@
         'ip = "127.0.0.1"',
         f'zone = "{gateway.zone}"',
         f'region = "{gateway.zones[gateway.zone]}"',
+        # A gateway has to ignore settings that it does not know.
         "somethingNew = 1",
         "[network]",
         f"internalPorts = [{peers}, {peers}]",
--- a/emulator/load.py
+++ b/emulator/load.py
@@ -56,7 +56,7 @@
 
 
 class Outcome(NamedTuple):
-    """The outcome of a request.
+    """How a request ended for its caller.
 
     Attributes:
       arrival: the request.
--- a/emulator/load_pattern.py
+++ b/emulator/load_pattern.py
@@ -39,7 +39,7 @@
 class Kind(
     msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True
 ):
-    """A kind of request.
+    """A kind of request with its rate, run times and limits.
 
     Attributes:
       name: name of the kind.
@@ -116,7 +116,7 @@
 class Pattern(
     msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True
 ):
-    """A complete load pattern.
+    """The content of a pattern file.
 
     Attributes:
       shows: purpose of the pattern, in a sentence.
--- a/emulator/modelled_upstream.py
+++ b/emulator/modelled_upstream.py
@@ -11,7 +11,8 @@
 
 # Standard deviation of the logarithm of run times.
 RUN_TIME_SIGMA = 0.15
-# Standard deviation of the logarithm of the upstreams' speeds.
+# Standard deviation of the logarithm of the upstreams' run time factors; a
+# slower upstream has a greater one.
 SPEED_SIGMA = 0.2
 
 
@@ -22,7 +23,7 @@
       kind: kind of the request.
       key: affinity key.
       on_completed: called on completion with whether the object was new; not
-        called if the upstream is lost before.
+        called if the upstream is lost before that.
     """
 
     kind: Kind
@@ -38,7 +39,7 @@
       service: name of its service.
       region: its region.
       lost: whether it accepts no connections.
-      run_time_factor: factor on run times.
+      run_time_factor: factor on run times that a disturbance sets.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         self._queue: deque[Run] = deque()
         self._cached_keys: OrderedDict[str, None] = OrderedDict()
         self._incarnation = 0
-        self._speed = rng.lognormvariate(0.0, SPEED_SIGMA)
+        self._own_run_time_factor = rng.lognormvariate(0.0, SPEED_SIGMA)
 
     def submit(self, run: Run) -> bool:
         """Runs or queues a request; returns False if the queue is full."""
@@ -84,7 +85,7 @@
         return True
 
     def shut_down(self) -> None:
-        """Drops running and queued requests without response and the cache."""
+        """Drops all requests without a response and empties the cache."""
         self.lost = True
         self._incarnation += 1
         self._running = 0
@@ -113,5 +114,6 @@
             run.on_completed(new)
 
         self._schedule(
-            mean_s * spread * self._speed * self.run_time_factor, complete
+            mean_s * spread * self._own_run_time_factor * self.run_time_factor,
+            complete,
         )
--- a/emulator/replay.py
+++ b/emulator/replay.py
@@ -112,17 +112,17 @@
         return upstreams
 
     def _make_entries(self) -> list[ModelledEntry]:
-        names = []
+        locations = []
         for region, count in self._pattern.entries.items():
             for number in range(count):
-                names.append((f"e-{region}-{number}", region))
+                locations.append((f"e-{region}-{number}", region))
         entries = []
-        for name, region in names:
+        for name, region in locations:
             entry = ModelledEntry(
                 name=name,
                 region=region,
                 pattern=self._pattern,
-                names=[other for other, _ in names],
+                names=[other for other, _ in locations],
             )
             entries.append(entry)
         return entries
@@ -337,8 +337,8 @@
         loads_by_entry = {entry.name: entry.loads() for entry in self._entries}
         total: dict[int, int] = {}
         for loads in loads_by_entry.values():
-            for name, count in loads.items():
-                total[name] = total.get(name, 0) + count
+            for name_hash, count in loads.items():
+                total[name_hash] = total.get(name_hash, 0) + count
         self._planner.update(
             services=self._entries[0].eligible_upstreams(), now_s=self._now_s
         )
--- a/emulator/replay_outcome.py
+++ b/emulator/replay_outcome.py
@@ -27,11 +27,11 @@
     Attributes:
       total: number of requests.
       in_aim: number with a response within the target latency.
-      late: number with a later response.
+      late: number with a later response, before the deadline.
       refused: number that were refused and not run.
       failed: number without a response before the deadline.
-      p50_ms: median latency, in milliseconds.
-      p99_ms: 99th percentile of the latency, in milliseconds.
+      p50_ms: median latency of the requests with a response, in milliseconds.
+      p99_ms: 99th percentile of the same, in milliseconds.
     """
 
     total: int
@@ -51,7 +51,7 @@
 
 
 class Outcome(NamedTuple):
-    """The outcome of a replay.
+    """Credit of the requests and runs at the upstreams in a replay.
 
     Attributes:
       kinds: outcome by kind of request.
@@ -70,9 +70,9 @@
     @property
     def credit(self) -> float:
         """Returns the credit over all requests."""
-        asked = sum(kind.total for kind in self.kinds.values())
+        total = sum(kind.total for kind in self.kinds.values())
         earned = sum(kind.total * kind.credit for kind in self.kinds.values())
-        return earned / asked if asked else 1.0
+        return earned / total if total else 1.0
 
     @property
     def lowest_kind_credit(self) -> float:
--- a/emulator/report.py
+++ b/emulator/report.py
@@ -12,6 +12,7 @@
 from emulator.load import Outcome
 
 PERCENTILES = (0.5, 0.9, 0.99)
+# Step and upper end of the latency axis of the plot.
 LATENCY_STEP_MS = 25
 MAX_LATENCY_MS = 2000
 
--- a/emulator/store.py
+++ b/emulator/store.py
@@ -286,7 +286,10 @@
 
 
 class _Faults(_Handler):
-    """Sets faults and counts calls; not affected by the faults itself."""
+    """Sets faults, drops the history and returns the call counts.
+
+    The faults do not apply to these calls.
+    """
 
     kind = "faults"
     applies_faults = False
--- a/emulator/upstream.py
+++ b/emulator/upstream.py
@@ -325,7 +325,7 @@
         self.upstream.record_response_sent(self.stream())
 
     def respond_raw(self, fault: str, body: bytes) -> None:
-        """Writes a response around the HTTP server's framing."""
+        """Writes a response that bypasses the HTTP server's framing."""
         stream = self.stream()
         head = (
             "HTTP/1.1 200 OK\r\n"
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -30,7 +30,7 @@
 
 
 class ChildProcess:
-    """A child process."""
+    """A process of the deployment, signalled by its id."""
 
     def __init__(self, *, name: str, process: asyncio.subprocess.Process):
         """Wraps a started process."""
@@ -227,7 +227,10 @@
         self.procs[name] = ChildProcess(name=name, process=process)
 
     def _gateway_module(self) -> str:
-        """Returns the gateway's main module in the checkout under test."""
+        """Returns the gateway's main module in the checkout under test.
+
+        A checkout without `__main__.py` starts it from `daemon`.
+        """
         package = self._source / "almondstair" / "gateway"
         if (package / "__main__.py").exists():
             return "almondstair.gateway"
@@ -282,7 +285,9 @@
             target, self.deployment.delay_s(zone, store_zone)
         )
         self.store_proxies[name] = self._all_proxies[-1]
-        addresses = {part: free_address() for part in documents.LISTENERS}
+        addresses = {
+            listener: free_address() for listener in documents.LISTENERS
+        }
         self.gateways[name] = documents.GatewayDescription(
             name=name,
             zone=zone,
