--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -16,7 +16,7 @@
 from soak.run import Size
 from soak.run import Soak
 
-# How much of each process's log is printed if a guarantee was violated.
+# How much of each process's log is printed if a guarantee is violated.
 LOG_LINES = 12
 LOG_LINE_CHARACTERS = 300
 SEEDS_FILE = Path(__file__).with_name("seeds.toml")
@@ -47,7 +47,10 @@
 
 
 def print_logs(directory: Path) -> None:
-    """Prints the last log lines above INFO of gateways and upstreams."""
+    """Prints the last warnings of gateways and how upstreams ended.
+
+    These are the lines of their logs that are not at level INFO.
+    """
     for path in sorted(directory.glob("[gu]*.log")):
         lines = []
         for line in path.read_text("utf-8", "replace").splitlines():
@@ -88,7 +91,7 @@
 
 
 class Commands:
-    """Runs seeds of faults on real processes and checks the guarantees."""
+    """Runs seeded plans of faults on real processes and checks guarantees."""
 
     def run(
         self,
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -28,7 +28,7 @@
         """Makes a caller.
 
         Args:
-          rng: random numbers of this caller.
+          rng: random number generator of this caller.
         """
         self._rng = rng
         self.sent: list[SentRequest] = []
@@ -81,7 +81,7 @@
         writer: asyncio.StreamWriter,
         prefixes: list[str],
     ) -> bool:
-        """Sends one outgoing; returns whether the connection stays usable."""
+        """Sends one request; returns whether the connection stays usable."""
         prefix = self._rng.choice(prefixes)
         key = str(self._rng.randrange(KEY_COUNT))
         idempotent = not prefix.startswith("/unsafe")
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -37,7 +37,7 @@
 
 
 class Span(NamedTuple):
-    """Names a time span, in seconds of the monotonic clock."""
+    """Describes a named time span, in seconds of the monotonic clock."""
 
     name: str
     from_s: float
@@ -85,7 +85,10 @@
 def check_refusals(
     sent: Iterable[SentRequest], ran: Iterable[UpstreamRun]
 ) -> list[Violation]:
-    """Finds requests that ran although a 429, 503 or the like denies it."""
+    """Finds non-idempotent requests that ran although they were refused.
+
+    Status 408, 421, 429 or 503 says that the request did not run.
+    """
     ran_ids = {run.request for run in ran}
     violations = []
     for request in sent:
@@ -118,7 +121,7 @@
 def check_cold(
     ran: Iterable[UpstreamRun], cold: Iterable[Span]
 ) -> list[Violation]:
-    """Finds cold upstreams that got more than their bound in a second."""
+    """Finds cold upstreams that got more than their bound in any second."""
     violations = []
     runs = sorted(ran, key=lambda run: run.at_s)
     for span in cold:
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -5,7 +5,8 @@
 import random
 from typing import NamedTuple
 
-# No fault begins while the processes start, or in the calm span at the end.
+# No fault begins while the processes start, nor in the last seconds, so that
+# most faults have ended when the recovery is checked.
 START_SETTLE_S = 3.0
 FINAL_CALM_S = 8.0
 
--- a/soak/run.py
+++ b/soak/run.py
@@ -25,8 +25,9 @@
 from soak.plan import FaultKind
 from soak.plan import Step
 
-# Longest time from the acknowledgement of a change until it takes effect, with
-# the delay that a disturbance adds: the bounds of the emulated platform.
+# Longest time from the acknowledgement of a change, or the SIGTERM of a drain,
+# until it takes effect, with the delay that a disturbance adds: the bounds of
+# the emulated platform.
 DRAIN_S = 2.0
 CONFIGURE_S = 2.0
 EVACUATE_S = 5.0
@@ -48,7 +49,7 @@
 
 
 class Size(NamedTuple):
-    """Holds how many processes and callers are started."""
+    """Holds the numbers of processes and callers to start."""
 
     upstreams: int = 6
     gateways: int = 3
@@ -103,7 +104,7 @@
 
 
 class Outcome(NamedTuple):
-    """Names one kind of result that a caller got from a gateway.
+    """Describes one kind of result that a caller got from a gateway.
 
     Attributes:
       caller: index of the caller.
--- a/spec/check.py
+++ b/spec/check.py
@@ -69,7 +69,7 @@
 
 
 def describe(model: CheckedModel, finding: Finding) -> str:
-    """Returns the report of one model, several lines joined."""
+    """Returns the report of one model, with a line for each violation."""
     result = "holds in all of them"
     if not finding.exhaustive:
         result = "NOT all states explored"
--- a/spec/checked_model.py
+++ b/spec/checked_model.py
@@ -1,4 +1,4 @@
-"""Models as the modules of the specification offer them to the checker."""
+"""Models that the modules of the specification hand to the model checker."""
 
 from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple
@@ -26,7 +26,7 @@
 def with_guards(
     protocol: Callable[[str, Any, Any], minicheck.Protocol], guards: Any
 ) -> Callable[[str, Any, str], minicheck.Protocol]:
-    """Returns a function that builds a protocol without one of its guards.
+    """Returns a function that builds a protocol, perhaps without one guard.
 
     Args:
       protocol: builds a protocol from a name, a start and its guards.
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -122,7 +122,7 @@
 
 def _with_attempt(state: State, number: int, attempt: Attempt) -> State:
     if attempt.phase in (Phase.CLOSED, Phase.DEAD):
-        # These are not read any more; clearing them merges equal states.
+        # These fields are not read any more; clearing them merges equal states.
         attempt = attempt._replace(base=0, writes=0, past_deadline=False)
     attempts = list(state.attempts)
     attempts[number] = attempt
@@ -255,12 +255,12 @@
             yield f"no answer {number}", _with_attempt(state, number, changed)
 
     def service_fails(self, state: State, number: int) -> Iterator[Step]:
-        """The read back fails too, so the claim is abandoned."""
+        """Reading the claim back fails too, so the claim is abandoned."""
         if state.attempts[number].phase is Phase.ANSWER_LOST:
             yield f"give up {number}", self._give_up(state, number)
 
     def read_back(self, state: State, number: int) -> Iterator[Step]:
-        """`ClaimAttempt.on_read`: looks for the nonce of the own claim."""
+        """`ClaimAttempt.on_read`: looks for the nonce of its own claim."""
         attempt = state.attempts[number]
         if attempt.phase is not Phase.ANSWER_LOST:
             return
@@ -350,8 +350,8 @@
             return
         attempts = []
         for number, attempt in enumerate(state.attempts):
-            gone = attempt.phase not in (Phase.NOT_SENT, Phase.CLOSED)
-            if ENTRY_OF_ATTEMPT[number] == 0 and gone:
+            unfinished = attempt.phase not in (Phase.NOT_SENT, Phase.CLOSED)
+            if ENTRY_OF_ATTEMPT[number] == 0 and unfinished:
                 attempt = attempt._replace(  # noqa: PLW2901
                     phase=Phase.DEAD, base=0, writes=0, past_deadline=False
                 )
--- a/spec/homes.py
+++ b/spec/homes.py
@@ -128,7 +128,7 @@
 
 
 def is_member(state: State, number: int, guards: Guards) -> bool:
-    """Returns whether a process is a member of the table it has applied."""
+    """Returns whether the table that a process applied has its incarnation."""
     node = state.nodes[number]
     row = state.tables[node.epoch].rows[number]
     if not node.alive or row is None:
@@ -282,9 +282,9 @@
 def held_back_choices(
     state: State, number: int, guards: Guards
 ) -> Iterator[tuple[int, Source]]:
-    """Yields the time to wait for each way to identify the last home.
+    """Yields the time to wait, for each way to identify the last home.
 
-    With it comes the process whose later reports may shorten that time.
+    Each comes with the process whose later reports may shorten the time.
     """
     if not guards.waits_for_holder:
         yield 0, NO_SOURCE
@@ -316,7 +316,10 @@
 
 
 def best_choices(choices: list[list[Report]], own: Report) -> set[Report]:
-    """Returns each report that may have the highest epoch of a choice."""
+    """Returns each report that may have the latest home epoch.
+
+    One report of each list is received, besides the process's own.
+    """
     best = {own}
     for reports in choices:
         after = set()
@@ -447,7 +450,7 @@
 
 
 def unstarted_pair(*, deaths: int, changes: int) -> State:
-    """Returns two entries before the first table: first start, restarts."""
+    """Returns two entries before the first table, for starts and restarts."""
     tables = (Table((None, None), 0),)
     nodes = (Node(), Node())
     return State(tables, nodes, frozenset(), (), deaths, changes)
--- a/spec/incarnations.py
+++ b/spec/incarnations.py
@@ -49,7 +49,7 @@
         it.
       replaced: the newest incarnation that it found replaced.
       load: the incarnation whose load it uses; 0 for none.
-      fault: the violation seen in this incarnation of the entry; "" for none.
+      fault: the violation that occurred at this entry; "" for none.
     """
 
     revision: int = 0
--- a/spec/loans.py
+++ b/spec/loans.py
@@ -141,10 +141,10 @@
 
 
 class Loans:
-    """The protocol without at most one guard."""
+    """The protocol, with all of its guards or without one."""
 
     def __init__(self, *, bounds: Bounds, without: Guard | None = None) -> None:
-        """Initialises the protocol without the guard `without`."""
+        """Initialises the protocol; `without` names the guard to leave out."""
         self._bounds = bounds
         self._without = without
         self._violated = False
--- a/spec/reserve.py
+++ b/spec/reserve.py
@@ -207,8 +207,8 @@
         )
         after = _with_node(state, number, changed)
         if node.held_epoch == 1 and held_epoch == 1:
-            # `Homes._records_for`: may be received at any later time, by which
-            # the requests in it are closer to their deadlines.
+            # `Homes._records_for`: the record may be received at any later
+            # time, when its requests are closer to their deadlines.
             after = after._replace(record=node.running)
         yield f"apply {number}", after
 
@@ -228,7 +228,7 @@
             )
 
     def echo(self, state: State, number: int) -> Iterator[Step]:
-        """`Homes.report_to`: sends the echo, `echo_sent_s`."""
+        """`Homes.report_to`: sends the echo as `echo_sent_s`."""
         node = state.nodes[number]
         roles = self._roles(node)
         if roles.successor != number or node.heartbeat_age > T1:
--- a/spec/shares.py
+++ b/spec/shares.py
@@ -1,4 +1,4 @@
-"""Specification of a bound that entries share without messages to each other.
+"""Specification of a bound that entries share without exchanging messages.
 
 The bound applies to the sum over all entries. Each entry uses the bound divided
 by the number of entries that it knows. Entries register under a lease, discover
--- a/spec/update_order.py
+++ b/spec/update_order.py
@@ -21,7 +21,7 @@
 NODES = 2
 MAX_VERSIONS = 2
 MAX_ORDERS = 2
-# Bounds the changes of the store: one of each kind, and one kind twice.
+# Bounds the number of states: a run has at most five changes of the store.
 MAX_REVISIONS = 6
 NONE, READY, LEAVING = "none", "ready", "leaving"
 
