--- a/benchmarks/blocks.py
+++ b/benchmarks/blocks.py
@@ -1,4 +1,4 @@
-"""Measures the table of client blocks at three sizes up to the target.
+"""Measures the table of client blocks at four sizes up to the target.
 
 Run: python -m benchmarks.blocks
 Prints one line per size: memory per block, time to build, to write as shards
@@ -24,18 +24,18 @@
 MIB = 1 << 20
 
 
-def _rows(*, count: int, draw: random.Random) -> Iterator[BlockSite]:
+def _rows(*, count: int, rng: random.Random) -> Iterator[BlockSite]:
     ipv4 = round(count * IPV4_PART)
-    for number in draw.sample(range(1 << 24), ipv4):
-        yield BlockSite(number.to_bytes(3), draw.randrange(SITES))
-    for number in draw.sample(range(1 << 48), count - ipv4):
-        yield BlockSite(number.to_bytes(6), draw.randrange(SITES))
+    for number in rng.sample(range(1 << 24), ipv4):
+        yield BlockSite(number.to_bytes(3), rng.randrange(SITES))
+    for number in rng.sample(range(1 << 48), count - ipv4):
+        yield BlockSite(number.to_bytes(6), rng.randrange(SITES))
 
 
-def _lookup_us(*, table: BlockTable, draw: random.Random) -> float:
+def _lookup_us(*, table: BlockTable, rng: random.Random) -> float:
     blocks: list[bytes] = []
     for _ in range(LOOKUPS):
-        blocks.append(draw.randbytes(3))
+        blocks.append(rng.randbytes(3))
     started_s = time.process_time()
     for block in blocks:
         table.site(block=block)
@@ -52,22 +52,22 @@
 
 
 def measure(*, count: int) -> None:
-    draw = random.Random(count)
+    rng = random.Random(count)
     started_s = time.process_time()
-    table = table_from_rows(rows=_rows(count=count, draw=draw), version=1)
+    table = table_from_rows(rows=_rows(count=count, rng=rng), version=1)
     build_s = time.process_time() - started_s
     started_s = time.process_time()
     values = table.shards()
     write_s = time.process_time() - started_s
     reader = ShardReader()
-    turns_s: list[float] = []
+    read_times_s: list[float] = []
     for value in values:
         started_s = time.process_time()
         reader.add(value=value)
-        turns_s.append(time.process_time() - started_s)
+        read_times_s.append(time.process_time() - started_s)
     started_s = time.process_time()
     table = reader.table()
-    turns_s.append(time.process_time() - started_s)
+    read_times_s.append(time.process_time() - started_s)
     largest_bytes = 0
     for value in values:
         largest_bytes = max(largest_bytes, len(value))
@@ -77,10 +77,10 @@
         f"built in {build_s:.2f} s CPU, "
         f"{len(values)} shards of at most {largest_bytes:,} bytes, "
         f"written in {write_s * 1e3:.1f} ms, "
-        f"read in {sum(turns_s) * 1e3:.0f} ms, "
-        f"{max(turns_s) * 1e3:.0f} ms at most at a time, "
+        f"read in {sum(read_times_s) * 1e3:.0f} ms, "
+        f"{max(read_times_s) * 1e3:.0f} ms at most at a time, "
         f"peak {_peak_mib(values=values):.1f} MiB, "
-        f"lookup {_lookup_us(table=table, draw=draw):.2f} us CPU"
+        f"lookup {_lookup_us(table=table, rng=rng):.2f} us CPU"
     )
 
 
--- a/benchmarks/choices.py
+++ b/benchmarks/choices.py
@@ -1,4 +1,4 @@
-"""Measures the cost of a placement decision by upstreams of the service.
+"""Measures the cost of a placement decision by number of upstreams.
 
     python -m benchmarks.choices
 
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,8 +1,8 @@
 """Measures what a new configuration costs an entry, by number of upstreams.
 
 Run: python -m benchmarks.configuration
-CPU time of reading the document, which blocks the event loop once, of applying
-it to homes and admission, and of unpacking it when a peer sent it.
+Prints the CPU time of reading the document, which blocks the event loop once,
+of applying it to homes and admission, and of unpacking it when a peer sent it.
 """
 
 import time
@@ -63,7 +63,7 @@
 
 def apply_ms(configuration: Configuration, table: EntryTable) -> float:
     """Returns the CPU time in which homes and admission apply an edit."""
-    book = SlotTracker(margin_s=0.25)
+    tracker = SlotTracker(margin_s=0.25)
     own = table.entries[0]
     homes = Homes(
         entry_name=own.name,
@@ -71,9 +71,9 @@
         t1_s=1.0,
         reserve_deadline_s=2.0,
         margin_s=0.25,
-        tracker=book,
+        tracker=tracker,
     )
-    slots = SlotTable(homes=homes, tracker=book)
+    slots = SlotTable(homes=homes, tracker=tracker)
     homes.set_upstreams(upstreams=homed_upstreams(configuration=configuration))
     homes.update_table(table=table, now_s=0.0)
     started_s = time.process_time()
--- a/benchmarks/delayed_daemon.py
+++ b/benchmarks/delayed_daemon.py
@@ -2,7 +2,7 @@
 
 A request waits for the whole round trip before it is forwarded. No slot is held
 during the delay, unlike with `--delay-ms` of the stand-in for upstreams, and
-admission sees the request at most one one-way delay late. Heartbeats are not
+admission sees the request late by at most the one-way delay. Heartbeats are not
 delayed.
 
     python -m benchmarks.delayed_daemon --one-way-ms 12 --settings entry.toml
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -230,7 +230,7 @@
 
 
 def measure(size: Size, meter: PeerMeter) -> Result:
-    """Measures one deployment while idle and during edits."""
+    """Starts one deployment, measures it idle and during edits, and ends it."""
     processes = Processes()
     deployment = FleetDeployment(
         processes=processes,
@@ -248,7 +248,7 @@
 def measure_idle(
     deployment: FleetDeployment, size: Size, meter: PeerMeter
 ) -> Result:
-    """Measures a running deployment."""
+    """Measures a running deployment while idle, then during a few edits."""
     children = []
     for name in deployment.entries:
         children.append(deployment.processes.children[name])
--- a/benchmarks/heartbeats.py
+++ b/benchmarks/heartbeats.py
@@ -1,15 +1,16 @@
 """Measures heartbeats: sizes, traffic, CPU time, age of known statuses.
 
 Run: python -m benchmarks.heartbeats (half a minute)
-With `--target`, the spread at the target size takes three minutes more. There
-are three parts:
+With `--target` it also measures the spread at the target size, which takes
+three minutes more. There are three parts:
 
 * sizes: encoded bytes of each message at the present and the target size;
 * sockets: 4 to 64 entries with real sockets on loopback, four per process:
   bytes per second and CPU time for each entry;
-* spread: the pure core of one zone and of the target size stepped through
-  simulated seconds without loss: the age of the status of each entry, and the
-  time until a new configuration version is known and until it is reported.
+* spread: the pure core of the present size, of one zone and of the target size,
+  stepped through simulated seconds without loss: the age of each entry's
+  status, and the time until a new configuration version is known and until it
+  is reported.
 """
 
 import asyncio
@@ -56,15 +57,15 @@
 
 def print_sizes() -> None:
     print("sizes, encoded bytes without packet headers")
-    words = []
+    statuses = []
     for number in range(ZONE[0]):
-        words.append(MemberStatus(f"entry-{number:03d}", True, 1.0, 2300))
-    view = make_view(epoch=900, members=words, configuration_version=2300)
+        statuses.append(MemberStatus(f"entry-{number:03d}", True, 1.0, 2300))
+    view = make_view(epoch=900, members=statuses, configuration_version=2300)
     loads = two_services().loads
     digest = make_digest(
         availability_zone="region0-00",
         epoch=900,
-        members=words,
+        members=statuses,
         version=2300,
         loads=loads,
     )
@@ -158,7 +159,7 @@
 
 def run_sockets(count: int) -> None:
     """Runs entries in several processes, few in each to limit descriptors."""
-    # An age of -1 means that no heartbeat of some entry was received.
+    # An age of -1 means that some entry was never heard from.
     parts = []
     for first in range(0, count, ENTRIES_PER_PROCESS):
         last = min(count, first + ENTRIES_PER_PROCESS)
@@ -185,22 +186,24 @@
 
 
 def report_spread(title: str, count: int, zones: int, warm_s: float) -> None:
-    steps = HeartbeatSimulation(count, zones)
-    steps.run(warm_s)
-    steps.sent_bytes = 0
+    simulation = HeartbeatSimulation(count, zones)
+    simulation.run(warm_s)
+    simulation.sent_bytes = 0
     near_s, far_s = [], []
     samples = 3
     for _ in range(samples):
-        steps.run(1.0)
-        for entry in list(steps.entries.values())[:20]:
+        simulation.run(1.0)
+        for entry in list(simulation.entries.values())[:20]:
             near = entry.heartbeats._scheduler.near_names
             for row in entry.membership.table.entries:
-                age_s = entry.membership.age_s(name=row.name, now_s=steps.now_s)
+                age_s = entry.membership.age_s(
+                    name=row.name, now_s=simulation.now_s
+                )
                 if row.name in near:
                     near_s.append(age_s)
                 elif row.name != entry.own.name:
                     far_s.append(age_s)
-    sent = steps.sent_bytes / samples / count
+    sent = simulation.sent_bytes / samples / count
     print(f"  {title}: {sent:.0f} bytes/s sent by each entry")
     for group, ages_s in (("group", near_s), ("beyond", far_s)):
         if not ages_s:
@@ -211,34 +214,34 @@
             f" s, p99 {ages_s[int(len(ages_s) * 0.99)]:.2f} s,"
             f" max {ages_s[-1]:.2f} s"
         )
-    report_edit(steps)
+    report_edit(simulation)
 
 
-def report_edit(steps: HeartbeatSimulation) -> None:
+def report_edit(simulation: HeartbeatSimulation) -> None:
     """Offers a new version to two entries per zone, as watches would."""
-    started_s = steps.now_s
+    started_s = simulation.now_s
     per_zone: dict[str, int] = {}
-    for entry in steps.entries.values():
+    for entry in simulation.entries.values():
         zone = entry.own.availability_zone
         per_zone[zone] = per_zone.get(zone, 0) + 1
         if per_zone[zone] <= 2:
             entry.configuration.apply_if_newer(
                 StoredConfiguration(2, "2", "", "", "")
             )
-    steps.pulls_configuration = True
+    simulation.pulls_configuration = True
     in_force_s = None
-    first = next(iter(steps.entries.values()))
-    while steps.now_s - started_s < 40.0:
-        steps.run(INTERVAL_MS / 1000)
+    first = next(iter(simulation.entries.values()))
+    while simulation.now_s - started_s < 40.0:
+        simulation.run(INTERVAL_MS / 1000)
         versions = []
-        for entry in steps.entries.values():
+        for entry in simulation.entries.values():
             versions.append(entry.configuration.version)
         if in_force_s is None and min(versions) == 2:
-            in_force_s = steps.now_s - started_s
+            in_force_s = simulation.now_s - started_s
         lacking = lagging_entries(
             version=2,
             reports=first.membership.version_reports(
-                own_version=first.configuration.version, now_s=steps.now_s
+                own_version=first.configuration.version, now_s=simulation.now_s
             ),
             fresh_limit_s=FAR_SILENCE_S,
         )
@@ -246,7 +249,8 @@
             break
     print(
         f"    new version in force on all entries after {in_force_s} s, "
-        f"reported by all to one entry after {steps.now_s - started_s:.2f} s"
+        "reported by all to one entry after "
+        f"{simulation.now_s - started_s:.2f} s"
         f"{'' if not lacking else f' (still lacking {len(lacking)})'}"
     )
 
--- a/benchmarks/lookup_cost.py
+++ b/benchmarks/lookup_cost.py
@@ -2,7 +2,7 @@
 
 Run: python -m benchmarks.lookup_cost
 Lookups are measured for new and for cached buckets; steering with one source of
-load reports per region and with as many as the target size has.
+load reports per region up to as many as the target size has.
 """
 
 import random
--- a/benchmarks/membership_cost.py
+++ b/benchmarks/membership_cost.py
@@ -1,8 +1,8 @@
 """Measures the cost of an entry's view of the others by number of entries.
 
 Run: python -m benchmarks.membership_cost
-CPU time per call of the queries that the control plane makes several times a
-second, and of the live entries while their result is cached.
+Prints the CPU time per call of the queries that the control plane makes several
+times a second, and of the live entries while their result is cached.
 """
 
 from collections.abc import Callable
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -30,8 +30,8 @@
 from almondstair.core.model import Upstream
 from almondstair.core.slot_tracker import SlotTracker
 
-# Entries and upstreams, from the present size to the target with an assumed
-# 1000 upstreams; in one region of four.
+# Entries and upstreams in four regions, from the present size to the target
+# with an assumed 1000 upstreams.
 SIZES = ((12, 28), (96, 125), (192, 250), (385, 500), (770, 1000))
 REGIONS = 4
 TABLES = 5
@@ -78,23 +78,23 @@
     )
 
 
-def _homes(*, configuration: Configuration, book: SlotTracker) -> Homes:
+def _homes(*, configuration: Configuration, tracker: SlotTracker) -> Homes:
     homes = Homes(
         entry_name="entry-000",
         incarnation="0123456789abcdef",
         t1_s=1.0,
         reserve_deadline_s=2.0,
         margin_s=0.5,
-        tracker=book,
+        tracker=tracker,
     )
     homes.set_upstreams(upstreams=homed_upstreams(configuration=configuration))
     return homes
 
 
 def _choose_us(
-    *, homes: Homes, book: SlotTracker, configuration: Configuration
+    *, homes: Homes, tracker: SlotTracker, configuration: Configuration
 ) -> float:
-    slots = SlotTable(homes=homes, tracker=book)
+    slots = SlotTable(homes=homes, tracker=tracker)
     slots.set_configuration(configuration=configuration)
     started_s = time.process_time()
     for _ in range(CHOICES):
@@ -114,9 +114,9 @@
     # The own row is last, the worst case of a scan from the first row.
     rows.reverse()
     configuration = _configuration(upstreams=upstreams)
-    book = SlotTracker(margin_s=0.5)
+    tracker = SlotTracker(margin_s=0.5)
     tracemalloc.start()
-    homes = _homes(configuration=configuration, book=book)
+    homes = _homes(configuration=configuration, tracker=tracker)
     homes.update_table(table=EntryTable(1, tuple(rows)), now_s=0.0)
     size_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
@@ -132,7 +132,9 @@
             upstream=f"upstream-{number % upstreams}", now_s=0.0
         )
     query_us = (time.process_time() - started_s) / QUERIES * 1e6
-    choose_us = _choose_us(homes=homes, book=book, configuration=configuration)
+    choose_us = _choose_us(
+        homes=homes, tracker=tracker, configuration=configuration
+    )
     print(
         f"homes, {entries:>3} entries, {upstreams:>4} upstreams: "
         f"new table {table_ms:.1f} ms CPU, home role {query_us:.1f} us, "
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -1,9 +1,10 @@
 """Measures steering policies with real processes in each firm's layout.
 
 Entries, upstreams, platform and callers are processes on loopback;
-`benchmarks.delayed_daemon` adds the delay between regions. Each firm has about
-half its upstreams and all its entries. Region `a` has half of the callers, `b`
-three tenths, `c` a fifth; all regions have the same number of slots.
+`benchmarks.delayed_daemon` adds the delay between regions. Each layout has all
+entries of the firm and about half of its upstreams. Region `a` has half of the
+callers, `b` three tenths, `c` a fifth; all regions have the same number of
+slots.
 
 Scenarios, one after another on one deployment:
   steady    half of capacity; an upstream is marked leaving during the run
@@ -211,10 +212,10 @@
 
     def capacity_per_s(self, service: str) -> float:
         """Returns the requests per second that all slots can serve."""
-        each = self.firm.matching
+        per_region = self.firm.matching
         if service == "intake":
-            each = self.firm.intake
-        slots = len(REGIONS) * each * self.firm.slots
+            per_region = self.firm.intake
+        slots = len(REGIONS) * per_region * self.firm.slots
         return slots / mean_work_s(service)
 
 
@@ -231,7 +232,8 @@
       region_headroom: lowest free fraction of a region's slots over windows
         of `WINDOW_S`.
       link_headroom: lowest free fraction of a link's cap over such windows.
-      far: fraction of the responses from a region other than the caller's.
+      far: fraction of the responses from an upstream in another region than the
+        entry that the caller asked.
       drain_s: time from the mark to the end of the last request; None if not
         measured.
       tries: runs and refusals at upstreams per request sent.
@@ -458,10 +460,10 @@
                 at_s = until_s + 1e-9
         lowest = 1.0
         for (_, service, _), used_s in busy.items():
-            each = self.deployment.firm.matching
+            per_region = self.deployment.firm.matching
             if service == "intake":
-                each = self.deployment.firm.intake
-            slots = each * self.deployment.firm.slots
+                per_region = self.deployment.firm.intake
+            slots = per_region * self.deployment.firm.slots
             lowest = min(lowest, 1.0 - used_s / (slots * WINDOW_S))
         return max(0.0, lowest)
 
--- a/benchmarks/rolling_restarts.py
+++ b/benchmarks/rolling_restarts.py
@@ -36,20 +36,20 @@
 
 def report(deployment: Deployment, codes: list[int], stops_s: list[float]):
     """Prints the results."""
-    ends = read_load_outcome(deployment)
-    total = len(ends.latencies_ms)
+    outcome = read_load_outcome(deployment)
+    total = len(outcome.latencies_ms)
     print(f"{len(codes)} restarts, exit codes {sorted(set(codes))}")
     print(f"stop: longest {max(stops_s):.1f} s, shortest {min(stops_s):.1f} s")
     print(
-        f"{total} requests: {ends.answered} answered 200, "
-        f"{ends.retried} of them after a refusal as not run; "
-        f"{len(ends.failed)} not"
+        f"{total} requests: {outcome.answered} answered 200, "
+        f"{outcome.retried} of them after a refusal as not run; "
+        f"{len(outcome.failed)} not"
     )
-    for record in ends.failed[:5]:
+    for record in outcome.failed[:5]:
         print("  ", record["class"], record["attempts"])
     for name, part in (("p50", 0.5), ("p99", 0.99), ("max", 1.0)):
         index = min(int(total * part), total - 1)
-        print(f"{name} {ends.latencies_ms[index]:.1f} ms")
+        print(f"{name} {outcome.latencies_ms[index]:.1f} ms")
     print(f"keys run twice: {len(keys_run_twice(deployment))}")
     for name in deployment.upstreams:
         journal = deployment.journal(name)
--- a/benchmarks/steering_state.py
+++ b/benchmarks/steering_state.py
@@ -109,7 +109,7 @@
     for _ in range(TURNS):
         marks = quarantine.next_marks(now_s=1.0)
         quarantine.merge_marks(marks=marks, now_s=1.0)
-    turn_us = (time.process_time() - started_s) / TURNS * 1e6
+    merge_us = (time.process_time() - started_s) / TURNS * 1e6
     started_s = time.process_time()
     for number in range(TICKS):
         quarantine.verdict(fingerprint=number, now_s=1.0)
@@ -117,7 +117,7 @@
     print(
         f"quarantine of {size:>4} requests: "
         f"{_size_bytes(_quarantine, size):,} bytes, "
-        f"digest and merge {turn_us:.0f} us CPU, verdict {verdict_us:.2f} us"
+        f"digest and merge {merge_us:.0f} us CPU, verdict {verdict_us:.2f} us"
     )
 
 
--- a/scripts/demo_daemon.py
+++ b/scripts/demo_daemon.py
@@ -128,7 +128,7 @@
         return response.json()
 
     def show_lookup(self) -> None:
-        """Looks up at an entry which entries to use."""
+        """Asks an entry which entries to use."""
         print_now("\na caller looks up which entries to use:")
         response = get(
             self._any_caller_address(), "/v1/entries?service=matching"
@@ -189,7 +189,7 @@
                 span = json.loads(line)
                 traces.setdefault(span["trace"], []).append(span)
         spans = max(traces.values(), key=len)
-        _print_spans(spans, parent_of=_root_parent(spans), depth=1)
+        _print_spans(spans, parent=_root_parent(spans), depth=1)
 
     def show_status(self) -> None:
         """Prints the status table of almondstairctl."""
@@ -257,10 +257,10 @@
 
 
 def _print_spans(
-    spans: list[dict[str, Any]], *, parent_of: str, depth: int
+    spans: list[dict[str, Any]], *, parent: str, depth: int
 ) -> None:
     for span in sorted(spans, key=lambda span: span["start_ns"]):
-        if span["parent"] != parent_of:
+        if span["parent"] != parent:
             continue
         elapsed_ms = (span["end_ns"] - span["start_ns"]) / 1e6
         indent = "  " * depth
@@ -269,7 +269,7 @@
             f"{indent}{span['name']} on {span['entry']}: "
             f"{elapsed_ms:.1f} ms {attributes}"
         )
-        _print_spans(spans, parent_of=span["span"], depth=depth + 1)
+        _print_spans(spans, parent=span["span"], depth=depth + 1)
 
 
 def main() -> None:
--- a/scripts/run_features.py
+++ b/scripts/run_features.py
@@ -57,7 +57,7 @@
 
 
 def _without_skipped(result: FileResult) -> FileResult:
-    """Drops scenarios that the arguments did not select, reported as skipped.
+    """Drops the skipped scenarios, which the arguments did not select.
 
     In a run of all features a skipped scenario counts as failed.
     """
