--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -83,7 +83,7 @@
     Attributes:
       size: size of the deployment.
       cpu_percent: user and system time, in percent of one core.
-      resident_bytes: memory at the end.
+      resident_bytes: memory at the end of the idle span.
       peer_per_s: mean rate over the entries by name of the metric.
       read_per_s: reads of the key-value service by all entries.
       write_per_s: writes of the key-value service by all entries.
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -229,8 +229,8 @@
         refusal directs.
       refused: number of requests by class that ended with a refusal.
       other: number of requests by class that failed otherwise.
-      region_headroom: lowest free fraction of a region's slots over windows
-        of `WINDOW_S`.
+      region_headroom: lowest free fraction of a region's slots for a service
+        over windows of `WINDOW_S`.
       link_headroom: lowest free fraction of a link's cap over such windows.
       far: fraction of the responses from an upstream in another region than the
         entry that the caller asked.
@@ -445,7 +445,7 @@
         )
 
     def _region_headroom(self, runs: list[Record]) -> float:
-        """Returns the lowest free fraction of slots over all windows."""
+        """Returns the lowest free fraction of a service's slots in a region."""
         busy: dict[tuple[str, str, int], float] = {}
         for run in runs:
             region, _, kind = run["upstream"].partition("-")
--- a/soak/run.py
+++ b/soak/run.py
@@ -318,7 +318,7 @@
         await self._upstream_kill(step, same_id=True)
 
     async def _foreign_writer(self, step: Step) -> None:
-        """Stores an invalid record among the registrations for a while."""
+        """Stores an invalid record among the registrations."""
         name = self._upstream(step)
         key = f"servers/foreign-{step.target}"
         if step.variant == "own_key":
--- a/spec/incarnations.py
+++ b/spec/incarnations.py
@@ -231,7 +231,7 @@
 
 
 def protocol(name: str, start: None, guards: Guards) -> Protocol:
-    """Returns the protocol for the model checker; it has one start."""
+    """Returns the protocol for the model checker; it has one start state."""
     del start
     model = Model(guards=guards)
     return Protocol(
--- a/spec/reserve.py
+++ b/spec/reserve.py
@@ -134,7 +134,7 @@
         self._guards = guards
 
     def initial(self) -> State:
-        """Returns the state with all entries settled under epoch 1."""
+        """Returns the state with all entries settled and a home in epoch 1."""
         nodes = []
         for number in range(NODES):
             node = Node(settled=True)
