--- a/spec/update_order.py
+++ b/spec/update_order.py
@@ -21,7 +21,7 @@
 NODES = 2
 MAX_VERSIONS = 2
 MAX_ORDERS = 2
-# Bounds the changes of the store: one of each kind, and one kind twice.
+# Bounds the number of states: a run has at most five changes of the store.
 MAX_REVISIONS = 6
 NONE, READY, LEAVING = "none", "ready", "leaving"
 
@@ -226,7 +226,7 @@
 
 
 def protocol(name: str, start: None, guards: Guards) -> Protocol:
-    """Returns the protocol for the model checker; it has one start."""
+    """Returns the protocol for the model checker; it has one start state."""
     del start
     model = Model(guards=guards)
     return Protocol(
