--- a/almondstair/claims.py
+++ b/almondstair/claims.py
@@ -387,7 +387,7 @@
     ) -> None:
         """Releases a claim that may be written but is not held.
 
-        Its key can be claimed again.
+        The key can then be claimed again.
         """
         mod_revision = attempt.mod_revision
         if attempt.outcome is not idempotency.ClaimOutcome.OURS:
--- a/almondstair/configuration_manager.py
+++ b/almondstair/configuration_manager.py
@@ -129,7 +129,7 @@
         )
 
     def update_watch(self) -> None:
-        """Starts or stops the watch as this entry is elected."""
+        """Starts or stops the watch, as this entry is elected or not."""
         self._watcher.update()
 
     def stop(self) -> None:
@@ -287,14 +287,14 @@
         if stored is not None:
             self.apply(stored)
         deadline_s = time.monotonic() + ACCEPT_WAIT_S
-        status = self._applied_status(result)
+        current = self._applied_status(result)
         while (
-            status.status is EditStatus.PENDING
+            current.status is EditStatus.PENDING
             and time.monotonic() < deadline_s
         ):
             await asyncio.sleep(ACCEPT_POLL_S)
-            status = self._applied_status(result)
-        return await self._edit_answer(status, 0, None)
+            current = self._applied_status(result)
+        return await self._edit_answer(current, 0, None)
 
     async def _read_or_none(self) -> StoredConfiguration | None:
         try:
--- a/almondstair/control.py
+++ b/almondstair/control.py
@@ -448,7 +448,10 @@
         self._silent = silent
 
     def _check_region_recovery(self, name: str, now_s: float) -> None:
-        """Updates the lost regions when an entry of one is heard again."""
+        """Updates the lost regions at once when an entry of one is heard again.
+
+        The region gets work again without waiting for the next tick.
+        """
         row = self._parts.membership.table.row(name=name)
         if row is not None and row.region in self._lost_regions:
             self._update_lost_regions(now_s)
--- a/almondstair/document_exchange.py
+++ b/almondstair/document_exchange.py
@@ -1,8 +1,9 @@
 """Exchange of entry tables and configurations between peers.
 
 When a heartbeat shows that a peer has a newer document, an entry requests it
-from that peer. So changes reach entries without a watch, and all entries while
-the platform is unavailable. At startup an entry asks the peers in its settings.
+from that peer. This way changes reach entries that hold no watch, and all
+entries while the platform is unavailable. At startup an entry asks the peers in
+its settings.
 """
 
 from collections.abc import Callable, Iterable
--- a/almondstair/elected_watcher.py
+++ b/almondstair/elected_watcher.py
@@ -13,7 +13,7 @@
 
 
 class ElectedWatcher:
-    """Starts and stops a key watcher as this entry is elected or not."""
+    """Runs a key watcher while this entry is elected to watch."""
 
     def __init__(
         self,
--- a/almondstair/entry.py
+++ b/almondstair/entry.py
@@ -119,7 +119,7 @@
         self._make_control()
         self._make_call_router()
         self._make_listeners()
-        self._joining = self._make_joining(loaded.configuration_text)
+        self._startup = self._make_startup(loaded.configuration_text)
 
     def _make_core(self) -> None:
         timing = self._settings.timing
@@ -128,20 +128,20 @@
         )
         self.membership.joining = True
         self._configuration_state = ConfigurationState()
-        book = SlotTracker(margin_s=SLOT_MARGIN_S)
+        tracker = SlotTracker(margin_s=SLOT_MARGIN_S)
         self.homes = Homes(
             entry_name=self.own.name,
             incarnation=self.own.incarnation,
             t1_s=RESERVE_T1_S,
             reserve_deadline_s=RESERVE_DEADLINE_S,
             margin_s=SLOT_MARGIN_S,
-            tracker=book,
+            tracker=tracker,
         )
         self._health = HealthTable()
         self._loop_stall = LoopStall()
         self.slots = SlotTable(
             homes=self.homes,
-            tracker=book,
+            tracker=tracker,
             health=self._health,
             loop_stall=self._loop_stall,
         )
@@ -340,11 +340,11 @@
         if wait_s is None:
             return
         if wait_s > 0:
-            IOLoop.current().call_later(wait_s, self._send_planned_strikes)
+            IOLoop.current().call_later(wait_s, self._send_scheduled_strikes)
             return
         self._send_strikes()
 
-    def _send_planned_strikes(self) -> None:
+    def _send_scheduled_strikes(self) -> None:
         self._strike_limiter.record_scheduled_sent(now_s=time.monotonic())
         self._send_strikes()
 
@@ -361,7 +361,7 @@
         self._forward_listener = RequestListener(
             handler=self, own_zone=zone, for_entries=True
         )
-        self._leaving = self._make_leaving()
+        self._shutdown = self._make_shutdown()
         views = OperatorViews(
             parts=ViewParts(
                 own=self.own,
@@ -374,12 +374,12 @@
                 heartbeats=self.heartbeats,
                 configuration=self.configuration_manager,
                 table=self.table_manager,
-                requests_in_flight=self._leaving.requests_in_flight,
+                requests_in_flight=self._shutdown.requests_in_flight,
             )
         )
-        self._operators = OperatorServer(handler=views)
+        self._operator_server = OperatorServer(handler=views)
 
-    def _make_joining(self, seed_text: str) -> StartupSequence:
+    def _make_startup(self, seed_text: str) -> StartupSequence:
         return StartupSequence(
             components=StartupComponents(
                 membership=self.membership,
@@ -394,7 +394,7 @@
             seed_text=seed_text,
         )
 
-    def _make_leaving(self) -> ShutdownSequence:
+    def _make_shutdown(self) -> ShutdownSequence:
         timing = self._settings.timing
         return ShutdownSequence(
             components=ShutdownComponents(
@@ -430,7 +430,7 @@
         return configuration
 
     async def handle(self, call: Call) -> None:
-        """Handles a call."""
+        """Responds to a call."""
         await self._call_router.handle(call)
 
     def lookup(self, *, service: str, caller_ip: str) -> LookupBody:
@@ -448,7 +448,7 @@
 
     def is_refusing(self) -> bool:
         """Returns whether new requests are refused."""
-        return self._leaving.is_refusing
+        return self._shutdown.is_refusing
 
     # Start.
 
@@ -462,12 +462,12 @@
         """
         self._peers.start()
         self._strike_exchange.start()
-        self._operators.listen(self.own.operator_address)
+        self._operator_server.listen(self.own.operator_address)
         self._forward_listener.listen(self.own.forward_address)
         self._caller_listener.listen(self.own.caller_address)
         self.heartbeats.start()
         self._control.start()
-        self._timers.append(asyncio.ensure_future(self._joining.run()))
+        self._timers.append(asyncio.ensure_future(self._startup.run()))
         self._timers.append(asyncio.ensure_future(self._metrics_sampler.run()))
         self._timers.append(
             asyncio.ensure_future(self._loop_stall_monitor.run())
@@ -488,7 +488,7 @@
     async def stop(self) -> None:
         """Leaves the group, drains the requests in flight, then closes all."""
         log.event(log.Event.STOPPING, entry=self.own.name)
-        await self._leaving.run()
+        await self._shutdown.run()
         await self._close()
         log.event(log.Event.STOPPED, entry=self.own.name)
 
@@ -500,7 +500,7 @@
         self.configuration_manager.stop()
         for timer in self._timers:
             timer.cancel()
-        await self._operators.close()
+        await self._operator_server.close()
         await self._caller_listener.close()
         await self._forward_listener.close()
         self._claims.close()
