--- a/almondstair/entry_table_manager.py
+++ b/almondstair/entry_table_manager.py
@@ -45,8 +45,9 @@
           membership: this entry's view of the entries.
           store: entry table in the platform.
           vm_list: the platform's list of VMs, which lags.
-          on_table: called with each newer table, and whether this process
-            read it from the platform.
+          on_table: called with each newer table, and with the table in force
+            when it is read from the platform; its second argument is whether
+            this process read the table from the platform.
         """
         self._membership = membership
         self.plans = TablePlanner(membership=membership)
@@ -72,7 +73,11 @@
         return self._vm_list_failed or math.isinf(self.vm_list_as_of_s)
 
     def apply(self, table: EntryTable, *, from_platform: bool) -> None:
-        """Applies a table from the platform or a peer if it is newer."""
+        """Applies a table from the platform or a peer if it is newer.
+
+        A table of the epoch in force that is read from the platform is passed
+        on too, as confirmed by the platform.
+        """
         newer = self._membership.replace_table(
             table=table, now_s=time.monotonic()
         )
@@ -100,7 +105,7 @@
     def _plan_from_base(
         self, plan: Callable[[EntryTable], EntryTable | None]
     ) -> Callable[[EntryTable], EntryTable | None]:
-        """Wraps a plan so that it starts from the right base table."""
+        """Wraps a plan so that it starts from `TablePlanner.base_table`."""
 
         def planned(table: EntryTable) -> EntryTable | None:
             base = self.plans.base_table(table=table, now_s=time.monotonic())
@@ -121,7 +126,8 @@
         """Applies a change to the platform's table.
 
         Returns:
-          Whether the platform has the change; False if it does not respond.
+          Whether the platform responded; True also if the plan needs or
+          permits no change.
         """
         try:
             table = await self._store.change(plan=self._plan_from_base(plan))
@@ -131,7 +137,7 @@
         return True
 
     def update_watch(self) -> None:
-        """Starts or stops the watch on the table as this entry is elected."""
+        """Starts or stops the watch, as this entry is elected or not."""
         self._watcher.update()
 
     def stop(self) -> None:
--- a/almondstair/frontend.py
+++ b/almondstair/frontend.py
@@ -345,8 +345,9 @@
     def _on_caller_disconnect(self) -> None:
         """Cancels the call after its caller disconnected.
 
-        A request with an idempotency key that may have started is not
-        cancelled: its outcome is recorded and returned to the caller's repeat.
+        A request with an idempotency key that may have started is not cancelled
+        if its body is complete: its outcome is recorded and returned to the
+        caller's repeat.
         """
         self._response.caller_disconnected = True
         if self._call is None or self._task is None:
@@ -416,7 +417,7 @@
         self._write_problem(error)
 
     def _refuse(self, error: AlmondstairError) -> None:
-        """Sends an error instead of starting the call or of its response.
+        """Sends an error instead of starting the call or sending its response.
 
         A body that is still arriving is read and discarded for a while. Closing
         at once would reset the connection, and the caller would see the reset
--- a/almondstair/heartbeats.py
+++ b/almondstair/heartbeats.py
@@ -107,7 +107,7 @@
         self._timer.stop()
 
     def update_receivers(self, *, partners: Iterable[str] = ()) -> None:
-        """Recomputes the receivers; called with each new entry table.
+        """Recomputes the receivers for a new entry table or configuration.
 
         Args:
           partners: entries that are home or successor of an upstream together
@@ -136,7 +136,7 @@
                 del self.details[name]
 
     def send_now(self, *, finished: bool = False) -> None:
-        """Sends a heartbeat to group and partners now, e.g. when leaving.
+        """Sends heartbeats to near group and partners now, e.g. when leaving.
 
         Args:
           finished: reports, from now on, that this entry has released all its
@@ -234,13 +234,13 @@
         loads: dict[str, ServiceLoad] = {}
         _add_loads(loads, self._own_detail().loads, 0)
         for name in self._zone_names:
-            heard = self.details.get(name)
-            if heard is None:
+            reported = self.details.get(name)
+            if reported is None:
                 continue
             if self._membership.is_silent(name=name, now_s=now_s):
                 continue
-            age_ms = int((now_s - heard.received_s) * 1000)
-            _add_loads(loads, heard.detail.loads, age_ms)
+            age_ms = int((now_s - reported.received_s) * 1000)
+            _add_loads(loads, reported.detail.loads, age_ms)
         return tuple(loads.values())
 
     def receive(
--- a/almondstair/http_client.py
+++ b/almondstair/http_client.py
@@ -36,7 +36,8 @@
 RECEIVE_BUFFER_BYTES = 16 * 1024
 READ_CHUNK_BYTES = 16 * 1024
 STATUS_CONTINUE = 100
-# Estimated size of start line and headers, counted against a link's share.
+# Estimated size of start line and headers, counted against a link's share
+# together with a buffered body.
 HEAD_ESTIMATE_BYTES = 512
 _NO_LENGTH_METHODS = frozenset(("GET", "HEAD", "DELETE", "OPTIONS"))
 
@@ -53,11 +54,13 @@
 
     Attributes:
       COMPLETE: the response is complete.
-      NOT_SENT: nothing was written, because the peer was not reached.
+      NOT_SENT: nothing was written, because there was no connection.
       TOO_LATE: nothing was written, because the time or the slot ran out.
-      REFUSED: the peer refused the request without running it.
+      REFUSED: the response is a refusal and was not passed on: an upstream's,
+        without running the request, or an error of another entry.
       CONNECTION_LOST: the connection was lost before the head of a response.
-      TRUNCATED: the response was truncated, or has no framing for its end.
+      TRUNCATED: the response was truncated, or its framing cannot show whether
+        it was.
       SENDER_DISCONNECTED: the sender of the request's body disconnected.
       CANCELLED: the request was written too late and cancelled at once.
     """
@@ -120,7 +123,7 @@
         self.method = method
         self.sink = sink
         self.response: ResponseHead | None = None
-        self.refused = ""
+        self.refusal = ""
         self.complete = False
         self.framed = True
         self.response_bytes = 0
@@ -141,16 +144,16 @@
             return
         head = ResponseHead(start_line.code, start_line.reason, headers)
         self.response = head
-        self.refused = self.find_refusal(head)
+        self.refusal = self.find_refusal(head)
         # Without a length the body ends when the connection closes, which
         # cannot be distinguished from a crash: it is never complete.
         self.framed = response_is_framed(method=self.method, head=head)
-        if self.refused or not self.framed:
+        if self.refusal or not self.framed:
             return
         self.sink.receive_head(head)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        if self.refused or not self.framed:
+        if self.refusal or not self.framed:
             return None
         self.response_bytes += len(chunk)
         return self.sink.receive_data(chunk)
@@ -356,11 +359,11 @@
         self.request_written = False
         self.sender_disconnected = False
         self.reusable = False
-        self._pump: asyncio.Task[None] | None = None
+        self._body_writer: asyncio.Task[None] | None = None
 
     def close(self) -> None:
-        if self._pump is not None:
-            self._pump.cancel()
+        if self._body_writer is not None:
+            self._body_writer.cancel()
         self.connection.close()
 
     def _on_response_complete(self) -> None:
@@ -401,12 +404,12 @@
             self.request_written = True
             self.connection.finish()
         else:
-            self._pump = asyncio.ensure_future(
-                self._pump_body(pace, wait_for_continue)
+            self._body_writer = asyncio.ensure_future(
+                self._write_body(pace, wait_for_continue)
             )
         return await self._read(headers)
 
-    async def _pump_body(self, pace: Pace, wait_for_continue: bool) -> None:
+    async def _write_body(self, pace: Pace, wait_for_continue: bool) -> None:
         try:
             if wait_for_continue:
                 await self.delegate.continue_received.wait()
@@ -436,13 +439,13 @@
             stays_open = await self.connection.read_response(self.delegate)
         except (iostream.StreamClosedError, iostream.UnsatisfiableReadError):
             stays_open = False
-        if self._pump is not None and not self._pump.done():
-            self._pump.cancel()
+        if self._body_writer is not None and not self._body_writer.done():
+            self._body_writer.cancel()
         self.reusable = self._may_be_reused(stays_open)
         return Exchange(
             outcome=self._outcome(),
             head=self.delegate.response,
-            refusal=self.delegate.refused,
+            refusal=self.delegate.refusal,
             response_bytes=self.delegate.response_bytes,
             request_bytes=self.request_bytes,
         )
@@ -457,7 +460,7 @@
         return connection.lower() != "close"
 
     def _outcome(self) -> ExchangeOutcome:
-        if self.delegate.refused:
+        if self.delegate.refusal:
             return ExchangeOutcome.REFUSED
         if self.sender_disconnected:
             return ExchangeOutcome.SENDER_DISCONNECTED
--- a/almondstair/key_watcher.py
+++ b/almondstair/key_watcher.py
@@ -1,4 +1,4 @@
-"""Reader of one key of the platform that follows its changes."""
+"""Reads one key of the platform and follows its changes."""
 
 import asyncio
 from collections.abc import Callable
