--- a/almondstair/http_messages.py
+++ b/almondstair/http_messages.py
@@ -65,7 +65,8 @@
     second request. It shows as requests in an upstream's journal that no caller
     sent.
 
-    Also limits the size of the headers to `MAX_HEADER_BYTES`.
+    Accepts at most one Content-Length or one chunked Transfer-Encoding. Also
+    limits the size of the headers to `MAX_HEADER_BYTES`.
 
     Returns:
       The length of the body in bytes, None if it is chunked.
