--- a/features/http.feature
+++ b/features/http.feature
@@ -8,9 +8,8 @@
     Given an upstream in bkk, and an entry each in bkk and cnx
 
   Scenario Outline: A long body streams, byte for byte, in little memory
-    # Guards against an entry whose memory grows with the body until its VM runs
-    # out. A fast sender meets a slow reader behind the entry, and the entry
-    # read faster than it wrote and buffered the rest.
+    # Guards against an entry that reads from a fast sender faster than a slow
+    # reader takes it, buffers the rest, and runs its VM out of memory.
     When 64 MiB are sent to <entry> with <framing>
     Then the upstream got them byte for byte
     And a statement of 64 MiB through <entry> arrives byte for byte
@@ -24,9 +23,9 @@
       | cnx-e0 | chunks         |
 
   Scenario Outline: A slow reader does not fill the entry
-    # Guards against the same while the caller reads nothing for a while. A
-    # caller requests a long statement and pauses. Back-pressure ended at the
-    # caller's connection.
+    # Guards against the same when a caller requests a long statement and then
+    # reads nothing for a while, and back-pressure ends at the caller's
+    # connection.
     When a caller of <entry> pauses after the head of a 64 MiB statement
     Then no entry's resident memory grew by 16 MiB
 
@@ -45,9 +44,9 @@
       | cnx-e0 |
 
   Scenario Outline: A body that stops arriving does not hold its connection
-    # Guards against an entry that runs out of connections while it looks idle.
-    # Callers send a head and part of a small body, then nothing. The deadline
-    # counted only from the end of the body.
+    # Guards against an entry that looks idle but runs out of connections,
+    # because callers send a head and part of a small body and the deadline
+    # counts only from the end of the body.
     When <size> of 100 bytes of a body are sent to <entry> with 300 ms left
     Then the answer is a 504 and the connection is closed
     And no upstream has seen a request
@@ -71,9 +70,9 @@
       | bkk-e0 | 100-Continue |
 
   Scenario Outline: Answers without a body keep the connection in step
-    # Guards against the next response on a connection being taken for a body. A
-    # response that never has a body is followed by another. One side counted
-    # the stated length and the other did not.
+    # Guards against a response being read as the body of the one before it,
+    # because one side counts the stated length of a response that never has a
+    # body and the other does not.
     When "<method> /matching/orders/1?<query>" and a look-up go to <entry> on one connection
     Then the answers are <status> without a body and 200 with one
 
@@ -89,9 +88,9 @@
       | bkk-e0 | GET    | answer_bytes=0                 | 200    |
 
   Scenario Outline: A caller that leaves takes its work along
-    # Guards against upstreams that are fully used by requests whose responses
-    # nobody reads. A caller closes its connection while the upstream works, and
-    # the entry did not check its caller while it waited.
+    # Guards against upstreams without a free slot because the entry does not
+    # check its caller while it waits, so requests of callers that closed their
+    # connections run on.
     When a caller of <entry> leaves while the upstream works for 5000 ms
     Then the upstream's journal says "cancelled" within 2 s
     And every slot of the upstream is free within 2 s
@@ -122,8 +121,8 @@
       | cnx-e0 |
 
   Scenario Outline: Requests whose end is doubtful reach no upstream
-    # Guards against requests in a journal that no caller sent. An entry and an
-    # upstream find the end of a body at different places, because of two
+    # Guards against requests in a journal that no caller sent: the entry and
+    # the upstream find the end of a body at different places, because of two
     # lengths or a length that one of them cannot read.
     When <shape> is sent to <entry>
     Then the answer is a 400 and the connection is closed
@@ -176,10 +175,9 @@
     And no upstream has seen a request
 
   Scenario: Every slot is used right after an answer
-    # Guards against one of three slots staying idle under load. Responses
-    # report the upstream's load while more requests arrive. The report counts
-    # the answered request and was compared with the entry's own requests
-    # without it, so one seemed to belong to another entry.
+    # Guards against one of three slots staying idle when requests follow a
+    # response at once: the upstream's load report still counts the answered
+    # request, the entry no longer does, and it takes it for another entry's.
     Given quick work has opened every slot of the upstream
     When as many slow look-ups as it has slots come right after an answer
     Then all of them run at once
@@ -190,9 +188,9 @@
     Then the problem has a Retry-After
 
   Scenario Outline: An answer cut in the middle does not look whole
-    # Guards against a truncated statement taken for a complete one. The
-    # upstream's connection ends within its response, and the entry ended its
-    # own response normally.
+    # Guards against a truncated statement taken for a complete one, because the
+    # upstream's connection ends within its response and the entry ends its own
+    # response normally.
     Given the upstream cuts its next answer after 200000 bytes
     When a statement of 400000 bytes <framing> is read from <entry>
     Then the caller's connection ends without the end of the body
@@ -206,8 +204,8 @@
 
   Scenario Outline: An answer without a length is not called whole
     # Guards against a caller that takes the data before a crash for the
-    # complete response. An upstream responds without a length and closes; a
-    # normal end and a crash both close the connection.
+    # complete response: without a length, a normal end and a crash both only
+    # close the connection.
     Given the upstream answers without a length
     When "GET /raw/orders/1" goes to <entry> with headers "" and 0 bytes
     Then the problem is upstream_lost with 3001, status 502, ran "unknown"
--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -2,8 +2,9 @@
   Each component is a separate process: platform, upstreams, entries, callers.
 
   Scenario: Upstreams leave by the operator, by the VM list, by their own word
-    # Guards against a VM that is stopped after its drain and takes requests
-    # with it. One of the three sources was ignored or overruled by another.
+    # Guards against a VM that is stopped after its drain with requests in
+    # flight, because one of the three sources is ignored or overruled by
+    # another.
     Given a steady deployment of 2 entries and 4 upstreams in bkk
     And look-ups arrive at 40 a second
     When long work runs on upstream "bkk-u0", "bkk-u1" and "bkk-u2"
@@ -16,27 +17,25 @@
     And no look-up failed
 
   Scenario: A home starts while the VM list is out
-    # Guards against a leaving VM that gets new requests from a restarted entry.
-    # The VM list marks an upstream, then goes down; its home restarts and
-    # cannot read the mark. The missing list was taken for a list without marks.
+    # Guards against a leaving VM that gets new requests: the VM list marks an
+    # upstream and goes down, and the restarted home takes the missing list for
+    # a list without marks.
     Given a steady deployment of 2 entries and 1 upstreams in bkk
     When the VM list marks "bkk-u0" and goes out, and its home restarts
     Then requests through each entry are refused and "bkk-u0" starts no work
 
   Scenario: A duty does not come before the word on who leaves
-    # Guards against the same, in about one of ten runs. A peer's heartbeat and
-    # its home report arrive together, just before the restarted home has the
-    # table that lists both entries. The heartbeat, with the marks of the list,
-    # was ignored, and the report was applied.
+    # Guards against the same (about one run in ten): a peer's heartbeat with
+    # the marks of the list and its home report arrive just before the restarted
+    # home has the table that lists both, and only the report is applied.
     Given a home that has just started, without the VM list and the entry table
     When a peer's heartbeat and its report of duties come
     Then the duty was taken, with the peer's mark known before
 
   Scenario: A mark that only one entry has read outlives that entry
-    # Guards against the same, in about one of thirty runs. One entry reads the
-    # mark; the VM list goes down before another entry has read it; the first
-    # entry restarts. The other entry discarded the mark reported by the first
-    # one.
+    # Guards against the same (about one run in thirty): one entry reads the
+    # mark and restarts while the VM list is down, and another entry, which
+    # could not read it, discards the mark that the first one reported.
     Given a home that has just started, without the VM list and the entry table
     When a peer's heartbeat and its report of duties come
     And the VM list, read before that word, goes out, and the peer leaves
@@ -48,7 +47,7 @@
     Then the upstream takes its share of work here
 
   Scenario: Rolling restarts under load with callers that cache look-ups
-    # Guards against a planned stop that interrupts requests. Callers still use
+    # Guards against a planned stop that interrupts requests: callers still use
     # an entry that their cached lookup names, the entry ends before its
     # requests, or its upstreams stay idle.
     Given a steady deployment of 3 entries and 3 upstreams in bkk
@@ -59,9 +58,9 @@
 
   Scenario: A home gives its upstream away while claims are on their way
     # Guards against an approval that did not run but is answered 409, may have
-    # run. The home of an upstream claims keys and leaves; it refuses requests
-    # it has not dispatched, and they go to the next home at once. The refusal
-    # was sent before the release of the key was written.
+    # run: a leaving home that has not dispatched it refuses it before the
+    # release of its key is written, and the next home, which gets it at once,
+    # finds the key claimed.
     Given a steady deployment of 2 entries and 1 upstreams in bkk
     And the platform takes 200 ms for a call
     When approvals arrive every 60 ms for 3 s while the home of "bkk-u0" stops
@@ -77,11 +76,10 @@
     And "bkk-e0" ended with exit code 0 after them
 
   # Guards against an upload refused with no_slot although four of six slots are
-  # free. The upstreams have just started; a download that its caller reads
-  # slowly holds a slot of one, a long request a slot of the other. Slow start
-  # opens slots when responses arrive, and these two requests gave none. The
-  # signs are 1 and 2 usable slots of 3 at each refusal, and no refusal with a
-  # quick download.
+  # free: slow start opens slots when responses arrive, and on two upstreams
+  # that have just started, a slowly read download and a long request give none.
+  # The signs are 1 and 2 usable slots of 3 at each refusal, and no refusal with
+  # a quick download.
   Scenario: An upload comes while a download and long work hold cold upstreams
     Given a steady deployment of 2 entries and 2 upstreams in bkk
     When a slow upload, a slow download of 40 MB and long work run through "bkk-e0"
@@ -97,9 +95,9 @@
     Then the homes of "bkk-e0" are taken over within 10 s
 
   Scenario: An entry is killed and the VM list drops it
-    # Guards against upstreams of a dead entry that stay idle or get more
-    # requests than slots from its successor. The entry gets SIGKILL with
-    # requests in flight, and the VM list removes its VM later.
+    # Guards against upstreams that stay idle, or get more requests than slots
+    # from a new home, after their home is killed with requests in flight and
+    # the VM list drops its VM later.
     Given a steady deployment of 3 entries and 3 upstreams in bkk with short deadlines
     When the home of "bkk-u0" is killed with work running, and the VM list drops it
     Then "bkk-u0" takes work again within 12 s
--- a/features/ledger.feature
+++ b/features/ledger.feature
@@ -28,8 +28,8 @@
 
   Scenario: Two keys whose short hashes are equal
     # Guards against a caller that gets the response to another caller's
-    # request. Two keys hash to one store key in the service, and their requests
-    # are identical byte for byte. Only the request was compared, not the key.
+    # request, because two keys hash to one store key, the requests are
+    # identical byte for byte, and only the requests are compared.
     When entry A claims the key
     And the record is moved to the place of the key "other"
     And entry B claims the key "other"
@@ -49,8 +49,8 @@
     Then entry B is refused with outcome_unknown and ran yes
 
   Scenario: The claim takes effect and its answer is lost
-    # Guards against a key that stays claimed while its request never runs. The
-    # service applies the claim and its response is lost. A lost response was
+    # Guards against a key that stays claimed while its request never runs,
+    # because the service applies the claim, its response is lost, and that is
     # taken for a failed write.
     Given the service's next write is answer lost
     When entry A claims the key
@@ -64,11 +64,10 @@
     And the service was written to 2 times
 
   Scenario: A claim given up arrives after all
-    # Guards against a key that no entry holds but that is answered
-    # outcome_unknown on every repeat, although its request never ran. The claim
-    # is delayed, the service goes down before the read back, the caller is told
-    # "not run", the service comes back, and the claim arrives. The release
-    # found nothing to delete, and the claim came later.
+    # Guards against a key that no entry holds but every repeat finds
+    # outcome_unknown, although its request never ran: the service goes down
+    # before the read back of a delayed claim, the caller is told "not run", and
+    # the claim arrives after the release, which found nothing to delete.
     Given the service's next write is late
     And the service goes down after the next write
     When entry A claims the key
@@ -103,9 +102,8 @@
 
   Scenario: The service is out when the answer is there
     # Guards against a caller that waits for its response until the service is
-    # back, and against a repeated request that runs again. The order is claim,
-    # dispatch, service outage, response, repeat at the same entry, service
-    # back, repeat at another entry.
+    # back, and against a repeat that runs again, at the same entry during the
+    # outage or at another one after it.
     When entry A claims the key
     And entry A dispatches
     And the service goes down
@@ -127,17 +125,17 @@
     Then entry B gets the answer 201 "paid"
 
   Scenario: A service too slow to grant a lease
-    # Guards against a first claim of an hour that waits as long as the service
-    # takes. Only the write had a timeout.
+    # Guards against a first claim of an hour that waits for its new lease as
+    # long as the service takes, because only the write has a timeout.
     Given the service takes 1.0 s
     When entry A claims the key
     Then entry A is refused with claim_unavailable and ran no
     And the refusal took less than 0.5 s
 
   Scenario: A slow service
-    # Guards against a caller that waits as long as the service takes. The
-    # service takes a second for a write, an entry abandons a claim after 0.3 s,
-    # and the claim takes effect after that.
+    # Guards against a caller that waits as long as the service takes: a write
+    # takes a second, and the entry abandons the claim after 0.3 s, before it
+    # takes effect.
     When entry A claims the key "first"
     Given the service takes 1.0 s
     When entry A claims the key
@@ -149,10 +147,9 @@
     Then entry B holds the claim
 
   Scenario: A service that hangs
-    # Guards against used slots while nothing runs at the upstreams. The service
-    # hangs; each request holds a slot while it waits for its claim, and is
-    # refused late. Each claim detected separately that the service does not
-    # answer.
+    # Guards against slots in use while nothing runs at the upstreams: the
+    # service hangs, each request holds a slot while it waits for its claim, and
+    # is refused late because each claim detects the hang by itself.
     When entry A claims the key "first"
     Given the service takes 0.5 s
     When entry A claims 5 keys at once
@@ -190,7 +187,7 @@
 
   Scenario: The entry freezes between claim and dispatch
     # Guards against a request that runs long after its caller was told that it
-    # timed out. The deadline was not checked after the claim.
+    # timed out, because the deadline is not checked after the claim.
     When entry A claims the key with 100 ms left
     And 200 ms pass
     And entry A dispatches
@@ -211,9 +208,9 @@
 
   Scenario: A request that is sent on when its first entry gave it up
     # Guards against an approval that did not run but is answered 409, may have
-    # run. An entry claims the key, loses its upstream to a planned stop before
-    # it dispatches, and refuses. The request goes at once to another entry,
-    # which claims the key. The refusal was sent before the release was written.
+    # run: an entry that loses its upstream to a planned stop before the
+    # dispatch refuses it before the release of its key is written, and the next
+    # entry, which gets it at once, finds the key claimed.
     When entry A claims the key
     And entry A releases
     And entry B claims the key
--- a/features/membership.feature
+++ b/features/membership.feature
@@ -4,10 +4,9 @@
     Given entries "a, b, c" in the entry table, all heard
 
   Scenario: A silent entry takes no new work and keeps its row
-    # Guards against two entries that are home of the same upstream, which then
-    # gets more requests than slots. An entry freezes, its row is removed for
-    # its silence, another entry becomes home, and the frozen one wakes and
-    # continues. Silence was taken for death.
+    # Guards against two entries that are home of one upstream, which gets more
+    # requests than slots: a frozen entry's row is removed as silence is taken
+    # for death, another becomes home, and the frozen one wakes and continues.
     When "c" is not heard for 600 seconds
     Then the live entries are "a, b"
     And "a" plans no change
@@ -24,18 +23,17 @@
     Then "a" plans no change
 
   Scenario: A list that lags behind the registration drops nobody
-    # Guards against a new entry that is removed seconds after it registers. The
-    # VM list is some seconds old and does not contain its VM yet. Absence from
-    # an old list was taken for the end of the VM.
+    # Guards against a new entry that is removed seconds after it registers,
+    # because the VM list is some seconds old and does not contain its VM yet.
     Given entry "d" registers, and no heartbeat of it came yet
     When the VM list holds "a, b, c", 30 seconds old
     And the VM list holds "a, b, c", 29 seconds old
     Then "a" plans no change
 
   Scenario: An older replica of the list does not count
-    # Guards against a live entry that is removed. A new list contains its VM,
-    # and then two responses come from a replica of the list that lags further
-    # behind. Responses were applied in the order of arrival.
+    # Guards against a live entry that is removed because two responses of a
+    # replica of the list that lags behind arrive after a newer list with its
+    # VM, and are applied in the order of arrival.
     Given entry "d" registers
     When "d" is not heard for 60 seconds
     And the VM list holds "a, b, c, d", 1 second old
@@ -78,10 +76,9 @@
     Then "a" plans no change
 
   Scenario: Late frames of the old process do not drop the restarted one
-    # Guards against an entry that is removed right after its restart. It
-    # finishes leaving and starts again, and the last frame of the old process
-    # is read after the first frame of the new one. The frame read later was
-    # taken for the newer report.
+    # Guards against an entry that is removed right after its restart, because
+    # the last frame of the old process, which finished leaving, is read after
+    # the first frame of the new one and taken for the newer report.
     When "c" restarts and its last frame is read after the new first
     Then "a" plans no change
     And the live entries are "a, b, c"
@@ -92,12 +89,10 @@
     And "a" plans no change
 
   Scenario: What an entry said while it joined does not stand for ever
-    # Guards against entries that are never named in lookups of other
-    # availability zones, seen with 32 entries. While the table is small, an
-    # entry sends its first heartbeats to all entries, and they report that it
-    # accepts no work yet. The table grows, and later heartbeats go to its own
-    # zone only. Relayed digests, all that arrived from then on, did not update
-    # that report.
+    # Guards against entries that lookups of other availability zones never name
+    # (seen with 32 entries): an entry reports to all of a small table that it
+    # accepts no work yet, and when the table has grown, others hear of it by
+    # relayed digests only, which do not update that report.
     When "b" says that it is leaving
     And "b" is heard through digests only for 4 seconds
     Then the live entries are "a, c"
@@ -134,10 +129,9 @@
     Then the platform's table is "a, b, c, d" with epoch 2
 
   Scenario: A restarted process has no duty before its row is replaced
-    # Guards against an upstream that gets more requests than slots. An entry is
-    # killed with requests in flight; its next process finds its name in the
-    # table and acts as home with all slots free. The row of the killed process
-    # was taken for its own.
+    # Guards against an upstream that gets more requests than slots: an entry is
+    # killed with requests in flight, and its next process takes the old row in
+    # the table for its own and acts as home with all slots free.
     When "c" restarts and registers
     Then the entry table has epoch 2 and "a, b, c"
     And the table tells that work was lost under epoch 2
@@ -147,9 +141,9 @@
     Then the registration is refused
 
   Scenario: A platform rolled back does not bring an older table back
-    # Guards against home roles that return to an entry that handed them over.
-    # The platform is restored from a backup with a lower epoch, and entries
-    # applied any table it served.
+    # Guards against home roles that return to an entry that handed them over,
+    # because the platform is restored from a backup with a lower epoch and
+    # entries apply any table it serves.
     Given entry "d" registers
     When the platform serves the table "a, b, c" with epoch 1
     Then the entry table has epoch 2 and "a, b, c, d"
@@ -174,8 +168,8 @@
     And no entry has sent to more than 80 entries
 
   Scenario: In a zone of the target size relays keep every word fresh
-    # The entry's own turn comes every ten to fifteen seconds; relays must not
-    # let a live entry look silent in between.
+    # An entry sends to each other entry of its zone only every ten to fifteen
+    # seconds; relays must not let a live entry look silent in between.
     When 55 entries of one zone exchange heartbeats for 12 seconds
     Then no word on any entry is older than 3 seconds
     And no entry sent more than 1800 bytes a second
@@ -193,17 +187,16 @@
 
   Scenario: The mark of a request that crashes upstreams leaves the zone
     # Guards against a retry through an entry of another zone that crashes a
-    # third upstream. Two upstreams crash by the request in one zone of a large
-    # table. The marks stayed in the heartbeats of that zone, since far zones
-    # got digests only.
+    # third upstream: the request crashed two upstreams in one zone of a large
+    # table, and its marks stay there because far zones get digests only.
     Given 40 entries in 4 availability zones
     When one entry has marked a request and sends heartbeats for 3 seconds
     Then entries of all 4 availability zones have the mark
 
   Scenario: Entries talk over real sockets, and a dead peer costs nothing
-    # Guards against an entry that grows or stalls while a peer is dead. The
-    # peer's process is killed and sends to it continue. Sends waited for the
-    # dead connection, or queued up behind it.
+    # Guards against an entry that grows or stalls after a peer's process is
+    # killed, because sends to the peer wait for the dead connection or queue up
+    # behind it.
     Given two entries with real sockets
     When they hear each other within 2 seconds and one stops
     Then 2000 sends to it take less than 1 second and are counted as dropped
@@ -220,9 +213,9 @@
 
   Scenario: A platform that lost the table is not followed
     # Guards against running entries that lose their home roles to a new
-    # process. The platform is wiped, and a process registers in the empty
-    # table. Its change, based on the platform's rows, got the highest epoch: a
-    # change started from a table older than the one in force.
+    # process: it registers in the empty table of a wiped platform, and its
+    # change, based on that table and not on the one in force, gets the highest
+    # epoch.
     Then a change on the platform's table of epoch 0 starts from "a, b, c"
     When "c" is not heard for 5 seconds
     Then no change is made on the platform's table of epoch 0
--- a/features/observing.feature
+++ b/features/observing.feature
@@ -1,9 +1,8 @@
 Feature: What an entry does can be seen from outside
 
   Scenario: Each log event is on its page and is logged somewhere
-    # Guards against an event number that an operator does not find on the page.
-    # An event is added, or its last use is removed, and the page is not
-    # compared with the code.
+    # Guards against an event number that an operator does not find on the page,
+    # because an event was added or its last use removed in the code alone.
     Then the table of LOG-EVENTS.md has just the events of the code
     And no two events have one number
     And each event is logged somewhere
@@ -16,9 +15,8 @@
     Then the table of the gateway's metrics has just those of the code
 
   Scenario: Two entries log, count and trace what they do
-    # Guards against a trace that does not show which hop of a slow request was
-    # slow. A request goes through two entries to an upstream, and a hop started
-    # its own trace.
+    # Guards against a request through two entries whose trace does not show
+    # which hop was slow, because a hop started its own trace.
     Given a statsd listener
     And an upstream in bkk, an entry each in bkk and cnx that send it metrics
     When a caller sends an order with its own traceparent through cnx-e0
--- a/features/operating.feature
+++ b/features/operating.feature
@@ -5,8 +5,8 @@
     Given an operated deployment of two entries in bkk and one in cnx
 
   Scenario: Two operators race
-    # Guards against an operator's change that is lost without notice. Two
-    # operators read the same version and edit through two entries at once; the
+    # Guards against an operator's change that is lost without notice, because
+    # two operators edit the same version through two entries at once and the
     # later write overwrites the earlier one.
     When two operators edit profile local through two entries at once, 3 times
     Then each time one edit was accepted and one told edit_conflict
@@ -15,23 +15,21 @@
     And the history holds the winners alone, each as a version of its own
 
   Scenario: The answer to an edit is lost
-    # Guards against an edit that is applied twice because its operator is told
-    # of a failure and edits again. The platform applies the write, and its
-    # response never arrives.
+    # Guards against an edit that is applied twice, because the platform applies
+    # the write, its response never arrives, and the operator is told of a
+    # failure and edits again.
     When an operator edits while the platform loses 1 answer
     Then the edit is accepted
     And the history has the edit once
-    # Guards against an edit reported as undone that is in force later. The
-    # platform applies the write as before, but no entry can read back the
-    # outcome.
+    # Guards against an edit reported as undone that is in force later, because
+    # the platform applies the write but no entry can read back the outcome.
     When an operator edits and the platform goes out after the lost answer
     Then the edit is told as edit_unknown, also when asked by its id
     When the platform answers again
     Then the edit asked by its id through every entry becomes accepted
     And the history has the edit once
-    # Guards against an edit reported as surely undone while its write is in
-    # flight. The call is lost, and it could still arrive until another edit
-    # replaces its base.
+    # Guards against an edit reported as certainly undone while its write, which
+    # seems lost, could still arrive until another edit replaces its base.
     When an operator edits and the platform goes out after the lost call
     Then the edit is told as edit_unknown, also when asked by its id
     When the platform answers again
@@ -41,7 +39,8 @@
 
   Scenario: One entry is frozen
     # Guards against an edit reported as accepted while an entry uses the old
-    # configuration. The content of the platform was taken for what is in force.
+    # configuration, because what the platform holds is taken for what is in
+    # force.
     When an operator edits while entry "bkk-e1" is frozen
     Then the edit is told as edit_pending, lacking "bkk-e1"
     When the frozen entry goes on
@@ -50,11 +49,10 @@
 
   Scenario Outline: The platform loses what it held
     # Guards against an accepted edit that is undone without an operator, and
-    # against entries that lose home roles to a starting one, so that an
-    # upstream gets more requests than slots. The platform comes back without
-    # its latest data, and an entry restarts. The epoch of the platform's entry
-    # table is below the one in force. Entries followed the platform, and the
-    # registering entry overwrote the lost rows.
+    # against entries that lose home roles to a restarted one, so that an
+    # upstream gets more requests than slots: the platform comes back without
+    # its latest data, its entry table has a lower epoch than the one in force,
+    # and entries follow it while the restarted one overwrites the lost rows.
     When an edit is accepted
     And the platform is <loss>, and entry "bkk-e1" is killed and started
     Then the edit stays in force on every entry for 2 s
--- a/features/operations.feature
+++ b/features/operations.feature
@@ -3,16 +3,16 @@
   Background:
     Given two regions with an entry and two upstreams each
 
-  # Guards against every upstream without traffic being shown as unknown. The
-  # upstream reports `draining` as 0 or 1, and a parser that accepts only true
-  # and false discarded the report.
+  # Guards against upstreams without traffic shown as unknown, because they
+  # report `draining` as 0 or 1 and a parser that accepts only true and false
+  # discards the report.
   Scenario: The status shows the reports of upstreams without traffic
     Then within 5 s the status has a report of every upstream
     And the status has an answer of every entry
 
-  # Guards against a VM that the platform lists as leaving but that still gets
-  # requests. The list is requested under a wrong path and never answers,
-  # because the URL in the settings already ended in the path that the entry
+  # Guards against a VM that the platform lists as leaving but still gets
+  # requests: the list is requested under a wrong path and never answers,
+  # because the URL in the settings already ends in the path that the entry
   # appends.
   Scenario: A VM that leaves by the platform's list is shown as leaving
     When the platform's list says that upstream "r1-u0" leaves
@@ -33,8 +33,8 @@
     Then the exit code is 0
     And the output says "r1-u0 takes work again"
 
-  # Guards against a lost region that an operator takes for an idle one. Its
-  # entry is frozen and sends nothing. Silence was taken for low load.
+  # Guards against a lost region that an operator takes for an idle one, because
+  # its frozen entry sends nothing and silence is shown as low load.
   Scenario: A frozen entry is said not to answer
     When entry "r2-e0" is frozen
     And the operator of "r1-e0" runs `status`
--- a/features/overload.feature
+++ b/features/overload.feature
@@ -5,8 +5,8 @@
     Given three entries and two upstreams with 60 look-ups/s of capacity
 
   # Guards against a system that answers fewer requests at twice its capacity
-  # than at its capacity. Requests are refused or fail, the entries retry each
-  # of them, and the upstreams are busy with retries. Retries had no limit.
+  # than at its capacity, because entries retry refused and failed requests
+  # without a limit and keep the upstreams busy with retries.
   Scenario: Twice the load that all slots can serve
     When 120 requests/s come for 5 s, a third of them batch
     Then the upstreams saw at most 1.1 times the requests that came
--- a/features/pages.feature
+++ b/features/pages.feature
@@ -1,7 +1,7 @@
 Feature: The pages agree with the code
 
-  # Guards against a key on the page that the daemon refuses. A key, default or
-  # limit changes only in the code, and the page is not compared with the code.
+  # Guards against a key on the page that the daemon refuses, because a key,
+  # default or limit changed in the code alone.
   Scenario Outline: Each key, type, unit, default and range is on the page
     Then the table "<heading>" of SETTINGS.md has just the keys of the <part>
 
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -31,14 +31,14 @@
 
   Scenario: More calls than places
     # Guards against claims that never left the process but are answered
-    # "unknown". The service hangs, calls use every connection, and another one
-    # waits for a connection until its timeout. The HTTP client reports that
-    # like a call that was sent.
+    # "unknown": the service hangs, calls take every slot, and the timeout of
+    # one more that waits for a slot is reported like that of a call that was
+    # sent.
     When 32 writes hang and one more waits
     Then the one more failed as unavailable
 
   Scenario: A watch goes on after an outage
-    # Guards against changes during an outage that are never seen.
+    # Guards against changes during an outage that a watch never reports.
     When a watch runs over "a/"
     And "a/1" is written
     And the platform is out for 500 ms, and "a/2" was written meanwhile
@@ -46,8 +46,8 @@
     Then the watch saw a/1, a/2 and the deletion of a/1, each once
 
   Scenario: Changes forgotten by the service
-    # Guards against a watcher that keeps old values for good. Its watch starts
-    # from revisions that the service has dropped.
+    # Guards against a watcher that keeps old values for good because its watch
+    # starts from revisions that the service has dropped.
     When a watch meets a service that dropped what it asks for
     Then the watch tells a gap and goes on
 
@@ -56,9 +56,9 @@
     Then the adapter lists both with the age of the list
 
   Scenario: A cancelled watch is closed
-    # Guards against watches at the platform that nobody reads. An entry hands
-    # its watch over to another one and cancels its own. The cancellation
-    # stopped reading but left the connection open.
+    # Guards against watches at the platform that nobody reads, because an entry
+    # that hands its watch over to another one stops reading its own but leaves
+    # the connection open.
     When a watch runs over "a/"
     Then the platform counts 1 watch
     When the watch is cancelled
--- a/features/retries.feature
+++ b/features/retries.feature
@@ -3,8 +3,8 @@
 
   Scenario: Retries at twice the capacity
     # Guards against an overload that outlasts its cause, with more retries than
-    # first attempts. Half of the first attempts are refused, and so are
-    # retries. Each refusal was answered with a retry.
+    # first attempts, because each refusal is answered with a retry while half
+    # of the first attempts are refused, and retries too.
     Given a retry budget of 0.1
     When for 60 s 200 first tries a second come and each refused one is retried
     Then retries are at most 0.1 of first tries
@@ -23,9 +23,9 @@
 
   Scenario: The first request after a start may be tried again
     # Guards against an approval that did not run and is refused while another
-    # region is idle, in about one of ten runs. An entry starts; its first
-    # request goes to an entry that has just died, which nobody knows yet. The
-    # retry budget started empty and earns a token after ten requests.
+    # region is idle (about one run in ten): an entry's first request after its
+    # start goes to an entry that has just died, which nobody knows yet, and the
+    # retry budget starts empty and earns a token only after ten requests.
     Given a retry budget of 0.1
     When one first try comes and is refused
     Then it may be retried once, and not twice
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -16,9 +16,9 @@
   Scenario: Every entry of the examples is valid and has its own addresses
     Then every entry of both examples loads with addresses of its own
 
-  # Guards against an entry that runs with unintended settings. A key is
-  # misspelt, or a value has the wrong type or unit, and the default was used
-  # instead because the parser ignored unknown keys.
+  # Guards against an entry that runs with unintended settings because the
+  # parser ignores a misspelt key or a value of the wrong type or unit and uses
+  # the default.
   Scenario Outline: A fault in the settings file names file, key and remedy
     Given a copy of the example "tallow-brae"
     And in file entry-scot-east-1a.toml <old> becomes <new>
@@ -85,9 +85,9 @@
       | [marks]                      | [services.v1]~profile = "local"~classes = []~[marks] | services.v1     | another name            |
       | [regions.scot-east]          | [region.scot-east]           | region                                  | write regions           |
 
-  # Guards against an upstream whose connections are used as its slots. A table
-  # is written as an array, and a field is inserted later. Arrays were accepted
-  # as tables by the order of their items.
+  # Guards against an upstream whose connections are used as its slots, because
+  # arrays are accepted as tables by the order of their items and a field is
+  # inserted later.
   Scenario: An array in place of a table is refused
     Given a copy of the example "tallow-brae"
     And the deployment file reads
@@ -110,8 +110,8 @@
       | deployment.toml | services.matching.classes[0] |
       | deployment.toml | upstreams.odd                |
 
-  # Guards against an operator who needs five rounds to correct a file, because
-  # each check stopped at the first error.
+  # Guards against an operator who needs five rounds to correct a file because
+  # each check stops at the first error.
   Scenario: Every fault of both files is listed at once
     Given a copy of the example "tallow-brae"
     And in file entry-scot-east-1a.toml [platform] becomes [platform]~timeout = 500
--- a/features/silence.feature
+++ b/features/silence.feature
@@ -3,9 +3,8 @@
   behaviour.
 
   # Guards against an upstream that answers every request with an error and gets
-  # more and more of them. It fails at once, so its slots are always free, its
-  # load report says idle, and its health endpoint reports well. Free slots
-  # outweighed responses.
+  # more and more of them: it fails at once, and its free slots, idle load
+  # report and good health endpoint outweigh its responses.
   Scenario: Answers fail at once while health says well
     Given a region with an entry and three upstreams
     When look-ups come for 2 s
@@ -13,9 +12,9 @@
     And look-ups come for 4 s
     Then the share of "r1-u0" fell below half of what it was
 
-  # Guards against a slow upstream that keeps its share of requests. Its load
-  # report stops, stays at idle, or always says idle. Silence was taken for low
-  # load, or a claim for a measurement.
+  # Guards against a slow upstream that keeps its share of requests while its
+  # load report stops, stays at idle or always says idle, because silence is
+  # taken for low load or a claim for a measurement.
   Scenario: Load reports stop, freeze and lie while answers get slow
     Given a region with an entry and four upstreams
     When look-ups come for 2 s
@@ -26,9 +25,8 @@
     Then the shares of "r1-u0, r1-u1, r1-u2" are below 0.6 of a fair share
     And no upstream of the deployment exceeded its slots
 
-  # Guards against callers that wait for a region that is down. All entries of
-  # the region freeze, and their last reports said idle. The last report of a
-  # silent entry was taken for its state.
+  # Guards against callers that wait for a region whose entries are all frozen,
+  # because their last reports, which said idle, are taken for their state.
   Scenario: The entries of a region fall silent
     Given two regions, spread, with an entry and two upstreams each
     When look-ups come to "r1-e0" for 2 s
@@ -39,9 +37,9 @@
     And no upstream of the deployment exceeded its slots
     And no caller waited for a silent entry, and refusals say when to come back
 
-  # Guards against errors in a third of all responses while other regions work.
-  # Each upstream of a region fails quickly, so the region looks least loaded.
-  # Complete responses were counted as successful ones.
+  # Guards against errors in a third of all responses while other regions work:
+  # each upstream of a region fails quickly, its complete responses count as
+  # successful ones, and the region looks least loaded.
   Scenario: All answers of a region fail while it reports idle
     Given two regions, spread, with an entry and two upstreams each
     When look-ups come to "r1-e0" for 2 s
--- a/features/slots.feature
+++ b/features/slots.feature
@@ -16,9 +16,8 @@
 
   Scenario: The home of an upstream is killed with work in flight
     # Guards against an upstream that runs more requests than slots just after a
-    # VM has died. The home is killed, and its requests continue at the
-    # upstream, which sees no closed connection. The new home starts from an
-    # empty count. Slots of a dead home were counted as free.
+    # VM died: requests of the killed home continue, since the upstream sees no
+    # closed connection, while the new home counts their slots as free.
     Given a region with callers above its slots
     When the home of bkk-u0 is killed while bkk-u0 does not notice
     And the VM list says that it is gone
@@ -28,10 +27,9 @@
     And no upstream and no region had more in flight than its slots
 
   Scenario: The home of an upstream is killed and starts again at once
-    # Guards against the same while no VM is gone. The process dies, and its
-    # successor of the same name holds every slot back. An entry that was home
-    # before the dead process reports nothing, and that report was taken for one
-    # on the dead process's requests.
+    # Guards against the same while no VM is gone: the home's next process holds
+    # every slot back, but an entry that was home before it has nothing to
+    # report, and that is taken for a report on the dead process's requests.
     Given a region with callers above its slots
     When the home of bkk-u0 is killed while bkk-u0 does not notice
     And it starts again
@@ -59,9 +57,8 @@
 
   Scenario: The home of an upstream is frozen and wakes up
     # Guards against an upstream that runs one request more than its slots when
-    # a VM wakes up. The home is frozen and its successor uses the reserve; the
-    # home wakes up with its old state and uses the reserve as well. The home
-    # did not check the age of its successor's report.
+    # a VM wakes up: its frozen home's successor uses the reserve, and the home
+    # wakes and uses it too, without checking the age of the successor's report.
     Given a region with callers above its slots and long work
     When the home of bkk-u0 is frozen with work in flight for 5.5 s
     Then its successor served short work of bkk-u0 meanwhile
@@ -69,9 +66,9 @@
     And no upstream and no region had more in flight than its slots
 
   Scenario Outline: Entries that do not hear each other
-    # Guards against the same while every process is healthy. Messages are lost
-    # <way>, and both entries count on the reserve. Silence was taken for death,
-    # or a report was not acknowledged.
+    # Guards against the same while every process is healthy: messages are lost
+    # <way>, and both entries count on the reserve because silence is taken for
+    # death or a report is not acknowledged.
     Given a region with callers above its slots and long work
     When the home of bkk-u0 is cut off from the others <way> for 5.5 s
     Then every slot of bkk-u0 is used again within 6 s
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -21,9 +21,9 @@
     Then two plans of seed 7 are equal, and seed 8's differs
 
   Scenario: A pause of the soak's own loop is noted
-    # Guards against gateways that look broken on a busy host. The event loop
-    # gets no processor time, and calls through its proxies time out. That could
-    # not be distinguished from a failing gateway.
+    # Guards against gateways that look broken because the soak's event loop
+    # gets no processor time on a busy host and calls through its proxies time
+    # out.
     When the soak's own loop stands still for 0.3 s
     Then a pause of at least 0.25 s was noted
 
--- a/features/standins.feature
+++ b/features/standins.feature
@@ -25,9 +25,9 @@
     And "claims/k1" is absent
 
   Scenario: A write takes effect while its answer is lost
-    # Covers a write whose outcome the writer cannot know. The write is applied,
-    # then the connection closes without a response, because the platform or the
-    # path to it fails between the two.
+    # Covers a write whose outcome the writer cannot know: it is applied, then
+    # the connection closes without a response, because the platform or the path
+    # to it fails between the two.
     Given a platform
     And the platform's fault "lose_answers" is 1
     When "mine" is created at "claims/k1"
@@ -35,9 +35,9 @@
     And "claims/k1" holds "mine" at version 1
 
   Scenario: A write is lost before it takes effect
-    # Covers the same closed connection when nothing is applied. The connection
-    # closes before the write takes effect; the writer cannot distinguish this
-    # from a lost response, so it must ask.
+    # Covers the same closed connection when the write is not applied: the
+    # writer cannot distinguish this from a lost response, so it must read the
+    # key.
     Given a platform
     And the platform's fault "lose_calls" is 1
     When "mine" is created at "claims/k1"
@@ -45,8 +45,8 @@
     And "claims/k1" is absent
 
   Scenario: A lease lapses and a watch tells of it
-    # Covers a holder whose key is gone. It is granted a lease of one second and
-    # does not renew it, as in a pause longer than the lease.
+    # Covers a holder that finds its key gone because it does not renew a lease
+    # of one second, as in a pause longer than the lease.
     Given a platform
     And a watch on "members/" from the first revision
     When "a" is put at "members/a" under a lease of 1 s
@@ -55,8 +55,8 @@
     And the platform counts 1 waiting watch
 
   Scenario: An outage closes calls and waiting watches
-    # Covers an outage of the service, in which nothing of the platform answers.
-    # A watch waits; the platform goes down; it comes back.
+    # Covers an outage of the service: nothing of the platform answers, and a
+    # waiting watch ends.
     Given a platform
     And a watch on "members/" from the first revision
     When the platform's fault "down" is true
@@ -88,9 +88,8 @@
     And the running request is answered 200
 
   Scenario: A caller that leaves frees the slot
-    # Covers slots that stay in use although nobody waits for the work. A caller
-    # closes its connection 200 ms into 5 s of work, and an upstream could miss
-    # the closed connection.
+    # Covers a caller that closes its connection 200 ms into 5 s of work: an
+    # upstream that misses it would keep a slot in use that nobody waits for.
     Given an upstream with 1 slots
     When a caller leaves after 200 ms of 5000 ms
     Then the journal's last run is "cancelled" after at most 1 s
@@ -103,8 +102,8 @@
     And the journal's last run is "deadline" after at most 1 s
 
   Scenario: A marked request stops the upstream
-    # Covers an upstream that ends and closes the connection without a response.
-    # It runs one well-formed request whose content causes the crash.
+    # Covers an upstream that ends and closes the connection without a response,
+    # because the content of one well-formed request crashes it.
     Given an upstream with 1 slots
     When a request marked as crashing is sent
     Then the call got no answer
@@ -136,9 +135,9 @@
     Then the caller recorded 1 answer of unknown outcome after 1 attempt
 
   Scenario: A caller goes on to the next entry when one refuses connections
-    # Covers an entry in the caller's cached lookup that accepts no connection.
-    # The entry's process ends, and the caller sends its next request. A cached
-    # lookup outlives the entry that it names.
+    # Covers a cached lookup that outlives an entry that it names: the entry's
+    # process has ended and accepts no connection when the caller sends its next
+    # request.
     Given an upstream with 20 slots
     And an entry that takes no connections comes first
     When a caller sends 10 requests straight to it
--- a/features/steering.feature
+++ b/features/steering.feature
@@ -28,9 +28,9 @@
     Then the weight of "home" is 0.33
 
   Scenario: A shift lands on cold caches
-    # Guards against a receiving region that slows down after a large shift,
-    # when its capacity is needed. The own region fills up and all requests move
-    # at once. The growth of a weight had no limit.
+    # Guards against a receiving region that slows down just when its capacity
+    # is needed, because the own region fills up, all requests move at once, and
+    # the growth of a weight has no limit.
     When all regions report 15 free slots for 5 s
     And for 20 s the free slots are home 0, near 20, far 20
     Then no weight grew by more than 0.1 in any second
@@ -43,19 +43,19 @@
     And batch work goes to "near" first
 
   Scenario: Low priority does not jump to a cold region
-    # Guards against all overnight work starting in the next region at the same
-    # moment after one report of a full region. The own region has no slot for
-    # batch work, and the others have no weight yet. A fallback was used as the
-    # initial target.
+    # Guards against all overnight work starting in the next region at once
+    # after one report of a full region: the own region has no slot for batch
+    # work, the others have no weight yet, and a fallback is used as the initial
+    # target.
     When all regions report 15 free slots for 5 s
     And one report gives the free slots home 5, near 20, far 20
     Then at most 0.03 of batch work goes to "near", the rest to "home" alone
     And interactive work goes to "home" first
 
   Scenario: Load reports stop
-    # Guards against a silent region that gets as many requests as before, or
-    # more. Reports from "home" stop while its last one said it was idle. An old
-    # report was read as a fresh one.
+    # Guards against a silent region ("home") that gets as many requests as
+    # before, or more, because its last report, which said idle, is read as a
+    # fresh one.
     When all regions report 20 free slots for 5 s
     And only near and far report 20 free slots for 60 s
     Then the weight of "home" never grew after the limit
@@ -76,9 +76,8 @@
     And the weight of "near" is 0.50
 
   Scenario: Reports frozen at idle while answers fail
-    # Guards against requests to an upstream that fails all of them while its
-    # load endpoint says idle and its health endpoint reports well. These claims
-    # outweighed the responses.
+    # Guards against requests to a region that fails all of them, because its
+    # idle load reports and good health outweigh its responses.
     When all regions report 20 free slots for 5 s
     And all regions report 20 free slots for 10 s while "home" fails requests
     Then the weight of "home" never grew
@@ -118,9 +117,8 @@
     And the weight of "home" is 1.00
 
   Scenario: A region is lost
-    # Guards against requests that go to a region without live entries, or that
-    # all fall on a neighbour without capacity. Every entry of "home" falls
-    # silent; "near" has few slots left.
+    # Guards against requests that go to a region whose entries are all silent
+    # ("home"), or that all go to a neighbour with few slots left ("near").
     When all regions report 15 free slots for 5 s
     And one report gives the free slots home 15, near 4, far 20
     And the region "home" is lost
@@ -129,10 +127,9 @@
     And interactive work goes to "near" first
 
   Scenario: A process starts and hears the far region first
-    # Guards against callers served from far away for seconds after each start.
-    # "home" has no slots until its home roles are assigned, and "near" has
-    # slots already; then "home" has them too. The region heard first got all
-    # requests and kept them because of the ramp.
+    # Guards against callers served from far away for seconds after each start:
+    # "near" has slots before the home roles of "home" are assigned, and the
+    # region heard first gets all requests and keeps them because of the ramp.
     When "home" reports that it has no slots
     And only near and far report 20 free slots for 1 s
     Then the weight of "near" is 1.00
@@ -154,8 +151,8 @@
     Then the weight of "near" is 0.00
 
   Scenario: Every request between two reports does not see the same slot
-    # Guards against bursts above the slots of a region at each of its reports.
-    # Requests sent since the last report were not counted.
+    # Guards against bursts above the slots of a region at each of its reports,
+    # because requests sent since the last report are not counted.
     When one report gives the free slots home 5, near 0, far 0
     Then upload work goes to "home" first
     When 3 requests are sent to "home"
@@ -163,8 +160,8 @@
 
   Scenario: A digest that takes long over its relays counts for its own limit
     # Guards against a large fleet in which no excess work ever reaches a far
-    # region. The load of a far zone arrives by digests 5 s old, older than the
-    # limit for reports of the entries nearby. One limit was used for both.
+    # region: its load arrives by digests 5 s old, older than the limit for
+    # reports of the entries nearby, and one limit is used for both.
     When for 30 s a digest 5 s old with a limit of 15 s gives "near" 15 free
     And for 30 s the same digest comes while "home" reports 0 free
     Then the weight of "near" is 1.00
--- a/features/steps/gateway_waiting_steps.py
+++ b/features/steps/gateway_waiting_steps.py
@@ -1,4 +1,4 @@
-"""Steps for waits at the entry: a mixed load in virtual time, and processes."""
+"""Steps for requests that wait at an entry, simulated and with processes."""
 
 import json
 from pathlib import Path
@@ -51,8 +51,8 @@
 
 @then("{share:g} of the {name} requests are answered in their aim")
 def step_in_aim(context, share, name):
-    found = context.found[name]
-    assert found.in_target >= share * found.asked, context.found
+    outcome = context.found[name]
+    assert outcome.in_target >= share * outcome.asked, context.found
 
 
 @then("what is answered in its aim takes {share:g} of the slots")
@@ -69,18 +69,18 @@
     "{looks:d} times a second"
 )
 def step_bounded(context, count, most_bytes, looks):
-    waits = EntryQueue()
+    queue = EntryQueue()
     waiting = []
-    while waits.has_capacity(body_bytes=0):
-        waiting.append(waits.hold_waiting(body_bytes=0))
+    while queue.has_capacity(body_bytes=0):
+        waiting.append(queue.hold_waiting(body_bytes=0))
         waiting[-1].__enter__()
-        assert len(waiting) / waits.attempt_interval_s <= looks, len(waiting)
+        assert len(waiting) / queue.attempt_interval_s <= looks, len(waiting)
     assert len(waiting) == count
     for request in waiting:
         request.__exit__(None, None, None)
-    with waits.hold_waiting(body_bytes=most_bytes):
-        assert not waits.has_capacity(body_bytes=1)
-    assert waits.has_capacity(body_bytes=most_bytes)
+    with queue.hold_waiting(body_bytes=most_bytes):
+        assert not queue.has_capacity(body_bytes=1)
+    assert queue.has_capacity(body_bytes=most_bytes)
 
 
 @then(
@@ -88,19 +88,19 @@
     "timely"
 )
 def step_hopeless(context, most_s):
-    def should_wait(aim_s, age_s, run_s):
+    def should_wait(target_s, age_s, run_s):
         return entry_waits.should_wait(
-            target_latency_s=aim_s,
+            target_latency_s=target_s,
             shortest_target_s=0.25,
             age_s=age_s,
             run_s=run_s,
         )
 
-    assert should_wait(aim_s=30.0, age_s=most_s - 0.1, run_s=1.0)
-    assert not should_wait(aim_s=30.0, age_s=most_s, run_s=1.0)
-    assert should_wait(aim_s=1.0, age_s=0.4, run_s=0.5)
-    assert not should_wait(aim_s=1.0, age_s=0.6, run_s=0.5)
-    assert not should_wait(aim_s=0.4, age_s=0.0, run_s=0.1)
+    assert should_wait(target_s=30.0, age_s=most_s - 0.1, run_s=1.0)
+    assert not should_wait(target_s=30.0, age_s=most_s, run_s=1.0)
+    assert should_wait(target_s=1.0, age_s=0.4, run_s=0.5)
+    assert not should_wait(target_s=1.0, age_s=0.6, run_s=0.5)
+    assert not should_wait(target_s=0.4, age_s=0.0, run_s=0.1)
 
 
 @given(
--- a/features/steps/heartbeat_steps.py
+++ b/features/steps/heartbeat_steps.py
@@ -47,7 +47,7 @@
 @when("heartbeats are sent for {seconds:d} seconds")
 def step_sent(context, seconds):
     context.sent = []
-    # At the target size, every twentieth entry represents the others.
+    # At the target size, about 40 entries represent all.
     for own in context.entry_table.entries[
         :: max(1, len(context.entry_table.entries) // 40)
     ]:
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -77,7 +77,7 @@
 @given("look-ups arrive at {rate:d} a second")
 def step_look_ups(context, rate):
     context.rate = rate
-    # More requests than a scenario needs; it stops the callers itself.
+    # More requests than a scenario needs; a later step stops the callers.
     context.load = start_load(
         context.deployment, rate=rate, count=rate * 60, classes=[LOOK_UP]
     )
@@ -325,16 +325,16 @@
     deployment = context.deployment
     home = deployment.home_of(name, asked="bkk-e0")
     (other,) = set(deployment.entries) - {home}
-    sendings = RequestSender(deployment=deployment)
+    sender = RequestSender(deployment=deployment)
     stopping = threading.Thread(
         target=context.processes.children[home].terminate
     )
     for number in range(length_s * 1000 // gap_ms):
-        sendings.approve(entry=other, key=f"leaving-{number}")
+        sender.approve(entry=other, key=f"leaving-{number}")
         if number == 3:
             stopping.start()
         time.sleep(gap_ms / 1000)
-    context.responses = [sending.wait() for sending in sendings.all]
+    context.responses = [request.wait() for request in sender.all]
     stopping.join()
 
 
@@ -370,8 +370,9 @@
     del name
     assert context.codes == [0], context.codes
     for work in context.works:
+        # Not compared with the end of the stop: a caller may read the last
+        # bytes from its own buffer after it.
         assert work.end_s > context.stop_s, "the work ended before the stop"
-        # The last bytes may still be in the caller's own buffer.
 
 
 @when('the platform goes out and "{name}" is stopped')
--- a/features/steps/links_path_steps.py
+++ b/features/steps/links_path_steps.py
@@ -40,7 +40,8 @@
         path=f"/matching/statements/1?answer_bytes={BODY_BYTES}",
         deadline_ms=LONG_MS,
     ),
-    # Interactive, as the upload class has priority on a full link.
+    # Interactive: on a full link, uploads have priority over statements, which
+    # are batch work.
     "look-ups": LoadRequest(
         path=f"/matching/orders/1?answer_bytes={BODY_BYTES // 2}"
     ),
@@ -120,7 +121,7 @@
     context.add_cleanup(deployment.mark, "bkk-e0", "cnx-u0", leaving=False)
 
 
-def _add(context, entry, *load_names, callers=CALLERS):
+def _add_callers(context, entry, *load_names, callers=CALLERS):
     for load_name in load_names:
         context.load.add(
             entry=entry,
@@ -152,12 +153,12 @@
     return dict(context.load.read_bytes.get(upstream, {}))
 
 
-def _ends(context):
+def _count_outcomes(context):
     """Returns the number of requests by status and kind of problem."""
-    ends = Counter()
+    outcomes = Counter()
     for record in context.load.records:
-        ends[(record.status, record.problem.get("kind"))] += 1
-    return ends
+        outcomes[(record.status, record.problem.get("kind"))] += 1
+    return outcomes
 
 
 def _moved_bytes(bins, *, since_bin):
@@ -171,7 +172,7 @@
 @when("callers of bkk-e0 keep {way} under way for {seconds:g} s")
 @given("callers of bkk-e0 keep {way} under way for {seconds:g} s")
 def step_one_busy(context, way, seconds):
-    _add(context, "bkk-e0", way)
+    _add_callers(context, "bkk-e0", way)
     time.sleep(SETTLE_S)
     context.since_s = time.monotonic()
     time.sleep(seconds)
@@ -196,8 +197,8 @@
 @given("callers of bkk-e0 and bkk-e1 keep both ways busy")
 def step_both_busy(context):
     for entry in ("bkk-e0", "bkk-e1"):
-        _add(context, entry, "uploads")
-        _add(context, entry, "look-ups", callers=FEW_CALLERS)
+        _add_callers(context, entry, "uploads")
+        _add_callers(context, entry, "look-ups", callers=FEW_CALLERS)
     time.sleep(SETTLE_S)
 
 
@@ -229,8 +230,8 @@
 @when("the traffic has gone to cnx for {seconds:g} s")
 def step_gone(context, seconds):
     # Callers of a frozen entry wait for it, so new ones are added.
-    _add(context, "bkk-e0", "uploads")
-    _add(context, "bkk-e0", "look-ups", callers=FEW_CALLERS)
+    _add_callers(context, "bkk-e0", "uploads")
+    _add_callers(context, "bkk-e0", "look-ups", callers=FEW_CALLERS)
     context.since_s = time.monotonic()
     time.sleep(seconds)
 
@@ -239,7 +240,7 @@
 def step_frozen_loan(context, who, seconds):
     child = context.deployment.processes.children[who]
     child.freeze()
-    _add(context, "bkk-e1", "uploads")
+    _add_callers(context, "bkk-e1", "uploads")
     time.sleep(seconds)
     child.thaw()
     time.sleep(2.0)
@@ -299,12 +300,12 @@
     refused = context.load.refused(kind="link_full")
     # Slow start may allow fewer uploads than the link does.
     no_slot = context.load.refused(kind="no_slot")
-    ends = _ends(context)
-    print(ends)
-    assert done, ends
-    assert refused, ends
-    others = len(context.load.records) - len(done) - len(refused)
-    assert others == len(no_slot), ends
+    outcomes = _count_outcomes(context)
+    print(outcomes)
+    assert done, outcomes
+    assert refused, outcomes
+    other_count = len(context.load.records) - len(done) - len(refused)
+    assert other_count == len(no_slot), outcomes
     for record in refused + no_slot:
         took_s = record.end_s - record.start_s
         assert took_s <= limit_s, f"a refusal took {took_s:.2f} s"
--- a/features/steps/observing_steps.py
+++ b/features/steps/observing_steps.py
@@ -143,14 +143,14 @@
 
 def _spans(context):
     """Returns the spans of the caller's trace, by span id."""
-    found = {}
+    spans = {}
     for name in context.deployment.entries:
         path = context.deployment.processes.directory / f"{name}.spans"
         for line in path.read_text(encoding="utf-8").splitlines():
             span = json.loads(line)
             if span["trace"] == context.trace:
-                found[span["span"]] = span
-    return found
+                spans[span["span"]] = span
+    return spans
 
 
 @then("one trace joins the caller, entry, forward, admit, upstream")
@@ -167,8 +167,8 @@
                     break
                 span = spans[span["parent"]]  # noqa: PLW2901
             if span["parent"] != context.span:
-                # The spans of the previous entry are not written yet; a span
-                # that belongs to no chain ends in the timeout.
+                # Spans of earlier hops may not be written yet. If they never
+                # are, the wait times out.
                 return None
             return list(reversed(names))
         return None
--- a/features/steps/operating_steps.py
+++ b/features/steps/operating_steps.py
@@ -71,7 +71,7 @@
                 futures.append(
                     pool.submit(operator.put, entry, text, shown["version"])
                 )
-            responses = [one.result() for one in futures]
+            responses = [future.result() for future in futures]
         context.races.append((operators, responses))
         wait_for_version(context.operator, "bkk-e1", shown["version"] + 1)
 
@@ -106,7 +106,7 @@
 
 @then("one who edits the version before all that later is told the same")
 def step_late_loser(context):
-    # By now the entry has the winners' versions in force, not that one.
+    # The entry has the winners' versions in force now, not version 1.
     shown = context.operator.read("bkk-e0")
     text = set_ramp(shown["text"], 0.9)
     response = context.operator.put("bkk-e0", text, 1).json()
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -44,10 +44,10 @@
 
 @given("two regions, spread, with an entry and two upstreams each")
 def step_two_regions(context):
-    two = {"r1": 2, "r2": 2}
+    upstreams = {"r1": 2, "r2": 2}
     shape = Shape(
         entries={"r1": 1, "r2": 1},
-        upstreams=two,
+        upstreams=upstreams,
         profile="spread",
         work_ms=WORK_MS,
     )
--- a/features/steps/slots_steps.py
+++ b/features/steps/slots_steps.py
@@ -34,7 +34,7 @@
 
 
 class _Region(NamedTuple):
-    """Holds what scenarios with the same long work share."""
+    """A running region, shared by scenarios with the same long requests."""
 
     deployment: BoundedDeployment
     load: ClosedLoop
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -38,7 +38,7 @@
 
 
 def _run_check(check, sent, ran):
-    found = {
+    calls = {
         "answers": lambda: checks.check_answers(sent),
         "once": lambda: checks.check_at_most_once(sent, ran),
         "refusals": lambda: checks.check_refusals(sent, ran),
@@ -48,17 +48,17 @@
         "configuration": lambda: checks.check_configuration(sent, _KNOWN),
         "recovery": lambda: checks.check_recovery(sent, _END, min_share=0.5),
     }
-    return found[check]()
+    return calls[check]()
 
 
 def _plant_fault(fault):
     sent = list(_CALM_SENT)
     ran = list(_CALM_RAN)
-    one = SentRequest("d", "/safe/1", True, 4.0, 4.1, 200, "seal-d", True)
+    request = SentRequest("d", "/safe/1", True, 4.0, 4.1, 200, "seal-d", True)
     if fault == "another request's signature":
-        sent.append(one._replace(seal="seal-a"))
+        sent.append(request._replace(seal="seal-a"))
     elif fault == "half a body":
-        sent.append(one._replace(complete=False))
+        sent.append(request._replace(complete=False))
     elif fault == "a payment that ran twice":
         ran.append(UpstreamRun("u2", "b", "/unsafe/1", 2.5, "ok"))
     elif fault == "a run that nobody sent":
@@ -73,11 +73,11 @@
             for n in range(14)
         ]
     elif fault == "a request cut during a stop":
-        sent.append(one._replace(status=0))
+        sent.append(request._replace(status=0))
     elif fault == "a 404 for a known route":
-        sent.append(one._replace(status=404))
+        sent.append(request._replace(status=404))
     else:
-        sent += [one._replace(status=502)] * 3
+        sent += [request._replace(status=502)] * 3
     return sent, ran
 
 
