--- a/features/support/bounded.py
+++ b/features/support/bounded.py
@@ -1,4 +1,4 @@
-"""Deployments whose stand-ins record load above the configured limits."""
+"""Deployments in which an overrun of slots or links is visible."""
 
 from typing import Any
 
@@ -68,7 +68,7 @@
         self.publish_vms()
 
     def restore(self) -> None:
-        """Lists and restarts the removed entries."""
+        """Returns the removed entries to the VM list and restarts them."""
         if not self._removed:
             return
         self.entries.update(self._removed)
--- a/features/support/caller_standin.py
+++ b/features/support/caller_standin.py
@@ -1,7 +1,8 @@
 """Caller stand-in that caches lookups, sends a load and records responses.
 
 It retries a request only if the response says that the request did not run and
-that a retry helps. The outcome of each request is one JSON line in `--out`.
+that a retry helps, or if the entry refuses the connection. The outcome of each
+request is one JSON line in `--out`.
 """
 
 import argparse
--- a/features/support/crashing_world.py
+++ b/features/support/crashing_world.py
@@ -41,15 +41,16 @@
 
     Attributes:
       ended: time at which each crashed upstream ended, in seconds.
-      refused: number of times that the request was refused as quarantined.
+      refused: number of times that the request was refused, either as
+        quarantined or because no upstream could be chosen.
     """
 
     def __init__(self, *, by_key: bool, **size: Any) -> None:
-        """Makes the entries.
+        """Creates the entries.
 
         Args:
           by_key: whether the route has key affinity.
-          **size: arguments of the base class.
+          **size: numbers of entries, zones and upstreams, and the link rate.
         """
         self._suspects: dict[str, CrashSuspects] = {}
         super().__init__(**size)
@@ -142,8 +143,8 @@
 
     def _receive_request(self, member: Member, on_response: Any) -> None:
         reports = self._crash_reports[member.name]
-        standing = reports.standing(REQUEST)
-        if standing in (CrashVerdict.PENDING, CrashVerdict.REFUSED):
+        verdict = reports.standing(REQUEST)
+        if verdict in (CrashVerdict.PENDING, CrashVerdict.REFUSED):
             self.refused += 1
             on_response()
             return
@@ -163,11 +164,11 @@
         )
 
     def _placement_request(
-        self, crashed_at: frozenset[int]
+        self, possibly_crashed: frozenset[int]
     ) -> PlacementRequest:
         self._request_count += 1
         key = "k"
-        if not self._route.key_affinity and not crashed_at:
+        if not self._route.key_affinity and not possibly_crashed:
             key = f"request {self._request_count}"
         return PlacementRequest(
             route=self._route,
@@ -176,7 +177,7 @@
             arrived_s=self.now_s,
             deadline_s=self.now_s + DEADLINE_S,
             tried=[],
-            possibly_crashed=crashed_at,
+            possibly_crashed=possibly_crashed,
         )
 
     def _delay_s(self, member: Member, upstream: UpstreamState) -> float:
--- a/features/support/deployment.py
+++ b/features/support/deployment.py
@@ -245,7 +245,7 @@
     # Observation and control.
 
     def wait_ready(self) -> None:
-        """Waits until `is_ready`."""
+        """Waits until `is_ready` returns true."""
         wait_until(
             self.is_ready,
             limit_s=READY_LIMIT_S,
@@ -253,7 +253,7 @@
         )
 
     def is_ready(self) -> bool:
-        """Returns whether entries hear each other and upstreams have homes."""
+        """Returns whether all entries hear all and each upstream has a home."""
         heard_count = 0
         homed_count = 0
         for name in self.entries:
@@ -271,7 +271,7 @@
         )
 
     def status(self, name: str) -> dict[str, Any] | None:
-        """Returns the status of an entry, or None if it does not answer."""
+        """Returns the status of an entry, or None without a 200 response."""
         try:
             answer = get(self.entries[name]["operator"], "/v1/status")
         except OSError:
--- a/features/support/documentation_rows.py
+++ b/features/support/documentation_rows.py
@@ -10,7 +10,7 @@
 from almondstair import validation
 from almondstair.core import model
 
-# Longest suffixes first, so that `_bytes_per_s` does not match `_bytes`.
+# Longest suffixes first, so that `_bytes_per_s` does not match `_s`.
 _UNITS = (
     ("_bytes_per_s", "bytes/s"),
     ("_fraction_per_s", "fraction/s"),
--- a/features/support/gateway_world.py
+++ b/features/support/gateway_world.py
@@ -35,10 +35,10 @@
             route("/upload/", kind="upload"),
         ]
 
-    def _start(self, name: str, part: str, *options: str) -> Child:
+    def _start(self, name: str, component: str, *options: str) -> Child:
         address = options[options.index("--address") + 1]
         return self.processes.start(
-            name, "-m", "emulator", part, *options, address=address
+            name, "-m", "emulator", component, *options, address=address
         )
 
     # The store.
@@ -127,7 +127,7 @@
     ) -> Child:
         """Starts a gateway and waits until it is ready."""
         addresses = {}
-        for part in (
+        for listener in (
             "callers",
             "ready",
             "lookups",
@@ -135,7 +135,7 @@
             "peers",
             "operators",
         ):
-            addresses[part] = harness.free_address()
+            addresses[listener] = harness.free_address()
         addresses = self.gateways.setdefault(name, addresses)
         self._zones_of[name] = zone
         path = self.settings_path(name)
