--- a/features/support/heartbeat_entries.py
+++ b/features/support/heartbeat_entries.py
@@ -52,8 +52,8 @@
 class Entry:
     """An entry without the components that serve callers."""
 
-    def __init__(self, own, table, clock, send=None):
-        """Opens no socket if `send` replaces the peers."""
+    def __init__(self, own, table, clock, peers=None):
+        """Opens no socket if `peers` are given."""
         self.own = own
         self.membership = Membership(
             own=own, silence_limit_s=SILENCE_LIMIT_MS / 1000
@@ -63,8 +63,8 @@
         self.configuration.apply_if_newer(
             StoredConfiguration(1, "1", "", "", "")
         )
-        self.peers = send
-        if send is None:
+        self.peers = peers
+        if peers is None:
             self.peers = Peers(
                 context=zmq.Context.instance(),
                 name=own.name,
--- a/features/support/homes_simulation.py
+++ b/features/support/homes_simulation.py
@@ -2,7 +2,7 @@
 
 Entries are objects, not processes; time, network, platform and upstreams are
 simulated. The simulation counts the requests that really run at each upstream,
-so a wrong count of an entry shows as more requests in flight than slots.
+so a wrong count by an entry shows as more requests in flight than slots.
 """
 
 import random
@@ -97,7 +97,7 @@
     def __init__(
         self, *, run: "HomesSimulation", name: str, homes_class: type[Homes]
     ) -> None:
-        """Starts a process without a table or reports of peers."""
+        """Starts a process without a table or reports from peers."""
         self.name = name
         self.incarnation = f"{name}-{run.random.getrandbits(32)}"
         self.offset_s = run.random.uniform(-1000.0, 1000.0)
@@ -259,7 +259,7 @@
         )
 
     def _kill(self, name: str) -> None:
-        """Kills a process; it restarts at once or its VM goes too."""
+        """Kills a process, which restarts at once or is lost with its VM."""
         self._count(deaths=1)
         del self._entries[name]
         if self.random.random() < 0.5:
--- a/features/support/leaving_load.py
+++ b/features/support/leaving_load.py
@@ -78,10 +78,10 @@
     """Returns the outcomes that the callers recorded.
 
     A request counts as answered only if every attempt before the last was
-    reported as not run; any other attempt was interrupted.
+    reported as not run; otherwise an earlier attempt was interrupted.
     """
     answered = 0
-    later = 0
+    retried = 0
     failed = []
     latencies_ms = []
     for record in deployment.processes.caller_records():
@@ -94,8 +94,8 @@
             failed.append(record)
             continue
         answered += 1
-        later += len(record["attempts"]) > 1
-    return LoadOutcome(answered, later, failed, sorted(latencies_ms))
+        retried += len(record["attempts"]) > 1
+    return LoadOutcome(answered, retried, failed, sorted(latencies_ms))
 
 
 def restart_in_turn(deployment: Deployment, count: int) -> list[int]:
--- a/features/support/load_exchange_world.py
+++ b/features/support/load_exchange_world.py
@@ -149,7 +149,7 @@
         if "link_mbps" in inspect.signature(LoadExchange).parameters:
             options["link_mbps"] = self._link_mbps
             options["cached_locations"] = CachedLocations()
-        sharing = LoadExchange(
+        exchange = LoadExchange(
             fleet=fleet,
             pool=mock.Mock(),
             suspects=self.make_suspects(entry.name),
@@ -158,9 +158,9 @@
             **options,
         )
         # The protocol uses its transport only to send.
-        sharing.connection_made(_DatagramTransport(self, entry.name))  # type: ignore[arg-type]
+        exchange.connection_made(_DatagramTransport(self, entry.name))  # type: ignore[arg-type]
         self.members[entry.name] = Member(
-            entry.name, entry.availability_zone, entry.region, fleet, sharing
+            entry.name, entry.availability_zone, entry.region, fleet, exchange
         )
 
     def make_suspects(self, name: str) -> Any:
--- a/features/support/measured_load.py
+++ b/features/support/measured_load.py
@@ -1,4 +1,4 @@
-"""Loads from caller stand-ins and the runs that they cause, by time."""
+"""Loads from caller stand-ins, and the runs within the time of each load."""
 
 from pathlib import Path
 import time
--- a/features/support/memory_platform.py
+++ b/features/support/memory_platform.py
@@ -76,7 +76,10 @@
         from_revision: int,
         callback: Callable[[base.WatchNotice], None],
     ) -> base.Watch:
-        """Starts a watch; no change is lost between listing and watch."""
+        """Starts a watch from the current revision.
+
+        No change is lost, as none occurs here between a listing and its watch.
+        """
         del from_revision
         watch = MemoryWatch(prefix, callback)
         self._watches.append(watch)
--- a/features/support/operator_actions.py
+++ b/features/support/operator_actions.py
@@ -71,7 +71,7 @@
 
 
 def set_ramp(text: str, fraction: float) -> str:
-    """Returns the text with a new ramp for the profile `local`."""
+    """Returns the text with a new ramp fraction for the profile `local`."""
     head, mark, tail = text.partition("[profiles.local]")
     lines = tail.split("\n")
     for number, line in enumerate(lines):
