--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Behave hooks that end the processes of each scenario after it."""
+"""Behave hooks that end the processes of a scenario when it ends."""
 
 from features.support.harness import Processes
 
--- a/features/support/platform_standin.py
+++ b/features/support/platform_standin.py
@@ -57,7 +57,7 @@
 
 @functools.cache
 def field_name(name: str) -> str:
-    """Returns the snake-case name of a field."""
+    """Returns the snake-case name of a field, also for its camel-case one."""
     return re.sub("([a-z])([A-Z])", r"\1_\2", name).lower()
 
 
@@ -306,7 +306,7 @@
             "lose_answers": 0,  # number of next writes applied unanswered
             "lose_calls": 0,  # number of next writes lost before they apply
             "down_after_loss": False,  # goes down after a lost response or call
-            "lose_prefix": "",  # limits losses to writes of such keys
+            "lose_prefix": "",  # only writes of keys with this prefix are lost
             "vm_list_lag_ms": 0,
             "vm_list_down": False,
         }
--- a/features/support/random_faults.py
+++ b/features/support/random_faults.py
@@ -19,8 +19,8 @@
     """Runs sender threads while injecting one fault at a time."""
 
     def __init__(self, *, sendings: RequestSender, seed: int) -> None:
-        """Prepares a run that sends through `sendings`."""
-        self._sendings = sendings
+        """Prepares a run without starting it."""
+        self._sender = sendings
         self._deployment = sendings.deployment
         self._seed = seed
         self._ended = threading.Event()
@@ -56,18 +56,18 @@
             for _ in range(1 + rng.randrange(MAX_REPEATS)):
                 entry = rng.choice(sorted(self._deployment.entries))
                 with self._lock:
-                    sending = self._sendings.approve(
+                    request = self._sender.approve(
                         entry=entry,
                         key=key,
                         query=query,
                         deadline_ms=deadline_ms,
                     )
-                pending.append(sending)
+                pending.append(request)
                 time.sleep(rng.random() * MAX_PAUSE_S)
                 if rng.random() < 0.5:
-                    sending.wait()
-            for sending in pending:
-                if sending.wait().ran != "yes":
+                    request.wait()
+            for request in pending:
+                if request.wait().ran != "yes":
                     time.sleep(rng.random() * MAX_REFUSED_PAUSE_S)
 
     def _inject_fault(self, rng: random.Random) -> None:
--- a/features/support/request_sender.py
+++ b/features/support/request_sender.py
@@ -1,4 +1,4 @@
-"""Requests to entries, compared with the runs that upstreams journal."""
+"""Requests to entries, compared with the runs in the upstreams' journals."""
 
 import http.client
 import json
@@ -125,9 +125,9 @@
         path = f"/{SERVICE}/approvals"
         if query:
             path += f"?{query}"
-        sending = self._make(entry=entry, method="POST", path=path, key=key)
-        sending.start(content=content, deadline_ms=deadline_ms)
-        return sending
+        request = self._make(entry=entry, method="POST", path=path, key=key)
+        request.start(content=content, deadline_ms=deadline_ms)
+        return request
 
     def look_up(
         self, *, entry: str, query: str = "", deadline_ms: int = 0
@@ -137,19 +137,19 @@
         path = f"/{SERVICE}/orders/{self._count}"
         if query:
             path += f"?{query}"
-        sending = self._make(entry=entry, method="GET", path=path, key="")
-        sending.start(content=b"", deadline_ms=deadline_ms)
-        return sending
+        request = self._make(entry=entry, method="GET", path=path, key="")
+        request.start(content=b"", deadline_ms=deadline_ms)
+        return request
 
     def _make(
         self, *, entry: str, method: str, path: str, key: str
     ) -> OutgoingRequest:
         address = self.deployment.entries[entry]["caller"]
-        sending = OutgoingRequest(
+        request = OutgoingRequest(
             address=address, method=method, path=path, key=key
         )
-        self.all.append(sending)
-        return sending
+        self.all.append(request)
+        return request
 
     def runs_of(self, key: str) -> list[dict[str, Any]]:
         """Returns the runs of a key at all upstreams."""
@@ -173,18 +173,20 @@
             traces.add(run["trace"].split("-")[1])
             if run["key"]:
                 keys[run["key"]] = keys.get(run["key"], 0) + 1
-        faults = []
+        violations = []
         for key, count in keys.items():
             if count > 1:
-                faults.append(f"{key} ran {count} times")
+                violations.append(f"{key} ran {count} times")
         outcomes_by_key: dict[str, set[str]] = {}
-        for sending in self.all:
-            if sending.ran == "no" and sending.trace in traces:
-                faults.append(f"reported not run, but ran: {sending.summary}")
-            outcomes_by_key.setdefault(sending.key, set()).add(sending.ran)
+        for request in self.all:
+            if request.ran == "no" and request.trace in traces:
+                violations.append(
+                    f"reported not run, but ran: {request.summary}"
+                )
+            outcomes_by_key.setdefault(request.key, set()).add(request.ran)
         for key, outcomes in outcomes_by_key.items():
             if key in keys and outcomes == {"no"}:
-                faults.append(
+                violations.append(
                     f"{key} ran, but every response said that it did not"
                 )
-        return faults
+        return violations
--- a/features/support/steering_world.py
+++ b/features/support/steering_world.py
@@ -33,7 +33,7 @@
 
 
 class Sample(NamedTuple):
-    """The weights at a time."""
+    """The weights of all regions at one time."""
 
     now_s: float
     weights: dict[str, float]
--- a/features/support/upstream_standin.py
+++ b/features/support/upstream_standin.py
@@ -46,7 +46,7 @@
     """Holds the slots, the active faults, and the journal of runs."""
 
     def __init__(self, options: argparse.Namespace) -> None:
-        """Starts idle, with the cold requests still to come."""
+        """Starts idle; the first `cold_requests` runs take `cold_ms` longer."""
         self.options = options
         self.control: dict[str, Any] = {
             "draining": False,
--- a/features/support/wire.py
+++ b/features/support/wire.py
@@ -71,7 +71,7 @@
         return sent_bytes
 
     def is_silent(self, *, limit_s: float) -> bool:
-        """Returns whether the other end sends nothing and stays connected."""
+        """Returns whether the connection is open and silent for `limit_s`."""
         readable, _, _ = select.select([self.socket], [], [], limit_s)
         return not readable
 
