--- a/features/admission.feature
+++ b/features/admission.feature
@@ -3,10 +3,9 @@
   the entry table, while entries die, freeze and lose their network.
 
   Scenario Outline: Random runs with deaths, freezes, cuts and table changes
-    # Guards against an upstream that runs more requests than it has slots
-    # because two entries count the same slot as theirs. Faults come in any
-    # order, with reports lost, duplicated and late, different clocks, and
-    # platform outages.
+    # Guards against more requests on an upstream than slots because two entries
+    # count one slot as theirs. Faults come in any order, with lost, duplicated
+    # and late reports, different clocks and platform outages.
     When entries run for 60 s from seed <seed>
     Then no upstream had more in flight than its slots
     And nothing was written after its deadline
@@ -33,10 +32,9 @@
       | the slots held for a lost entry |
 
   Scenario: A report that comes before its table
-    # Guards against a new home that dispatches while requests of the old home
-    # still run. The old home applies the new table first, and its report
-    # reaches the new home before that one applies the table. The new home kept
-    # the state "settled" of the report but dropped its record.
+    # Guards against a new home that dispatches while the old one's requests
+    # run. The old home's report came before the new home applied the entry
+    # table; its state "settled" was kept and its record dropped.
     Given an entry that is home of an upstream and fills its slots
     And a second entry joins that becomes its home
     When the first entry applies the table and reports before the second does
@@ -44,10 +42,9 @@
     Then the second entry counts the first one's requests as taken
 
   Scenario: Slots held for a lost entry are not another's to free
-    # Guards against a restarted home that dispatches into slots of its earlier
-    # process. The home dies with its slots full and restarts; a peer that was
-    # home long before reports that none of its own requests run, and the report
-    # was taken for one of the lost process.
+    # Guards against a restarted home that dispatches into slots that its lost
+    # process had filled. A peer that was home long before reports none of its
+    # own requests running, which was taken for the lost process's report.
     Given an entry that is home of an upstream and fills its slots
     And a second entry joins that becomes its home
     And both apply the table and report
--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -46,8 +46,8 @@
 
   Scenario: The entry that forwards is killed after the dispatch
     Guards against an approval that ran with an unknown outcome. cnx forwards,
-    the upstream works, and cnx dies, so the entry beside the upstream loses the
-    entry that sent the request.
+    the upstream works, and cnx dies, so the home loses the entry that forwarded
+    the request.
     Given a deployment for work that runs at most once
     When "k" is sent through cnx and takes 800 ms
     And an upstream has "k"
@@ -138,9 +138,9 @@
     And what ran agrees with every answer
 
   Scenario: The platform is out
-    Guards against waiting callers and approvals that run without a claim. The
-    platform closes every connection and comes back later. Without the platform
-    no entry can tell whether a key is new.
+    Guards against callers left waiting and approvals that run without a claim.
+    The platform closes every connection and comes back later. Without the
+    platform no entry can tell whether a key is new.
     Given a deployment for work that runs at most once
     When the platform is out
     And "k" is sent through bkk
--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -13,9 +13,8 @@
 
   Scenario: An old report of a version does not count
     # Guards against an edit shown as accepted that is not in force on one
-    # entry. The entry reported the version and fell silent, its VM was
-    # replaced, and the new process did not have the version yet. The report of
-    # the old process was attributed to the new one.
+    # entry. The entry reported the version and fell silent, its VM was replaced
+    # by one without it, and the old process's report counted for the new one.
     When operator "moira" edits version 1
     And "a, b, c" learn of it from the platform
     And "c" is silent for 10 seconds
--- a/features/crash.feature
+++ b/features/crash.feature
@@ -5,8 +5,8 @@
     Given three regions with an entry and three upstreams each
 
   # Guards against upstreams that die one after another. The request runs, its
-  # upstream dies, and the caller sends it again at once through the next entry,
-  # which does not know yet what the other entries have observed.
+  # upstream dies, and the caller sends it again at once through an entry that
+  # does not know, or not yet, what the other entries have observed.
   Scenario: A crashing request is resent through all entries
     When a GET that crashes upstreams is sent 20 times through all entries
     Then 1 to 2 upstreams have ended
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -182,7 +182,7 @@
         homes.update_table(table=table, now_s=0.0)
         if homes.home_of(upstream=name) == "b":
             return name
-    raise AssertionError("no such name")
+    raise AssertionError("no name whose home moves when b joins")
 
 
 @when("entries run for {seconds:d} s from seed {seed:d}")
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -230,11 +230,13 @@
 
 @when("the claim holds at the platform")
 def step_claim_holds(context):
-    def is_lost():
+    def is_answer_lost():
         faults = get(context.deployment.platform, "/faults").json()
         return faults["lose_answers"] == 0
 
-    wait_until(is_lost, limit_s=STEP_LIMIT_S, what="a claim that is stored")
+    wait_until(
+        is_answer_lost, limit_s=STEP_LIMIT_S, what="a claim that is stored"
+    )
 
 
 @when('an upstream has "{key}"')
--- a/features/steps/emulator_steps.py
+++ b/features/steps/emulator_steps.py
@@ -124,8 +124,8 @@
 def _parse_response(text):
     if text == "none":
         return None
-    status, _, back = text.partition(" back in ")
-    headers = {"retry-after": back.split()[0]} if back else {}
+    status, _, retry_after = text.partition(" back in ")
+    headers = {"retry-after": retry_after.split()[0]} if retry_after else {}
     return EmulatedResponse(status=int(status), headers=headers, body=b"")
 
 
--- a/features/steps/gateway_core_steps.py
+++ b/features/steps/gateway_core_steps.py
@@ -64,17 +64,19 @@
 def step_deal(context, count):
     route = _route("/a/", (("x", 70), ("y", 20), ("z", 10)))
     round_robin = WeightedRoundRobin()
-    context.dealt = {"x": 0, "y": 0, "z": 0}
+    context.sent_counts = {"x": 0, "y": 0, "z": 0}
     context.count = count
     for _ in range(count):
-        context.dealt[round_robin.next_service(route=route)] += 1
+        context.sent_counts[round_robin.next_service(route=route)] += 1
 
 
 @then("each part is within 1 request of its weight")
 def step_dealt(context):
     for name, weight in (("x", 70), ("y", 20), ("z", 10)):
         expected = context.count * weight / 100
-        assert abs(context.dealt[name] - expected) <= 1, context.dealt
+        assert abs(context.sent_counts[name] - expected) <= 1, (
+            context.sent_counts
+        )
 
 
 def _measure_match_s(count):
@@ -192,11 +194,11 @@
     names = frozenset(f"e{number}" for number in range(entries))
     sent = 0
     for name in names:
-        cold = ColdStartLimiter(own_name=name, rate_factor=1.5, slack=5)
-        while cold.may_send(
+        limiter = ColdStartLimiter(own_name=name, rate_factor=1.5, slack=5)
+        while limiter.may_send(
             incarnation="u", rate_per_s=5.0, entry_names=names, now_s=1.0
         ):
-            cold.record_sent(incarnation="u", now_s=1.0)
+            limiter.record_sent(incarnation="u", now_s=1.0)
             sent += 1
     assert 0 < sent <= most, sent
 
@@ -215,15 +217,15 @@
     assert context.applied == [5, 8], context.applied
 
 
-def _select(upstreams, *, use=0.0, known=(), now_s=100.0):
+def _select(upstreams, *, utilisation=0.0, cached=(), now_s=100.0):
     criteria = SelectionCriteria(
         route=_route("/a/"),
         service=None,
         tried=(),
-        cached_upstreams=frozenset(map(incarnation_hash, known)),
+        cached_upstreams=frozenset(map(incarnation_hash, cached)),
         run_times=ExpectedRunTimes(cached_s=0.1, uncached_s=0.4),
         service_run_s=0.2,
-        utilisation=use,
+        utilisation=utilisation,
         target_left_s=0.4,
         remaining_s=1.0,
         round_trips_s={},
@@ -233,9 +235,9 @@
         peer_loads_complete=True,
         now_s=now_s,
     )
-    cold = ColdStartLimiter(own_name="e", rate_factor=1.5, slack=5)
+    limiter = ColdStartLimiter(own_name="e", rate_factor=1.5, slack=5)
     found = select_upstream(
-        order=upstreams, criteria=criteria, cold_start_limiter=cold
+        order=upstreams, criteria=criteria, cold_start_limiter=limiter
     )
     return found.upstream.record.upstream_id if found else None
 
@@ -250,15 +252,15 @@
 
 @then("a new object is sent to its home only")
 def step_home(context):
-    assert _select(context.upstreams, use=0.9) == "u0"
-    assert _select(context.upstreams, use=0.1) in ("u0", "u2")
+    assert _select(context.upstreams, utilisation=0.9) == "u0"
+    assert _select(context.upstreams, utilisation=0.1) in ("u0", "u2")
     _report_peer_loads(context.upstreams[:1], 40)
-    assert _select(context.upstreams, use=0.9) is None
+    assert _select(context.upstreams, utilisation=0.9) is None
 
 
 @then("a known object is sent where it is known")
 def step_known(context):
-    assert _select(context.upstreams, use=0.9, known=("u1",)) == "u1"
+    assert _select(context.upstreams, utilisation=0.9, cached=("u1",)) == "u1"
 
 
 @given("a service with 2 upstreams of 3 slots each")
@@ -372,8 +374,8 @@
 
 @then("requests go to the second one")
 def step_second(context):
-    known = ("u0", "u1")
-    found = _select(context.upstreams, known=known, now_s=context.now_s)
+    cached = ("u0", "u1")
+    found = _select(context.upstreams, cached=cached, now_s=context.now_s)
     assert found == "u1", found
 
 
@@ -384,6 +386,6 @@
 
 @then("requests go to the first one again")
 def step_first(context):
-    known = ("u0", "u1")
-    found = _select(context.upstreams, known=known, now_s=context.now_s)
+    cached = ("u0", "u1")
+    found = _select(context.upstreams, cached=cached, now_s=context.now_s)
     assert found == "u0", found
