--- a/features/gateway_answers.feature
+++ b/features/gateway_answers.feature
@@ -10,9 +10,8 @@
     Then each answer is the whole one of its own request
 
   # Guards against a caller that gets the response to another request. An
-  # upstream repeats a response late, when the connection already carries the
-  # next request. Responses were matched by order, without a check of the
-  # request ID that they echo.
+  # upstream repeats a response late, when its connection carries the next
+  # request. Responses were matched by order, not by the request ID they echo.
   Scenario: A second answer that comes late goes to nobody
     Given a gateway with 1 upstream
     And the upstream's fault "late_extra" strikes every 2 requests
--- a/features/gateway_core.feature
+++ b/features/gateway_core.feature
@@ -1,8 +1,8 @@
 Feature: The gateway's decisions keep their bounds
 
   # Guards against a traffic split that deviates from its weights by several
-  # percent. A route with two destinations gets some hundred requests, and
-  # destinations were drawn at random.
+  # percent. A split route gets some hundred requests, and destinations were
+  # drawn at random.
   Scenario: A split route deals its requests out by weight
     When 300 requests are dealt out over parts of 70, 20 and 10
     Then each part is within 1 request of its weight
@@ -15,7 +15,7 @@
     Then the longest one decides for "/a/b/x", "/a/bc" and "/d/x"
 
   # Guards against many requests that change their region at once when one
-  # upstream goes. Keys were assigned by their number modulo the upstreams.
+  # upstream goes. Keys were assigned by number modulo the number of upstreams.
   Scenario: Losing an upstream moves only its keys
     Given 12 upstreams in 3 regions and 400 keys
     When one upstream goes
--- a/features/gateway_crashing.feature
+++ b/features/gateway_crashing.feature
@@ -30,7 +30,8 @@
     Then that look-up is answered through every gateway within 1.0 s
     And of 60 of that look-up, 6 at a time, at most 3 are not answered
 
-  # Guards against the same when some of the lookups had just started.
+  # Guards against a lookup that is refused because it ran on upstreams that
+  # ended for another reason, when some of its runs had just started.
   Scenario: Look-ups that had just begun where three upstreams end refuse nothing
     When 3 upstreams end within 10 ms, each with a look-up that ran 200 ms and one that ran 1 ms
     Then that look-up is suspect, and not refused
--- a/features/gateway_explaining.feature
+++ b/features/gateway_explaining.feature
@@ -43,10 +43,9 @@
     When the second gateway is killed
     Then "gateway status" shows the first one's picture and the second's silence
 
-  # Guards against a log that reports a lookup as answered in time although the
-  # caller did not get it. A caller sends a slow request and a quick one
-  # together on a connection. Responses leave in the order of the requests, and
-  # the log did not show how long the quick response waited.
+  # Guards against a log that shows a lookup answered in time that its caller
+  # never got. Responses leave a connection in the order of its requests, and
+  # the log did not show how long a quick one waited behind a slow one.
   Scenario Outline: An answer that waited behind another one of its connection
     Given a gateway with 1 upstream that works 0.6 s
     When a new object's request and a known one's are sent together, and the caller <leaves>
--- a/features/gateway_fleet.feature
+++ b/features/gateway_fleet.feature
@@ -74,8 +74,8 @@
     Then "/safe/x" is answered 200 within 2.0 s
 
   # Guards against requests refused after a power loss although the store
-  # answers. A process listens before its first listing of the store. A request
-  # was refused at once when there was no other entry to retry at.
+  # answers. A process listens before its first listing of the store, and a
+  # request was refused at once, with no other entry to retry at.
   Scenario: A request that comes just before the first listing is served
     Given 2 gateways with 1 upstream
     When the second gateway starts anew while the store is silent for 0.3 s more
--- a/features/gateway_following.feature
+++ b/features/gateway_following.feature
@@ -1,10 +1,8 @@
 Feature: An entry follows the store through others
 
   # Guards against an entry that runs an old configuration for seconds, or for
-  # good, while its peer has the newer one. The peer's report that contains the
-  # change is too old to be relied on; the next report is fresh and contains
-  # only later changes. The old report was dropped completely, and the change
-  # with it.
+  # good, while its peer has a newer one. The report with the change was too old
+  # to rely on and was dropped whole; the next one has only later changes.
   Scenario: A change that came in an old word is in force
     Given an entry at configuration 2 that follows a peer
     When the peer gets configuration 4, and its word is 2 s old when it is asked
@@ -17,10 +15,9 @@
     Then configuration 4 is in force
     And the entry does not count as in touch with the store
 
-  # Guards against entries of one zone that get a large configuration seconds
+  # Guards against entries of a zone that get a large configuration seconds
   # after the others. 1,400 routes are added, and a reader behind a small link
-  # sends hundreds of kilobytes to each entry of its zone. The configuration was
-  # sent in its stored form.
+  # sent each entry hundreds of kilobytes, the configuration as it is stored.
   Scenario: A large configuration is told in few bytes
     Given an entry at configuration 2 that follows a peer
     When the peer gets configuration 4 with 1400 routes, and is asked
@@ -45,9 +42,8 @@
     Then the one with 100 Mbit/s works for the zone, whatever the names
 
   # Guards against a service that refuses many times as many requests while the
-  # store is down. An entry queries a peer for the first time and gets the
-  # complete state. The cold starts of upstreams in it were counted from the
-  # time of the query.
+  # store is down. An entry got the complete state from a peer it queried for
+  # the first time, and counted cold starts from the time of the query.
   Scenario: What is known already is not taken again from another peer
     Given an entry at configuration 2 that follows a peer
     And an upstream that registered with 3 s of coldness, which are over
--- a/features/gateway_health.feature
+++ b/features/gateway_health.feature
@@ -30,10 +30,9 @@
     Then at least 0.97 of them were answered 200
     And second tries stayed within the operators' bound
 
-  # Guards against an approval lost after a quiet minute. An upstream closes
-  # idle connections earlier than it states, and a request on one is reset. A
-  # request that must not repeat was sent on a connection that had been idle for
-  # most of its idle time.
+  # Guards against an approval lost after a quiet minute. An upstream drops idle
+  # connections earlier than it states and resets the next request; one that
+  # must not repeat was sent on a connection idle for most of the stated time.
   Scenario Outline: An upstream forgets idle connections
     Given a gateway with 2 upstreams that state an idle time of 1 s and forget after 0.4 s
     When a <kind> request comes after <idle> s without any
@@ -47,18 +46,17 @@
       | unsafe | 1.5  |
 
   # Guards against a failed request while both upstreams are healthy. Both have
-  # closed their idle connections. The request is lost on one, and its retry was
-  # sent on an idle connection of the other.
+  # dropped their idle connections without notice. The request is lost on one,
+  # and its retry was sent on an idle connection of the other.
   Scenario: Both upstreams have forgotten the connections kept to them
     Given a gateway with 2 upstreams that state an idle time of 1 s and forget after 0.4 s
     And a safe request has just run at each of them
     When a safe request comes after 0.5 s without any
     Then it was answered 200 within 0.5 s, and ran once
 
-  # Guards against single requests that are a third of a second late for ten
-  # seconds after a VM was removed. The VM ends without notice, its registration
-  # stays, and connections to it get no answer. After each backoff, a caller's
-  # request was used to test whether it was back.
+  # Guards against single requests a third of a second late for ten seconds
+  # after a VM ended without notice. Its registration stays and connections get
+  # no answer; after each backoff a caller's request tested whether it was back.
   Scenario: An upstream that takes no connections costs callers no more time
     Given a gateway with 1 upstream
     And an upstream is registered at an address that takes no connections
@@ -73,10 +71,9 @@
     When a request and a lost answer find it gone at the same time
     Then it gets nothing until a look has reached it, and the connection is kept
 
-  # Guards against a recovered upstream that stays idle for good. A probe
-  # reaches it, and a request that had started to connect earlier fails at the
-  # same time. No further probe was started because the finished one still
-  # counted as running.
+  # Guards against a recovered upstream that stays idle for good. A request that
+  # started to connect earlier fails just as a probe reaches the upstream, and
+  # no further probe started because the finished one counted as running.
   Scenario: A look that has just ended does not keep the next one away
     Given an upstream that refuses its first 0 connections
     When a request finds it gone in the moment in which a look has reached it
--- a/features/steps/gateway_explaining_steps.py
+++ b/features/steps/gateway_explaining_steps.py
@@ -62,9 +62,9 @@
 def step_status(context):
     # Both gateways share the operators' port on one address; the second has
     # ended and the first keeps the port.
-    port = context.world.operator_address("g1")
+    address = context.world.operator_address("g1")
     silent = harness.free_address()
-    output = operator_tool.run("gateway", "status", port, silent)
+    output = operator_tool.run("gateway", "status", address, silent)
     assert "does not answer" in output, output
     assert "g1" in output and "ready" in output, output
 
@@ -137,13 +137,15 @@
     "caller {leaves}"
 )
 def step_together(context, leaves):
-    known = {"X_Almondstair_Affinity_Key": "known"}
-    context.world.send("GET", "/safe/known", headers=known)
-    _, new = _encode_request(context, "/safe/new", "new")
-    context.second_id, quick = _encode_request(context, "/safe/known", "known")
+    headers = {"X_Almondstair_Affinity_Key": "known"}
+    context.world.send("GET", "/safe/known", headers=headers)
+    _, new_request = _encode_request(context, "/safe/new", "new")
+    context.second_id, known_request = _encode_request(
+        context, "/safe/known", "known"
+    )
     ip, port = context.world.gateways["g1"]["callers"].split(":")
     with socket.create_connection((ip, int(port)), timeout=10) as connection:
-        connection.sendall(new + quick)
+        connection.sendall(new_request + known_request)
         if leaves.startswith("leaves"):
             time.sleep(float(leaves.split()[2]))
             return
@@ -165,7 +167,7 @@
     harness.wait_until(check, what=words)
 
 
-# Regions held back.
+# Refusals that name a held-back region.
 
 
 @given("a gateway with 1 upstream in its own region and 1 in another")
--- a/features/steps/gateway_fleet_steps.py
+++ b/features/steps/gateway_fleet_steps.py
@@ -248,9 +248,11 @@
     context.processes.children["g2"].kill()
     world.store_faults(mode="reset", leases_pause=True)
     world.start_gateway("g2", ready=False)
-    back = threading.Timer(span_s, world.store_faults, kwargs={"mode": "up"})
-    back.start()
-    context.add_cleanup(back.join)
+    recovery_timer = threading.Timer(
+        span_s, world.store_faults, kwargs={"mode": "up"}
+    )
+    recovery_timer.start()
+    context.add_cleanup(recovery_timer.join)
 
 
 @then(
--- a/features/steps/gateway_following_steps.py
+++ b/features/steps/gateway_following_steps.py
@@ -208,7 +208,7 @@
         assert first.link_mbps == most, (names, first)
 
 
-# State that the entry has already.
+# State that the entry already has.
 
 
 @given(
--- a/features/steps/gateway_health_steps.py
+++ b/features/steps/gateway_health_steps.py
@@ -1,4 +1,4 @@
-"""Steps for upstreams whose health, connections or restarts mislead."""
+"""Steps for upstreams with false health pages, lost connections or restarts."""
 
 import asyncio
 from concurrent import futures
@@ -156,13 +156,15 @@
 @when("a {kind} request comes after {idle_s:g} s without any")
 def step_after_idle(context, kind, idle_s):
     world = context.world
-    same = {"X_Almondstair_Affinity_Key": "same"}
-    assert world.send("GET", "/safe/before", headers=same).status == 200
+    headers = {"X_Almondstair_Affinity_Key": "same"}
+    assert world.send("GET", "/safe/before", headers=headers).status == 200
     time.sleep(idle_s)
     method, body = ("GET", None) if kind == "safe" else ("POST", b"pay")
     began_s = time.monotonic()
     context.path = f"/{kind}/after"
-    context.answer = world.send(method, context.path, body=body, headers=same)
+    context.answer = world.send(
+        method, context.path, body=body, headers=headers
+    )
     context.took_s = time.monotonic() - began_s
 
 
--- a/features/steps/gateway_incarnations_steps.py
+++ b/features/steps/gateway_incarnations_steps.py
@@ -243,16 +243,16 @@
 @then("no kept connection of the earlier start is used")
 def step_no_connection(context):
     before = context.upstream.incarnation
-    forgotten = [
+    closed = [
         call.kwargs["incarnation"]
         for call in context.pool.close_upstream.call_args_list
     ]
-    assert before in forgotten, forgotten
+    assert before in closed, closed
 
 
 @then("a word of another entry on the earlier start changes nothing")
 def step_late_word(context):
-    sharing = LoadExchange(
+    exchange = LoadExchange(
         fleet=context.fleet,
         pool=context.pool,
         suspects=mock.Mock(),
@@ -261,7 +261,7 @@
         own_zone="a1",
     )
     before = incarnation_hash(context.upstream.incarnation)
-    sharing._forget_replaced([before])
+    exchange._forget_replaced([before])
     context.fleet.peer_loads.update({before: 50}, own={})
     [state] = context.fleet.eligible_upstreams("s")
     assert state.peer_requests == 0
