--- a/features/gateway_incarnations.feature
+++ b/features/gateway_incarnations.feature
@@ -12,9 +12,8 @@
     And a word of another entry on the earlier start changes nothing
 
   # Guards against a restarted cold upstream that gets more requests than it can
-  # carry. It crashes and restarts under its ID and at its address, and its
-  # registration is read 0.6 s later. It was taken for the warm upstream after a
-  # brief connection failure.
+  # carry. It restarts under its ID and address after a crash, its registration
+  # is read 0.6 s later, and it counted as the warm one, briefly unreachable.
   Scenario: An upstream that could not be reached may come back cold
     Given an entry that follows the store, with upstream "i-1" born at 1000
     When "i-1" cannot be reached, and takes a connection 4 s later
@@ -35,12 +34,12 @@
     Then "i-1" is cold
 
   # Guards against all requests refused with no_slot for a second although all
-  # upstreams are warm and have free slots. An entry reads a full listing from a
-  # peer, which sends the registration it stored first. Only a report of exactly
-  # the known revision lost its cold time, not an older one. The signs are
-  # listings from peers (420), six upstreams with 0.998 s of cold time at
-  # revisions 3 to 8 where 12 to 17 were known (430), and refusals with 6
-  # upstreams and a utilisation of 1.0 (412) for 0.3 to 1.3 s after.
+  # upstreams are warm and have free slots. A peer's full listing has the
+  # registration it stored first, and only a report of exactly the known
+  # revision lost its cold time, not an older one. The log shows listings from
+  # peers (event 420), six upstreams with 0.998 s of cold time at revisions 3 to
+  # 8 where 12 to 17 were known (430), and refusals with 6 upstreams and a
+  # utilisation of 1.0 (412) for 0.3 to 1.3 s after.
   Scenario: An older word of an upstream's cold start does not make it cold
     Given an entry that follows the store, with upstream "i-1" born at 1000
     When "i-1" says that it is cold for 2 s
--- a/features/gateway_placement.feature
+++ b/features/gateway_placement.feature
@@ -14,23 +14,23 @@
     When each region asks for 0.5 of its slots for 60 s
     Then every weight is 1
 
-  # Guards against a queue of more than 8 s at one upstream after the same
-  # shift. By the hash of its keys it got more of them than the others, then
-  # some that another one gave away. Steps used loads up to 1.5 s old (smoothed
-  # over 1 s, a step every 0.5 s), so keys kept leaving a queue that had ended,
-  # and the next queue formed where they went. The age alone decides: with loads
-  # reported another 0.2 s late, 16 of 20 sets missed instead of 9; with
-  # smoothing over 0.3 s and a step every 0.3 s none did; larger steps that were
-  # as late missed with 12.
+  # Guards against a queue that stands at one upstream for more than 8 s after
+  # the same shift. By the hash of its keys it got more of them than the others,
+  # then some that another one gave away. Steps used loads up to 1.5 s old
+  # (smoothed over 1 s, a step every 0.5 s), so keys kept leaving a queue that
+  # had ended, and the next queue formed where they went. The age alone decides:
+  # with loads reported another 0.2 s late, 16 of 20 sets missed instead of 9;
+  # with smoothing over 0.3 s and a step every 0.3 s none did; larger steps that
+  # were as late missed with 12.
   Scenario: After a shift no queue stands beside free slots, whatever the keys are
     Given 20 sets of 240 keys for each of 2 regions of 4 upstreams with 6 slots
     When each region asks for 0.5 of its slots for 10 s, with each set
     And region "r0" asks for 1.5 of its slots for 8 s and "r1" for 0.3, with each set
     Then with no set an upstream holds 2 times its slots while another is under 0.75
 
-  # Guards against the same in a fleet of some eighty entries. Each entry
+  # Guards against such a queue in a fleet of some eighty entries. Each entry
   # reports its loads every 0.2 s, and that delay adds to the age of the
-  # smoothed loads; without smoothing over 1 s there is time for it.
+  # smoothed loads; without smoothing over 1 s there is room for it.
   Scenario: After a shift no queue stands beside free slots, though loads are told late
     Given 20 sets of 240 keys for each of 2 regions of 4 upstreams with 6 slots
     And loads are told 0.2 s late, with each set
@@ -38,7 +38,7 @@
     And region "r0" asks for 1.5 of its slots for 8 s and "r1" for 0.3, with each set
     Then with no set an upstream holds 2 times its slots while another is under 0.75
 
-  # Guards against groups of keys that keep moving and are run uncached each
+  # Guards against keys that keep moving under overload and run uncached each
   # time. All upstreams are full, and those with the longest queues gave keys to
   # others.
   Scenario: Where nobody has room keys stay
--- a/features/gateway_regions.feature
+++ b/features/gateway_regions.feature
@@ -19,10 +19,9 @@
     When the gateway of the other region is killed
     Then look-ups from there name the two that are left within 6 s
 
-  # Guards against more than the operators' 0.15 of a region's requests running
-  # in another region from one 2 s window to the next, with no object cached
-  # there. Traffic rises above the capacity of the own region, and the surplus
-  # moved all at once.
+  # Guards against more than the operators' 0.15 of a region's requests moving
+  # to another region, with no object cached there, from one 2 s window to the
+  # next. Traffic over the own region's capacity moved all at once.
   Scenario: A burst moves a region's requests step by step
     Given a gateway with 2 upstreams in its own region and 2 in another
     When 45 requests a second are sent for 6 s and then 180 a second for 8 s
--- a/features/gateway_turned_away.feature
+++ b/features/gateway_turned_away.feature
@@ -1,9 +1,8 @@
 Feature: Gateways that the store turns away keep up
 
-  # Guards against gateways that run an old configuration 4 s after a newer one
-  # was acknowledged. The store does not answer the gateways of one zone and
-  # serves the others. Each round queried the store first and waited for it, so
-  # the reader's report was old before the others received it.
+  # Guards against gateways with an old configuration 4 s after a newer one was
+  # acknowledged. The store serves all but one zone; each round queried it first
+  # and waited, so the reader's report was old before the others received it.
   Scenario Outline: The store does not answer one zone's gateways
     Given a deployment with 2 gateways in one zone and 1 in another region
     When the store is "<harm>" for the first zone's gateways, and 4 configurations come, 3.3 s apart
--- a/features/gateway_waiting.feature
+++ b/features/gateway_waiting.feature
@@ -1,9 +1,8 @@
 Feature: Short runs are not kept out by long ones
 
-  # Guards against nine in ten short requests of a service being refused or
-  # late, while hardly any long one is. The demand exceeds the slots, and long
-  # requests with generous latency targets made queues that no short one can
-  # accept.
+  # Guards against nine in ten short requests of a service refused or late, but
+  # hardly any long one. Demand exceeds the slots, and long requests with
+  # generous latency targets made queues that no short one can accept.
   Scenario Outline: More is asked of a service than its slots
     Given 4 upstreams of 5 slots that get short runs of 0.1 s and long ones of 0.45 s
     When <times> times their slots are asked for 12 s, with waits at the entry
--- a/features/steps/gateway_known_places_steps.py
+++ b/features/steps/gateway_known_places_steps.py
@@ -159,8 +159,10 @@
 @given('an entry that knows object "o" at "{name}" only')
 def step_at(context, name):
     context.fleet = Fleet(own_name="e", own_region="r", zones={"z": "r"})
-    for each in ("u0", name):
-        record = UpstreamRecord(each, "s", "a:1", "z", "v", 4, False, 0.0)
+    for upstream_id in ("u0", name):
+        record = UpstreamRecord(
+            upstream_id, "s", "a:1", "z", "v", 4, False, 0.0
+        )
         context.fleet.apply_upstream(record, now_s=0.0)
     context.name = incarnation_hash(name)
     assert context.fleet.is_eligible(context.name)
--- a/features/steps/gateway_lookup_steps.py
+++ b/features/steps/gateway_lookup_steps.py
@@ -40,11 +40,11 @@
 
 @when("2000 callers look up and pick any of the named")
 def step_pick(context):
-    draws = random.Random(5)
+    rng = random.Random(5)
     context.lists = _lookup_all(context)
     context.picked = Counter()
     for named in context.lists:
-        context.picked[draws.choice(named)] += 1
+        context.picked[rng.choice(named)] += 1
 
 
 @then("each large VM gets {least:d} to {most:d} times what a small one gets")
--- a/features/steps/gateway_placement_steps.py
+++ b/features/steps/gateway_placement_steps.py
@@ -67,7 +67,7 @@
 
 
 def _set_report_delay(context, late_s):
-    """Sets how long after they were counted loads reach the planner."""
+    """Sets the time from the count of loads until the planner gets them."""
     context.reports = collections.deque(maxlen=1 + round(late_s / _TICK_S))
 
 
@@ -99,7 +99,7 @@
 
 
 def _report_loads(context):
-    """Reports to the planner the oldest loads in flight to it."""
+    """Reports the oldest loads that are in flight to the planner."""
     context.reports.append([round(held) for held in context.held.values()])
     loads = {}
     for upstream, held in zip(
@@ -134,16 +134,16 @@
 def step_sets(context, sets, keys, **shape):
     context.sets = []
     for number in range(sets):
-        one = SimpleNamespace()
-        step_regions(one, keys=keys, **shape)
-        one.keys = [f"{number}-{key}" for key in range(keys)]
-        context.sets.append(one)
+        key_set = SimpleNamespace()
+        step_regions(key_set, keys=keys, **shape)
+        key_set.keys = [f"{number}-{key}" for key in range(keys)]
+        context.sets.append(key_set)
 
 
 @given("loads are told {late_s:g} s late, with each set")
 def step_sets_late(context, late_s):
-    for one in context.sets:
-        _set_report_delay(one, late_s)
+    for key_set in context.sets:
+        _set_report_delay(key_set, late_s)
 
 
 @when(
@@ -151,8 +151,8 @@
     "set"
 )
 def step_sets_even(context, share, span_s):
-    for one in context.sets:
-        step_even(one, share, span_s)
+    for key_set in context.sets:
+        step_even(key_set, share, span_s)
 
 
 @when(
@@ -160,8 +160,8 @@
     "for {other:g}, with each set"
 )
 def step_sets_uneven(context, share, span_s, other):
-    for one in context.sets:
-        step_uneven(one, share, span_s, other)
+    for key_set in context.sets:
+        step_uneven(key_set, share, span_s, other)
 
 
 @then(
@@ -170,11 +170,11 @@
 )
 def step_sets_no_queue(context, times, share):
     missed = []
-    for number, one in enumerate(context.sets):
+    for number, key_set in enumerate(context.sets):
         try:
-            step_no_queue(one, times, share)
+            step_no_queue(key_set, times, share)
         except AssertionError:
-            loads = [held / one.slots for held in one.held.values()]
+            loads = [held / key_set.slots for held in key_set.held.values()]
             missed.append((number, round(max(loads), 2), round(min(loads), 2)))
     assert not missed, f"{len(missed)} of {len(context.sets)} sets: {missed}"
 
@@ -298,8 +298,8 @@
 def step_goes_on(context, zone):
     name = incarnation_hash("u")
     before = context.plan.weights[name]
-    now = context.fleets[zone].plan.weights[name]
-    assert before < now < 100, (before, now)
+    after = context.fleets[zone].plan.weights[name]
+    assert before < after < 100, (before, after)
 
 
 @given("a plan in which {count:d} upstreams have weights of their own")
@@ -316,7 +316,7 @@
     planner = Planner()
     for step in range(8):
         # Half of them have a queue, the others have none.
-        loads = {one.name_hash: 44 + 4 * step for one in upstreams[1::2]}
+        loads = {state.name_hash: 44 + 4 * step for state in upstreams[1::2]}
         peer_loads.update(loads, own={})
         planner.update(services={"s": upstreams}, now_s=100.0 + step)
     context.planner = planner
--- a/features/steps/gateway_regions_steps.py
+++ b/features/steps/gateway_regions_steps.py
@@ -24,14 +24,14 @@
 _ATTEMPT_FAILED = 411
 
 
-def _start_world(context, *, own, other, **plan):
+def _start_world(context, *, own, other, **upstream_options):
     world = GatewayWorld(processes=context.processes)
     context.world = world
     context.regions = {}
     for zone, count in ((_OWN_ZONE, own), (_OTHER_ZONE, other)):
         for number in range(count):
             name = f"{zone}-{number}"
-            world.start_upstream(name, zone=zone, **plan)
+            world.start_upstream(name, zone=zone, **upstream_options)
             context.regions[name] = zone
     world.configure()
     world.start_gateway()
@@ -122,13 +122,13 @@
     world = context.world
 
     def check():
-        here = _lookup_addresses(world, _OWN_ZONE, "east") == _caller_addresses(
-            world, "g1", "g2"
-        )
-        there = _lookup_addresses(
+        own_named = _lookup_addresses(
+            world, _OWN_ZONE, "east"
+        ) == _caller_addresses(world, "g1", "g2")
+        other_named = _lookup_addresses(
             world, _OTHER_ZONE, "west"
         ) == _caller_addresses(world, "g3")
-        return here and there
+        return own_named and other_named
 
     harness.wait_until(
         check, limit_s=4.0, what="lookups to name each region's own gateways"
@@ -196,18 +196,18 @@
     for name, zone in context.regions.items():
         for run in context.world.runs(name):
             window = int((run["at_s"] - context.first_run_s) / _WINDOW_S)
-            here, there = counts.get(window, (0, 0))
+            own, elsewhere = counts.get(window, (0, 0))
             if zone == _OTHER_ZONE:
-                counts[window] = (here, there + 1)
+                counts[window] = (own, elsewhere + 1)
                 continue
-            counts[window] = (here + 1, there)
+            counts[window] = (own + 1, elsewhere)
     shares = []
     for window in range(int(context.span_s / _WINDOW_S)):
         # A stall of 2 s can leave a window empty: it has no share, and the
         # next window is compared with the one before.
-        here, there = counts.get(window, (0, 0))
-        if here + there:
-            shares.append(there / (here + there))
+        own, elsewhere = counts.get(window, (0, 0))
+        if own + elsewhere:
+            shares.append(elsewhere / (own + elsewhere))
     return shares
 
 
@@ -229,7 +229,10 @@
 
 
 def _count_failed_attempts(context):
-    """Returns failed attempts by cause; each lifts the limit on moves."""
+    """Returns failed attempts by cause.
+
+    All but orderly refusals lift the limit on region changes.
+    """
     causes = {}
     for line in context.world.log_events("g1", _ATTEMPT_FAILED):
         causes[line["cause"]] = causes.get(line["cause"], 0) + 1
@@ -239,9 +242,9 @@
 @then("at least {least:g} of them were answered 200")
 def step_served_share(context, least):
     served = context.statuses.count(200)
-    ends = collections.Counter(context.statuses)
+    status_counts = collections.Counter(context.statuses)
     assert served >= least * len(context.statuses), (
-        ends,
+        status_counts,
         _count_failed_attempts(context),
     )
 
--- a/features/steps/gateway_settings_steps.py
+++ b/features/steps/gateway_settings_steps.py
@@ -117,7 +117,7 @@
     assert found[0]["after_restart"] == [field], found
 
 
-# Signals during a start.
+# Signals during startup.
 
 # Signals its own process when the daemon is imported, as the platform may do.
 _SIGNAL_AT_IMPORT_SCRIPT = """
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -15,19 +15,21 @@
 from features.support.gateway_world import GatewayWorld
 
 _RECEIVE_BYTES = 65536
-# Time in which a crashed upstream ends, also on a busy host.
+# Time for a crashed upstream to exit, also on a busy host.
 _CRASH_ENDS_S = 1.5
 # Time until each gateway counts the other as sharing its limits.
 _JOIN_S = 5.0
 
 
 def _start_world(
-    context, *, upstreams=1, gateways=1, zones=("a1", "a1"), **plan
+    context, *, upstreams=1, gateways=1, zones=("a1", "a1"), **upstream_options
 ):
     world = GatewayWorld(processes=context.processes)
     context.world = world
     for number in range(upstreams):
-        world.start_upstream(f"u{number + 1}", zone=zones[number], **plan)
+        world.start_upstream(
+            f"u{number + 1}", zone=zones[number], **upstream_options
+        )
     world.configure()
     for number in range(gateways):
         world.start_gateway(f"g{number + 1}")
@@ -95,7 +97,7 @@
 
 @then("at most {most:d} upstreams have ended")
 def step_ended(context, most):
-    # A crashed process keeps running for a moment.
+    # A crashed process takes a moment to exit.
     time.sleep(_CRASH_ENDS_S)
     ended = _ended_upstreams(context)
     assert len(ended) <= most, ended
@@ -171,16 +173,16 @@
 @when('{count:d} requests to "{path}" are sent side by side')
 def step_send_together(context, count, path):
     with futures.ThreadPoolExecutor(count) as pool:
-        waiting = []
+        pending = []
         for _ in range(count):
-            waiting.append(
+            pending.append(
                 pool.submit(_send, context, "POST", path, body=b"pay")
             )
-        context.answers = [future.result() for future in waiting]
+        context.answers = [future.result() for future in pending]
 
 
-def _encode_request(context, path, **more):
-    headers = context.world.headers(**more)
+def _encode_request(context, path, **extra_headers):
+    headers = context.world.headers(**extra_headers)
     lines = [f"GET {path} HTTP/1.1"]
     for name, value in headers.items():
         lines.append(f"{name}: {value}")
@@ -215,10 +217,10 @@
 
 @then("the answers come in the order of the requests within {limit_s:g} s")
 def step_in_order(context, limit_s):
-    places = []
+    offsets = []
     for request_id in context.ids:
-        places.append(context.received.index(f"seal-{request_id}".encode()))
-    assert places == sorted(places), places
+        offsets.append(context.received.index(f"seal-{request_id}".encode()))
+    assert offsets == sorted(offsets), offsets
     assert context.took_s < limit_s, context.took_s
 
 
--- a/features/steps/gateway_turned_away_steps.py
+++ b/features/steps/gateway_turned_away_steps.py
@@ -60,7 +60,7 @@
     return _LIMIT_S
 
 
-async def _run_deployment(deployment, directory, harm, count, pause_s):
+async def _run_deployment(deployment, directory, fault, count, pause_s):
     world = World(deployment=deployment, directory=directory)
     delays_s = {}
     try:
@@ -71,7 +71,7 @@
         await asyncio.sleep(_SETTLE_S)
         for name in world.gateways:
             if world.zone_of(name) == "a1":
-                world.store_proxies[name].set_fault(ProxyFault(harm))
+                world.store_proxies[name].set_fault(ProxyFault(fault))
         await asyncio.sleep(_SETTLE_S)
         for number in range(count):
             prefix = f"/more{number}/"
--- a/features/steps/gateway_views_steps.py
+++ b/features/steps/gateway_views_steps.py
@@ -84,7 +84,7 @@
 
 @then('"gateway drain" shows it with 1 request in flight')
 def step_drain_busy(context):
-    """Reads the view in this process; a new one may start after the work."""
+    """Reads the view here, as the start of a process may outlast the work."""
     address = context.world.operator_address("g1")
 
     def check():
