--- a/features/steps/gateway_incarnations_steps.py
+++ b/features/steps/gateway_incarnations_steps.py
@@ -261,7 +261,7 @@
         own_zone="a1",
     )
     before = incarnation_hash(context.upstream.incarnation)
-    exchange._forget_replaced([before])
+    exchange._drop_replaced([before])
     context.fleet.peer_loads.update({before: 50}, own={})
     [state] = context.fleet.eligible_upstreams("s")
     assert state.peer_requests == 0
