--- a/almondstair/call_router.py
+++ b/almondstair/call_router.py
@@ -85,7 +85,8 @@
       own: this entry's row.
       membership: the entries and their heartbeats.
       steering: weights over regions.
-      hops: estimates the free slots of entries and selects entries by them.
+      entry_selector: estimates the free slots of entries and selects entries by
+        them.
       quarantine: requests that crashed upstreams.
       pacers: links from this availability zone.
       runner: runs calls at upstreams of this entry.
@@ -99,7 +100,7 @@
     own: EntryRow
     membership: Membership
     steering: Steering
-    hops: EntrySelector
+    entry_selector: EntrySelector
     quarantine: Quarantine
     pacers: LinkPacers
     runner: Runner
@@ -311,7 +312,7 @@
             for row in live:
                 if row.region == region:
                     rows.append(row)
-            ranked = self._parts.hops.ranked_entries(
+            ranked = self._parts.entry_selector.ranked_entries(
                 rows=tuple(rows),
                 service=call.head.service,
                 tried=tried,
@@ -327,7 +328,7 @@
 
     def _designated_hop(self, call: Call, fingerprint: int) -> _Hop | None:
         now_s = time.monotonic()
-        row = self._parts.hops.designated_entry(
+        row = self._parts.entry_selector.designated_entry(
             rows=tuple(self._parts.membership.live_entries(now_s=now_s)),
             service=call.head.service,
             fingerprint=fingerprint,
@@ -358,7 +359,9 @@
             response_kind=kind,
         )
         call.response.pace = transfer.pace_response
-        self._parts.hops.record_sent(entry=hop.row.name, service=service)
+        self._parts.entry_selector.record_sent(
+            entry=hop.row.name, service=service
+        )
         self._parts.steering.regions.record_sent(
             region=hop.region, service=service
         )
@@ -381,7 +384,7 @@
                 )
         finally:
             transfer.end()
-            self._parts.hops.record_finished(
+            self._parts.entry_selector.record_finished(
                 entry=hop.row.name, service=service
             )
             self._report_to_steering(call, hop, error, start)
@@ -447,7 +450,7 @@
             )
             return
         if error.kind is ErrorKind.NO_SLOT:
-            self._parts.hops.record_refusal(
+            self._parts.entry_selector.record_refusal(
                 entry=hop.row.name, service=service, now_s=now_s
             )
         if error.kind in _REGION_REFUSALS:
--- a/almondstair/core/peer_loads.py
+++ b/almondstair/core/peer_loads.py
@@ -28,13 +28,13 @@
         self._total = total
         self._own = own
 
-    def requests_at(self, name: int) -> int:
+    def requests_at(self, upstream_hash: int) -> int:
         """Returns the requests of other entries at an upstream.
 
         Args:
-          name: hash of the upstream's incarnation.
+          upstream_hash: hash of the upstream's incarnation.
         """
-        requests = self._total.get(name, 0)
+        requests = self._total.get(upstream_hash, 0)
         if not requests:
             return 0
-        return max(0, requests - self._own.get(name, 0))
+        return max(0, requests - self._own.get(upstream_hash, 0))
--- a/almondstair/entry.py
+++ b/almondstair/entry.py
@@ -318,7 +318,7 @@
                 own=self.own,
                 membership=self.membership,
                 steering=self.steering,
-                hops=self._entry_selector,
+                entry_selector=self._entry_selector,
                 quarantine=self._quarantine,
                 pacers=self.pacers,
                 runner=self.runner,
--- a/almondstair/entry_table_manager.py
+++ b/almondstair/entry_table_manager.py
@@ -25,7 +25,7 @@
     """Synchronizes this entry's membership with the platform's entry table.
 
     Attributes:
-      plans: computes the changes that this entry may make to the table.
+      planner: computes the changes that this entry may make to the table.
       joined: whether this entry has been registered since it started.
       leaving_vms: VMs that the VM list shows as leaving.
       vm_list_as_of_s: monotonic time that the newest listing describes.
@@ -50,7 +50,7 @@
             this process read the table from the platform.
         """
         self._membership = membership
-        self.plans = TablePlanner(membership=membership)
+        self.planner = TablePlanner(membership=membership)
         self._store = store
         self._vm_list = vm_list
         self._on_table = on_table
@@ -96,7 +96,7 @@
         """Registers this process in the table; retries until it succeeds."""
         while not self._membership.is_registered:
             await self.change(
-                lambda table: self.plans.plan_registration(table=table)
+                lambda table: self.planner.plan_registration(table=table)
             )
             if not self._membership.is_registered:
                 await asyncio.sleep(REGISTER_RETRY_DELAY_S)
@@ -108,7 +108,7 @@
         """Wraps a plan so that it starts from `TablePlanner.base_table`."""
 
         def planned(table: EntryTable) -> EntryTable | None:
-            base = self.plans.base_table(table=table, now_s=time.monotonic())
+            base = self.planner.base_table(table=table, now_s=time.monotonic())
             if base is None:
                 log.event(
                     log.Event.ENTRY_TABLE_OLDER,
@@ -189,7 +189,7 @@
         if self.joined and not self._membership.is_registered:
             # Removed by mistake, or the platform lost the table.
             await self.change(
-                lambda table: self.plans.plan_registration(table=table)
+                lambda table: self.planner.plan_registration(table=table)
             )
             return
         table = self._membership.table
@@ -206,7 +206,7 @@
         self._changing = True
         try:
             await self.change(
-                lambda table: self.plans.plan_removals(table=table)
+                lambda table: self.planner.plan_removals(table=table)
             )
         finally:
             self._changing = False
--- a/almondstair/gateway/caller_request.py
+++ b/almondstair/gateway/caller_request.py
@@ -11,7 +11,7 @@
 from almondstair.errors import AlmondstairError
 from almondstair.gateway.http_encoding import LAST_CHUNK
 from almondstair.gateway.http_encoding import Headers
-from almondstair.gateway.http_encoding import UpstreamResponseHead
+from almondstair.gateway.http_encoding import ResponseHead
 from almondstair.gateway.http_encoding import encode_chunk
 from almondstair.gateway.http_encoding import encode_head
 from almondstair.gateway.http_encoding import encode_status_line
@@ -117,7 +117,7 @@
         """Whether the response has begun."""
         return self.state is not ResponseProgress.WAITING
 
-    def respond(self, head: UpstreamResponseHead, body: bytes) -> None:
+    def respond(self, head: ResponseHead, body: bytes) -> None:
         """Sends a response with a complete body."""
         if self.response_begun:
             return
@@ -142,13 +142,11 @@
             text = f"{error.retry_after_ms / 1000:.2f}"
             headers.append((b"retry-after", text.encode()))
         self.respond(
-            UpstreamResponseHead(
-                status=error.rule.http_status, headers=headers
-            ),
+            ResponseHead(status=error.rule.http_status, headers=headers),
             problem_body(error=error),
         )
 
-    def begin(self, head: UpstreamResponseHead) -> None:
+    def begin(self, head: ResponseHead) -> None:
         """Starts a streamed response."""
         if self.response_begun:
             return
--- a/almondstair/gateway/crash_reports.py
+++ b/almondstair/gateway/crash_reports.py
@@ -76,8 +76,8 @@
         """Records a complete response to a request."""
         self._suspects.record_response(request)
 
-    def standing(self, request: int) -> CrashVerdict:
-        """Returns a request's standing after reading pending reports."""
+    def verdict(self, request: int) -> CrashVerdict:
+        """Returns the verdict on a request after reading pending reports."""
         self._load_exchange.read_pending()
         return self._suspects.verdict(request, now_s=now_s())
 
--- a/almondstair/gateway/daemon.py
+++ b/almondstair/gateway/daemon.py
@@ -120,7 +120,7 @@
             fleet=self._fleet,
             pool=self._pool,
             client=self._client,
-            follower=self._store_sync,
+            store_sync=self._store_sync,
             metrics=self._metrics,
             in_flight=self._forwarder.in_flight,
         )
--- a/almondstair/gateway/forwarded_call.py
+++ b/almondstair/gateway/forwarded_call.py
@@ -9,7 +9,7 @@
 from almondstair.core.routing import Route
 from almondstair.gateway.caller_request import CallerRequest
 from almondstair.gateway.http_encoding import Headers
-from almondstair.gateway.http_encoding import UpstreamResponseHead
+from almondstair.gateway.http_encoding import ResponseHead
 from almondstair.gateway.http_encoding import encode_head
 from almondstair.gateway.http_encoding import forwarded_headers
 from almondstair.gateway.upstream_connection import UpstreamExchange
@@ -175,9 +175,9 @@
     return encode_head(first_line.encode("latin-1"), headers)
 
 
-def caller_response_head(head: UpstreamResponseHead) -> UpstreamResponseHead:
+def caller_response_head(head: ResponseHead) -> ResponseHead:
     """Returns the response head that is sent to the caller."""
-    return UpstreamResponseHead(
+    return ResponseHead(
         status=head.status,
         headers=forwarded_headers(head.headers, without=_OWN_REPLY_HEADERS),
     )
--- a/almondstair/gateway/forwarder.py
+++ b/almondstair/gateway/forwarder.py
@@ -234,7 +234,7 @@
           AlmondstairError: the request may crash upstreams and is not run.
         """
         request = call.fingerprint()
-        standing = self._crash_reports.standing(request)
+        standing = self._crash_reports.verdict(request)
         if standing in (CrashVerdict.PENDING, CrashVerdict.REFUSED):
             raise self._quarantine_error(call, standing)
         call.possibly_crashed = self._crash_reports.possibly_crashed(request)
--- a/almondstair/gateway/http_encoding.py
+++ b/almondstair/gateway/http_encoding.py
@@ -24,7 +24,7 @@
 _BODYLESS_STATUSES = frozenset((204, 304))
 
 
-class UpstreamResponseHead(NamedTuple):
+class ResponseHead(NamedTuple):
     """Status and headers of a response; header names in lower case."""
 
     status: int
--- a/almondstair/gateway/operator_reports.py
+++ b/almondstair/gateway/operator_reports.py
@@ -25,7 +25,7 @@
         fleet: Fleet,
         pool: ConnectionPool,
         client: KvClient,
-        follower: StoreSync,
+        store_sync: StoreSync,
         metrics: GatewayMetrics,
         in_flight: Sized,
     ) -> None:
@@ -36,7 +36,7 @@
           fleet: the view of the deployment.
           pool: connections to upstreams.
           client: client of the store, which counts its calls.
-          follower: holds the age of the view and past configurations.
+          store_sync: holds the age of the view and past configurations.
           metrics: counters and histograms.
           in_flight: requests in flight.
         """
@@ -44,7 +44,7 @@
         self._fleet = fleet
         self._pool = pool
         self._client = client
-        self._follower = follower
+        self._store_sync = store_sync
         self._metrics = metrics
         self._in_flight = in_flight
 
@@ -54,7 +54,7 @@
         now = now_s()
         table = self._fleet.table
         metrics.connections.set(self._pool.connections_opened)
-        metrics.store_age_s.set(now - self._follower.as_of_s)
+        metrics.store_age_s.set(now - self._store_sync.as_of_s)
         metrics.configuration_version.set(table.version if table else 0)
         metrics.entries.set(len(self._fleet.entries))
         metrics.requests_in_flight.set(len(self._in_flight))
@@ -89,8 +89,8 @@
             "ready": ready,
             "leaving": leaving,
             "configuration_version": table.version if table else None,
-            "store_revision": self._follower.revision,
-            "store_age_s": round(now - self._follower.as_of_s, 2),
+            "store_revision": self._store_sync.revision,
+            "store_age_s": round(now - self._store_sync.as_of_s, 2),
             "peers_heard": self._fleet.peer_loads_complete,
             "evacuated": sorted(self._fleet.evacuated),
             "evacuated_for_s": {
@@ -103,12 +103,12 @@
 
     def configuration(self, *, version: int) -> dict[str, object] | None:
         """Returns a past configuration, or the one in force for 0."""
-        found = self._follower.history.find(version)
+        found = self._store_sync.history.find(version)
         if found is None:
             return None
         now = now_s()
         versions = []
-        for past in self._follower.history.newest_first():
+        for past in self._store_sync.history.newest_first():
             versions.append(
                 {
                     "version": past.version,
@@ -119,7 +119,7 @@
         return {
             "entry": self._entry_name,
             "version": found.version,
-            "store_age_s": round(now - self._follower.as_of_s, 2),
+            "store_age_s": round(now - self._store_sync.as_of_s, 2),
             "text": found.text().decode("utf-8", "replace"),
             "versions": versions,
         }
--- a/almondstair/gateway/upstream_connection.py
+++ b/almondstair/gateway/upstream_connection.py
@@ -18,7 +18,7 @@
 from almondstair.clock import now_s
 from almondstair.gateway.http_encoding import LAST_CHUNK
 from almondstair.gateway.http_encoding import Headers
-from almondstair.gateway.http_encoding import UpstreamResponseHead
+from almondstair.gateway.http_encoding import ResponseHead
 from almondstair.gateway.http_encoding import encode_chunk
 from almondstair.gateway.http_encoding import find_header
 from almondstair.gateway.http_encoding import has_no_body
@@ -67,7 +67,7 @@
     """
 
     end: ExchangeEnd
-    head: UpstreamResponseHead | None = None
+    head: ResponseHead | None = None
     body: bytes = b""
     streamed: bool = False
 
@@ -76,7 +76,7 @@
     """Receives a response that is too long to be buffered."""
 
     @abc.abstractmethod
-    def begin(self, head: UpstreamResponseHead) -> None:
+    def begin(self, head: ResponseHead) -> None:
         """Starts the response with its head."""
 
     @abc.abstractmethod
@@ -123,7 +123,7 @@
     def _reset_response(self) -> None:
         self._headers: Headers = []
         self._head_bytes = 0
-        self._head: UpstreamResponseHead | None = None
+        self._head: ResponseHead | None = None
         self._matches_request = True
         self._in_message = False
         self._ends_at_close = False
@@ -206,7 +206,7 @@
             self._matches_request = False
             return
         self._matches_request = True
-        self._head = UpstreamResponseHead(status=status, headers=self._headers)
+        self._head = ResponseHead(status=status, headers=self._headers)
         framed = (
             find_header(self._headers, b"content-length") is not None
             or find_header(self._headers, b"transfer-encoding") is not None
--- a/almondstair/gateway/upstream_sender.py
+++ b/almondstair/gateway/upstream_sender.py
@@ -19,7 +19,7 @@
 from almondstair.gateway.forwarded_call import upstream_request_head
 from almondstair.gateway.gateway_metrics import GatewayMetrics
 from almondstair.gateway.http_encoding import Headers
-from almondstair.gateway.http_encoding import UpstreamResponseHead
+from almondstair.gateway.http_encoding import ResponseHead
 from almondstair.gateway.http_encoding import find_header
 from almondstair.gateway.upstream_connection import ExchangeEnd
 from almondstair.gateway.upstream_connection import UpstreamConnection
@@ -257,7 +257,7 @@
     return AttemptResult(AttemptVerdict.NOT_RUN, exchange, cause)
 
 
-def _unusable_cause(head: UpstreamResponseHead) -> str:
+def _unusable_cause(head: ResponseHead) -> str:
     """Returns why a response must not reach the caller, empty if it may."""
     if head.status in _NOT_RUN_STATUSES:
         # The caller would infer that the request did not run, which the
@@ -277,7 +277,7 @@
     def __init__(self, request: CallerRequest) -> None:
         self._request = request
 
-    def begin(self, head: UpstreamResponseHead) -> None:
+    def begin(self, head: ResponseHead) -> None:
         self._request.begin(caller_response_head(head))
 
     async def write(self, data: bytes) -> None:
--- a/almondstair/shutdown_sequence.py
+++ b/almondstair/shutdown_sequence.py
@@ -92,7 +92,7 @@
         table_manager = self._components.table_manager
         while True:
             await table_manager.change(
-                lambda table: table_manager.plans.plan_leaving(table=table)
+                lambda table: table_manager.planner.plan_leaving(table=table)
             )
             row = membership.table.row(name=membership.own.name)
             if row is None or row.leaving or time.monotonic() >= deadline_s:
@@ -131,6 +131,6 @@
         components.forward_listener.stop_listening()
         table_manager = components.table_manager
         await table_manager.change(
-            lambda table: table_manager.plans.plan_release(table=table)
+            lambda table: table_manager.planner.plan_release(table=table)
         )
         components.heartbeats.send_now(finished=True)
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -37,7 +37,7 @@
 TABLES = 5
 QUERIES = 2000
 CHOICES = 50
-ZONES = (2, 14, 28, 55)
+ENTRIES_PER_ZONE = (2, 14, 28, 55)
 ROUNDS = 40
 ROUND_S = 0.25
 CAP_BYTES_PER_S = 100_000_000
@@ -207,7 +207,7 @@
 def main() -> None:
     for entries, upstreams in SIZES:
         measure_homes(entries=entries, upstreams=upstreams)
-    for entries in ZONES:
+    for entries in ENTRIES_PER_ZONE:
         measure_links(entries=entries)
 
 
--- a/emulator/modelled_upstream.py
+++ b/emulator/modelled_upstream.py
@@ -13,7 +13,7 @@
 RUN_TIME_SIGMA = 0.15
 # Standard deviation of the logarithm of the upstreams' run time factors; a
 # slower upstream has a greater one.
-SPEED_SIGMA = 0.2
+UPSTREAM_RUN_TIME_SIGMA = 0.2
 
 
 class Run(NamedTuple):
@@ -72,7 +72,9 @@
         self._queue: deque[Run] = deque()
         self._cached_keys: OrderedDict[str, None] = OrderedDict()
         self._incarnation = 0
-        self._own_run_time_factor = rng.lognormvariate(0.0, SPEED_SIGMA)
+        self._own_run_time_factor = rng.lognormvariate(
+            0.0, UPSTREAM_RUN_TIME_SIGMA
+        )
 
     def submit(self, run: Run) -> bool:
         """Runs or queues a request; returns False if the queue is full."""
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -34,7 +34,7 @@
     )
     context.deployment = Deployment(processes=context.processes, shape=shape)
     context.deployment.start()
-    context.sendings = RequestSender(deployment=context.deployment)
+    context.sender = RequestSender(deployment=context.deployment)
     context.by_key = {}
     for entry in context.deployment.entries:
         # The first claim of an entry also requests its lease. After it, the
@@ -46,12 +46,12 @@
             what=f"{entry} to accept work",
         )
         _wait_recorded(context, key)
-    context.sendings.all.clear()
+    context.sender.all.clear()
     context.writes = _counts(context)["writes"]
 
 
 def _is_accepted(context, entry, key):
-    return context.sendings.approve(entry=entry, key=key).wait().status == 200
+    return context.sender.approve(entry=entry, key=key).wait().status == 200
 
 
 def _counts(context):
@@ -59,7 +59,7 @@
 
 
 def _send(context, key, region, *, query="", deadline_ms=0, content=b"a"):
-    sent = context.sendings.approve(
+    sent = context.sender.approve(
         entry=f"{region}-e0",
         key=key,
         query=query,
@@ -92,7 +92,7 @@
 
 
 def _first_response(context):
-    return context.sendings.all[0].wait()
+    return context.sender.all[0].wait()
 
 
 def _query_of_key(context, key):
@@ -242,7 +242,7 @@
 @when('an upstream has "{key}"')
 def step_upstream_has(context, key):
     runs = wait_until(
-        lambda: context.sendings.runs_of(key),
+        lambda: context.sender.runs_of(key),
         limit_s=STEP_LIMIT_S,
         what=f"a run of {key}",
     )
@@ -324,7 +324,7 @@
             last_attempt_s[upstream] = now_s
             region = upstream.partition("-")[0]
             for _ in range(missing):
-                context.sendings.look_up(
+                context.sender.look_up(
                     entry=f"{region}-e0", query=f"work_ms={work_ms}"
                 )
         return all_busy
@@ -368,7 +368,7 @@
 
 @then("each answer is {kind:w} with ran {ran:w} within {limit_ms:d} ms")
 def step_each(context, kind, ran, limit_ms):
-    for sent in context.sendings.all:
+    for sent in context.sender.all:
         sent.wait()
         assert (sent.kind, sent.ran) == (kind, ran), sent.summary
         assert sent.latency_s < limit_ms / 1000, sent.latency_s
@@ -376,7 +376,7 @@
 
 @then("each answer says when to come back")
 def step_retry_after(context):
-    for sent in context.sendings.all:
+    for sent in context.sender.all:
         sent.wait()
         assert int(sent.headers["Retry-After"]) > 0, sent.summary
 
@@ -426,44 +426,42 @@
 
 @then('repeats of "{key}" through {region:w} are never run')
 def step_repeats_not_run(context, key, region):
-    count = len(context.sendings.runs_of(key))
+    count = len(context.sender.runs_of(key))
     _retry_until(
         context,
         key,
         region,
         lambda sent: sent.status == 200 or sent.kind == "outcome_unknown",
     )
-    assert len(context.sendings.runs_of(key)) == count == 1, key
+    assert len(context.sender.runs_of(key)) == count == 1, key
 
 
 @then('"{key}" ran once')
 def step_ran_once(context, key):
-    assert len(context.sendings.runs_of(key)) == 1, context.sendings.runs_of(
-        key
-    )
+    assert len(context.sender.runs_of(key)) == 1, context.sender.runs_of(key)
 
 
 @then('"{key}" never ran')
 def step_never_ran(context, key):
     time.sleep(LATE_RUN_WAIT_S)
-    assert not context.sendings.runs_of(key), context.sendings.runs_of(key)
+    assert not context.sender.runs_of(key), context.sender.runs_of(key)
 
 
 @then("each key ran once")
 def step_each_once(context):
     for key in context.by_key:
-        assert len(context.sendings.runs_of(key)) == 1, key
+        assert len(context.sender.runs_of(key)) == 1, key
 
 
 @then("what ran agrees with every answer")
 def step_agrees(context):
-    for sent in context.sendings.all:
+    for sent in context.sender.all:
         sent.wait()
-    assert not context.sendings.find_violations(), (
-        context.sendings.find_violations()
+    assert not context.sender.find_violations(), (
+        context.sender.find_violations()
     )
     # A request that was still queued would have run by now.
     time.sleep(LATE_RUN_WAIT_S)
-    assert not context.sendings.find_violations(), (
-        context.sendings.find_violations()
+    assert not context.sender.find_violations(), (
+        context.sender.find_violations()
     )
--- a/features/steps/gateway_waiting_steps.py
+++ b/features/steps/gateway_waiting_steps.py
@@ -87,7 +87,7 @@
     "a request waits no longer than {most_s:g} s, and not when it cannot be "
     "timely"
 )
-def step_hopeless(context, most_s):
+def step_wait_limits(context, most_s):
     def should_wait(target_s, age_s, run_s):
         return entry_waits.should_wait(
             target_latency_s=target_s,
--- a/features/steps/http_steps.py
+++ b/features/steps/http_steps.py
@@ -90,7 +90,7 @@
     context.control = context.deployment.control
     context.control(UPSTREAM, cut=0)
     wait_until(lambda: not journal(context)["busy"], what="an idle upstream")
-    context.raw.answer = wire.NOTHING
+    context.raw.answer = wire.EMPTY_RESPONSE
     wait_until(
         lambda: _all_accept_work(context), what="upstreams that accept work"
     )
--- a/features/steps/not_run_steps.py
+++ b/features/steps/not_run_steps.py
@@ -31,7 +31,7 @@
     """Sends first attempts, because the retry budget is a fraction of them."""
     for _ in range(count):
         for name in (region, other):
-            context.sendings.look_up(entry=f"{name}-e0").wait()
+            context.sender.look_up(entry=f"{name}-e0").wait()
 
 
 @when("the slot of {upstream:S} is taken for {work_ms:d} ms")
@@ -44,9 +44,7 @@
         # An upstream that has just become healthy accepts few requests at
         # first, so another is sent when the last one got an answer.
         if not requests or requests[-1].body:
-            request = context.sendings.look_up(
-                entry=f"{region}-e0", query=query
-            )
+            request = context.sender.look_up(entry=f"{region}-e0", query=query)
             requests.append(request)
         return context.deployment.journal(upstream)["busy"]
 
@@ -60,12 +58,12 @@
 
 @when("a look-up is sent through {region:w}")
 def step_look_up(context, region):
-    context.last = context.sendings.look_up(entry=f"{region}-e0")
+    context.last = context.sender.look_up(entry=f"{region}-e0")
 
 
 @when("a look-up that takes {work_ms:d} ms is sent through {region:w}")
 def step_long_look_up(context, work_ms, region):
-    context.last = context.sendings.look_up(
+    context.last = context.sender.look_up(
         entry=f"{region}-e0", query=f"work_ms={work_ms}"
     )
 
@@ -127,11 +125,11 @@
         entry = entries[number % len(entries)]
         deadline_ms = DEADLINES_MS[number // len(entries) % len(DEADLINES_MS)]
         if number % KEYED_INTERVAL:
-            context.sendings.look_up(
+            context.sender.look_up(
                 entry=entry, query=query, deadline_ms=deadline_ms
             )
         else:
-            context.sendings.approve(
+            context.sender.approve(
                 entry=entry,
                 key=f"key-{round_number}-{number}",
                 query=query,
@@ -145,7 +143,7 @@
     "seed {seed:d}"
 )
 def step_random(context, duration_s, seed):
-    faults = RandomFaults(sendings=context.sendings, seed=seed)
+    faults = RandomFaults(sender=context.sender, seed=seed)
     faults.run(duration_s=duration_s)
 
 
@@ -177,7 +175,7 @@
 def _count_outcomes(context):
     not_run = 0
     complete = 0
-    for request in context.sendings.all:
+    for request in context.sender.all:
         request.wait()
         not_run += request.ran == "no"
         complete += _is_answered(request)
--- a/features/steps/operating_steps.py
+++ b/features/steps/operating_steps.py
@@ -16,9 +16,9 @@
 from features.support.operator_actions import CONFIGURATION_KEY
 from features.support.operator_actions import TABLE_KEY
 from features.support.operator_actions import Operator
+from features.support.operator_actions import kill_and_restart
 from features.support.operator_actions import platform_value
 from features.support.operator_actions import put_platform_value
-from features.support.operator_actions import restart_killed
 from features.support.operator_actions import restart_platform_empty
 from features.support.operator_actions import set_ramp
 from features.support.operator_actions import wait_for_version
@@ -144,7 +144,7 @@
     assert response.status == 503, response
     assert response.json()["kind"] == "edit_unknown", response
     assert response.json()["ran"] == "unknown", response
-    step_fate_kind(context, "edit_unknown")
+    step_edit_kind(context, "edit_unknown")
 
 
 @when("the platform answers again")
@@ -165,7 +165,7 @@
 
 
 @then("the edit asked by its id is {kind}")
-def step_fate_kind(context, kind):
+def step_edit_kind(context, kind):
     status = context.operator.edit_status("bkk-e0")
     assert status["kind"] == kind, status
 
@@ -244,7 +244,7 @@
 )
 def step_wiped(context, name):
     restart_platform_empty(context.deployment)
-    restart_killed(context.deployment, name)
+    kill_and_restart(context.deployment, name)
 
 
 @when(
@@ -261,7 +261,7 @@
     put_platform_value(
         deployment, CONFIGURATION_KEY, context.before[CONFIGURATION_KEY]
     )
-    restart_killed(deployment, name)
+    kill_and_restart(deployment, name)
 
 
 def older_table(table, *, lacking):
@@ -275,7 +275,7 @@
 @when('the platform is out, and entry "{name}" is killed and started')
 def step_out_and_start(context, name):
     context.deployment.faults(down=True)
-    restart_killed(context.deployment, name)
+    kill_and_restart(context.deployment, name)
     wait_for_version(context.operator, name, context.version)
 
 
--- a/features/support/crashing_world.py
+++ b/features/support/crashing_world.py
@@ -143,7 +143,7 @@
 
     def _receive_request(self, member: Member, on_response: Any) -> None:
         reports = self._crash_reports[member.name]
-        verdict = reports.standing(REQUEST)
+        verdict = reports.verdict(REQUEST)
         if verdict in (CrashVerdict.PENDING, CrashVerdict.REFUSED):
             self.refused += 1
             on_response()
--- a/features/support/heartbeat_entries.py
+++ b/features/support/heartbeat_entries.py
@@ -148,9 +148,9 @@
 class SimulatedPeers:
     """Replaces the sockets of one entry."""
 
-    def __init__(self, steps: HeartbeatSimulation, name: str) -> None:
+    def __init__(self, simulation: HeartbeatSimulation, name: str) -> None:
         """Creates the peers of the entry `name`."""
-        self.steps = steps
+        self.simulation = simulation
         self.name = name
 
     def set_rows(self, rows) -> None:
@@ -163,9 +163,9 @@
 
     def send(self, name: str, *parts) -> bool:
         """Delivers messages immediately and counts their bytes."""
-        self.steps.sent_bytes += PACKET_OVERHEAD_BYTES
+        self.simulation.sent_bytes += PACKET_OVERHEAD_BYTES
         for message in parts:
             frame = messages.encode(message)
-            self.steps.sent_bytes += len(frame)
-            self.steps.deliver(self.name, name, frame)
+            self.simulation.sent_bytes += len(frame)
+            self.simulation.deliver(self.name, name, frame)
         return True
--- a/features/support/homes_simulation.py
+++ b/features/support/homes_simulation.py
@@ -108,18 +108,18 @@
         self.table_due_s = 0.0
         self.planned: list[Planned] = []
         self.written: list[Written] = []
-        self.book = SlotTracker(margin_s=MARGIN_S)
+        self.tracker = SlotTracker(margin_s=MARGIN_S)
         self.homes = homes_class(
             entry_name=name,
             incarnation=self.incarnation,
             t1_s=T1_S,
             reserve_deadline_s=RESERVE_DEADLINE_S,
             margin_s=MARGIN_S,
-            tracker=self.book,
+            tracker=self.tracker,
         )
         self.slots = SlotTable(
             homes=self.homes,
-            tracker=self.book,
+            tracker=self.tracker,
             limits=FAST_SLOW_START,
             held_back_fraction=NO_SLOTS_HELD_BACK,
         )
@@ -177,7 +177,7 @@
         seed: int,
         faults: Faults = USUAL_FAULTS,
         homes_class: type[Homes] = Homes,
-        most_entries: int = 4,
+        max_entries: int = 4,
     ) -> None:
         """Creates a run without entries."""
         self.random = random.Random(seed)
@@ -185,7 +185,7 @@
         self.counts = Counts()
         self._faults = faults
         self._homes_class = homes_class
-        self._most_entries = most_entries
+        self._max_entries = max_entries
         self._table = EntryTable()
         self._entries: dict[str, Entry] = {}
         self._next_name = 0
@@ -229,7 +229,7 @@
                 1.0, 15.0
             )
         names = sorted(self._entries)
-        if len(names) < self._most_entries:
+        if len(names) < self._max_entries:
             if self._draw_event(self._faults.joins) or not names:
                 self._start_new_entry()
         if not names:
--- a/features/support/operator_actions.py
+++ b/features/support/operator_actions.py
@@ -109,7 +109,7 @@
     deployment.publish_vms()
 
 
-def restart_killed(deployment: Deployment, name: str) -> None:
+def kill_and_restart(deployment: Deployment, name: str) -> None:
     """Kills an entry and starts it again."""
     deployment.processes.children[name].kill()
     deployment.start_entry(name)
--- a/features/support/random_faults.py
+++ b/features/support/random_faults.py
@@ -18,10 +18,10 @@
 class RandomFaults:
     """Runs sender threads while injecting one fault at a time."""
 
-    def __init__(self, *, sendings: RequestSender, seed: int) -> None:
+    def __init__(self, *, sender: RequestSender, seed: int) -> None:
         """Prepares a run without starting it."""
-        self._sender = sendings
-        self._deployment = sendings.deployment
+        self._sender = sender
+        self._deployment = sender.deployment
         self._seed = seed
         self._ended = threading.Event()
         self._lock = threading.Lock()
--- a/features/support/wire.py
+++ b/features/support/wire.py
@@ -13,7 +13,9 @@
 from features.support import upstream_standin
 
 SILENCE_LIMIT_S = 10.0
-NOTHING = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+EMPTY_RESPONSE = (
+    b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+)
 
 
 class Head(NamedTuple):
@@ -146,7 +148,7 @@
     def __init__(self, address: str) -> None:
         """Serves `ip:port` on a separate thread."""
         ip, _, port = address.rpartition(":")
-        self.answer = NOTHING
+        self.answer = EMPTY_RESPONSE
         # While set, request bodies are not read and no response is sent.
         self.stalls = False
         self.resume = threading.Event()
