--- a/almondstair/entry_table_manager.py
+++ b/almondstair/entry_table_manager.py
@@ -25,7 +25,7 @@
     """Synchronizes this entry's membership with the platform's entry table.
 
     Attributes:
-      plans: computes the changes that this entry may make to the table.
+      planner: computes the changes that this entry may make to the table.
       joined: whether this entry has been registered since it started.
       leaving_vms: VMs that the VM list shows as leaving.
       vm_list_as_of_s: monotonic time that the newest listing describes.
@@ -45,11 +45,12 @@
           membership: this entry's view of the entries.
           store: entry table in the platform.
           vm_list: the platform's list of VMs, which lags.
-          on_table: called with each newer table, and whether this process
-            read it from the platform.
+          on_table: called with each newer table, and with the table in force
+            when it is read from the platform; its second argument is whether
+            this process read the table from the platform.
         """
         self._membership = membership
-        self.plans = TablePlanner(membership=membership)
+        self.planner = TablePlanner(membership=membership)
         self._store = store
         self._vm_list = vm_list
         self._on_table = on_table
@@ -72,7 +73,11 @@
         return self._vm_list_failed or math.isinf(self.vm_list_as_of_s)
 
     def apply(self, table: EntryTable, *, from_platform: bool) -> None:
-        """Applies a table from the platform or a peer if it is newer."""
+        """Applies a table from the platform or a peer if it is newer.
+
+        A table of the epoch in force that is read from the platform is passed
+        on too, as confirmed by the platform.
+        """
         newer = self._membership.replace_table(
             table=table, now_s=time.monotonic()
         )
@@ -91,7 +96,7 @@
         """Registers this process in the table; retries until it succeeds."""
         while not self._membership.is_registered:
             await self.change(
-                lambda table: self.plans.plan_registration(table=table)
+                lambda table: self.planner.plan_registration(table=table)
             )
             if not self._membership.is_registered:
                 await asyncio.sleep(REGISTER_RETRY_DELAY_S)
@@ -100,10 +105,10 @@
     def _plan_from_base(
         self, plan: Callable[[EntryTable], EntryTable | None]
     ) -> Callable[[EntryTable], EntryTable | None]:
-        """Wraps a plan so that it starts from the right base table."""
+        """Wraps a plan so that it starts from `TablePlanner.base_table`."""
 
         def planned(table: EntryTable) -> EntryTable | None:
-            base = self.plans.base_table(table=table, now_s=time.monotonic())
+            base = self.planner.base_table(table=table, now_s=time.monotonic())
             if base is None:
                 log.event(
                     log.Event.ENTRY_TABLE_OLDER,
@@ -121,7 +126,8 @@
         """Applies a change to the platform's table.
 
         Returns:
-          Whether the platform has the change; False if it does not respond.
+          Whether the platform responded; True also if the plan needs or
+          permits no change.
         """
         try:
             table = await self._store.change(plan=self._plan_from_base(plan))
@@ -131,7 +137,7 @@
         return True
 
     def update_watch(self) -> None:
-        """Starts or stops the watch on the table as this entry is elected."""
+        """Starts or stops the watch, as this entry is elected or not."""
         self._watcher.update()
 
     def stop(self) -> None:
@@ -183,7 +189,7 @@
         if self.joined and not self._membership.is_registered:
             # Removed by mistake, or the platform lost the table.
             await self.change(
-                lambda table: self.plans.plan_registration(table=table)
+                lambda table: self.planner.plan_registration(table=table)
             )
             return
         table = self._membership.table
@@ -200,7 +206,7 @@
         self._changing = True
         try:
             await self.change(
-                lambda table: self.plans.plan_removals(table=table)
+                lambda table: self.planner.plan_removals(table=table)
             )
         finally:
             self._changing = False
--- a/almondstair/gateway/forwarder.py
+++ b/almondstair/gateway/forwarder.py
@@ -38,9 +38,10 @@
     header_timeout_s=3.0,
     idle_timeout_s=15.0,
 )
-# How long a request waits for the first listing, and how long after the start.
-# A listing takes 0.1 s from the farthest region, and an attempt at an
-# unreachable store 0.4 s; latency targets begin at 0.4 s.
+# How long a request waits for the first listing, and how long after the start
+# of the process requests wait at all. A listing takes 0.1 s from the farthest
+# region, and an attempt at an unreachable store 0.4 s; latency targets begin at
+# 0.4 s.
 READY_WAIT_S = 1.0
 STARTUP_WINDOW_S = 2.0
 READY_POLL_S = 0.02
@@ -233,7 +234,7 @@
           AlmondstairError: the request may crash upstreams and is not run.
         """
         request = call.fingerprint()
-        standing = self._crash_reports.standing(request)
+        standing = self._crash_reports.verdict(request)
         if standing in (CrashVerdict.PENDING, CrashVerdict.REFUSED):
             raise self._quarantine_error(call, standing)
         call.possibly_crashed = self._crash_reports.possibly_crashed(request)
--- a/almondstair/gateway/http_encoding.py
+++ b/almondstair/gateway/http_encoding.py
@@ -24,7 +24,7 @@
 _BODYLESS_STATUSES = frozenset((204, 304))
 
 
-class UpstreamResponseHead(NamedTuple):
+class ResponseHead(NamedTuple):
     """Status and headers of a response; header names in lower case."""
 
     status: int
@@ -46,7 +46,7 @@
 
     Args:
       headers: headers of a message, names in lower case.
-      without: further names to omit.
+      without: further names to omit, which the entry sets or uses itself.
     """
     connection_specific = set()
     connection = find_header(headers, b"connection")
--- a/almondstair/gateway/operator_reports.py
+++ b/almondstair/gateway/operator_reports.py
@@ -25,18 +25,18 @@
         fleet: Fleet,
         pool: ConnectionPool,
         client: KvClient,
-        follower: StoreSync,
+        store_sync: StoreSync,
         metrics: GatewayMetrics,
         in_flight: Sized,
     ) -> None:
-        """Creates the overview of one entry.
+        """Creates the reports of one entry.
 
         Args:
           entry_name: its name.
           fleet: the view of the deployment.
           pool: connections to upstreams.
           client: client of the store, which counts its calls.
-          follower: holds the age of the view and past configurations.
+          store_sync: holds the age of the view and past configurations.
           metrics: counters and histograms.
           in_flight: requests in flight.
         """
@@ -44,30 +44,30 @@
         self._fleet = fleet
         self._pool = pool
         self._client = client
-        self._follower = follower
+        self._store_sync = store_sync
         self._metrics = metrics
         self._in_flight = in_flight
 
     def metrics(self) -> bytes:
         """Returns the metrics with up-to-date gauges."""
-        measures = self._metrics
+        metrics = self._metrics
         now = now_s()
         table = self._fleet.table
-        measures.connections.set(self._pool.connections_opened)
-        measures.store_age_s.set(now - self._follower.as_of_s)
-        measures.configuration_version.set(table.version if table else 0)
-        measures.entries.set(len(self._fleet.entries))
-        measures.requests_in_flight.set(len(self._in_flight))
+        metrics.connections.set(self._pool.connections_opened)
+        metrics.store_age_s.set(now - self._store_sync.as_of_s)
+        metrics.configuration_version.set(table.version if table else 0)
+        metrics.entries.set(len(self._fleet.entries))
+        metrics.requests_in_flight.set(len(self._in_flight))
         for kind, count in self._client.calls.items():
-            measures.store_calls.labels(kind).set(count)
+            metrics.store_calls.labels(kind).set(count)
         for service in self._fleet.services():
             eligible = self._fleet.eligible_upstreams(service)
-            measures.upstreams.labels(service).set(len(eligible))
-            use = self._fleet.utilisation(service, now_s=now)
-            measures.slot_use.labels(service).set(use)
+            metrics.upstreams.labels(service).set(len(eligible))
+            utilisation = self._fleet.utilisation(service, now_s=now)
+            metrics.slot_use.labels(service).set(utilisation)
         for event, count in log.dropped_lines().items():
-            measures.dropped_log_lines.labels(event).set(count)
-        return measures.render()
+            metrics.dropped_log_lines.labels(event).set(count)
+        return metrics.render()
 
     def status(self, *, ready: bool, leaving: bool) -> dict[str, object]:
         """Returns this entry's view of the fleet, with the age of its data.
@@ -89,8 +89,8 @@
             "ready": ready,
             "leaving": leaving,
             "configuration_version": table.version if table else None,
-            "store_revision": self._follower.revision,
-            "store_age_s": round(now - self._follower.as_of_s, 2),
+            "store_revision": self._store_sync.revision,
+            "store_age_s": round(now - self._store_sync.as_of_s, 2),
             "peers_heard": self._fleet.peer_loads_complete,
             "evacuated": sorted(self._fleet.evacuated),
             "evacuated_for_s": {
@@ -103,12 +103,12 @@
 
     def configuration(self, *, version: int) -> dict[str, object] | None:
         """Returns a past configuration, or the one in force for 0."""
-        found = self._follower.history.find(version)
+        found = self._store_sync.history.find(version)
         if found is None:
             return None
         now = now_s()
         versions = []
-        for past in self._follower.history.newest_first():
+        for past in self._store_sync.history.newest_first():
             versions.append(
                 {
                     "version": past.version,
@@ -119,7 +119,7 @@
         return {
             "entry": self._entry_name,
             "version": found.version,
-            "store_age_s": round(now - self._follower.as_of_s, 2),
+            "store_age_s": round(now - self._store_sync.as_of_s, 2),
             "text": found.text().decode("utf-8", "replace"),
             "versions": versions,
         }
--- a/almondstair/shutdown_sequence.py
+++ b/almondstair/shutdown_sequence.py
@@ -61,6 +61,9 @@
     async def run(self) -> None:
         """Shuts down; on return no request runs and nothing is held.
 
+        Exceptions are requests that exceed the drain limit, and what cannot be
+        released within `RELEASE_LIMIT_S`.
+
         Callers cache lookups for a while, so the entry continues to serve for
         that long after lookups stop including it. Meanwhile its home roles
         pass to other entries.
@@ -89,7 +92,7 @@
         table_manager = self._components.table_manager
         while True:
             await table_manager.change(
-                lambda table: table_manager.plans.plan_leaving(table=table)
+                lambda table: table_manager.planner.plan_leaving(table=table)
             )
             row = membership.table.row(name=membership.own.name)
             if row is None or row.leaving or time.monotonic() >= deadline_s:
@@ -122,12 +125,12 @@
             await asyncio.sleep(DRAIN_POLL_S)
         if not components.homes.holds_no_slots(now_s=time.monotonic()):
             return
-        # If the platform is unavailable, the row stays. Because of `finished`
-        # the peers remove it once the platform is back; otherwise they would
-        # hold its upstreams' slots back for the longest deadline.
+        # If the platform is unavailable, the row stays. A heartbeat with
+        # `finished` lets the peers remove it once the platform is back; without
+        # it they would hold its upstreams' slots back for the longest deadline.
         components.forward_listener.stop_listening()
         table_manager = components.table_manager
         await table_manager.change(
-            lambda table: table_manager.plans.plan_release(table=table)
+            lambda table: table_manager.planner.plan_release(table=table)
         )
         components.heartbeats.send_now(finished=True)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -83,7 +83,7 @@
     Attributes:
       size: size of the deployment.
       cpu_percent: user and system time, in percent of one core.
-      resident_bytes: memory at the end.
+      resident_bytes: memory at the end of the idle span.
       peer_per_s: mean rate over the entries by name of the metric.
       read_per_s: reads of the key-value service by all entries.
       write_per_s: writes of the key-value service by all entries.
@@ -230,7 +230,7 @@
 
 
 def measure(size: Size, meter: PeerMeter) -> Result:
-    """Measures one deployment while idle and during edits."""
+    """Starts one deployment, measures it idle and during edits, and ends it."""
     processes = Processes()
     deployment = FleetDeployment(
         processes=processes,
@@ -248,7 +248,7 @@
 def measure_idle(
     deployment: FleetDeployment, size: Size, meter: PeerMeter
 ) -> Result:
-    """Measures a running deployment."""
+    """Measures a running deployment while idle, then during a few edits."""
     children = []
     for name in deployment.entries:
         children.append(deployment.processes.children[name])
--- a/features/support/heartbeat_entries.py
+++ b/features/support/heartbeat_entries.py
@@ -52,8 +52,8 @@
 class Entry:
     """An entry without the components that serve callers."""
 
-    def __init__(self, own, table, clock, send=None):
-        """Opens no socket if `send` replaces the peers."""
+    def __init__(self, own, table, clock, peers=None):
+        """Opens no socket if `peers` are given."""
         self.own = own
         self.membership = Membership(
             own=own, silence_limit_s=SILENCE_LIMIT_MS / 1000
@@ -63,8 +63,8 @@
         self.configuration.apply_if_newer(
             StoredConfiguration(1, "1", "", "", "")
         )
-        self.peers = send
-        if send is None:
+        self.peers = peers
+        if peers is None:
             self.peers = Peers(
                 context=zmq.Context.instance(),
                 name=own.name,
@@ -148,9 +148,9 @@
 class SimulatedPeers:
     """Replaces the sockets of one entry."""
 
-    def __init__(self, steps: HeartbeatSimulation, name: str) -> None:
+    def __init__(self, simulation: HeartbeatSimulation, name: str) -> None:
         """Creates the peers of the entry `name`."""
-        self.steps = steps
+        self.simulation = simulation
         self.name = name
 
     def set_rows(self, rows) -> None:
@@ -163,9 +163,9 @@
 
     def send(self, name: str, *parts) -> bool:
         """Delivers messages immediately and counts their bytes."""
-        self.steps.sent_bytes += PACKET_OVERHEAD_BYTES
+        self.simulation.sent_bytes += PACKET_OVERHEAD_BYTES
         for message in parts:
             frame = messages.encode(message)
-            self.steps.sent_bytes += len(frame)
-            self.steps.deliver(self.name, name, frame)
+            self.simulation.sent_bytes += len(frame)
+            self.simulation.deliver(self.name, name, frame)
         return True
--- a/features/support/homes_simulation.py
+++ b/features/support/homes_simulation.py
@@ -2,7 +2,7 @@
 
 Entries are objects, not processes; time, network, platform and upstreams are
 simulated. The simulation counts the requests that really run at each upstream,
-so a wrong count of an entry shows as more requests in flight than slots.
+so a wrong count by an entry shows as more requests in flight than slots.
 """
 
 import random
@@ -97,7 +97,7 @@
     def __init__(
         self, *, run: "HomesSimulation", name: str, homes_class: type[Homes]
     ) -> None:
-        """Starts a process without a table or reports of peers."""
+        """Starts a process without a table or reports from peers."""
         self.name = name
         self.incarnation = f"{name}-{run.random.getrandbits(32)}"
         self.offset_s = run.random.uniform(-1000.0, 1000.0)
@@ -108,18 +108,18 @@
         self.table_due_s = 0.0
         self.planned: list[Planned] = []
         self.written: list[Written] = []
-        self.book = SlotTracker(margin_s=MARGIN_S)
+        self.tracker = SlotTracker(margin_s=MARGIN_S)
         self.homes = homes_class(
             entry_name=name,
             incarnation=self.incarnation,
             t1_s=T1_S,
             reserve_deadline_s=RESERVE_DEADLINE_S,
             margin_s=MARGIN_S,
-            tracker=self.book,
+            tracker=self.tracker,
         )
         self.slots = SlotTable(
             homes=self.homes,
-            tracker=self.book,
+            tracker=self.tracker,
             limits=FAST_SLOW_START,
             held_back_fraction=NO_SLOTS_HELD_BACK,
         )
@@ -177,7 +177,7 @@
         seed: int,
         faults: Faults = USUAL_FAULTS,
         homes_class: type[Homes] = Homes,
-        most_entries: int = 4,
+        max_entries: int = 4,
     ) -> None:
         """Creates a run without entries."""
         self.random = random.Random(seed)
@@ -185,7 +185,7 @@
         self.counts = Counts()
         self._faults = faults
         self._homes_class = homes_class
-        self._most_entries = most_entries
+        self._max_entries = max_entries
         self._table = EntryTable()
         self._entries: dict[str, Entry] = {}
         self._next_name = 0
@@ -229,7 +229,7 @@
                 1.0, 15.0
             )
         names = sorted(self._entries)
-        if len(names) < self._most_entries:
+        if len(names) < self._max_entries:
             if self._draw_event(self._faults.joins) or not names:
                 self._start_new_entry()
         if not names:
@@ -259,7 +259,7 @@
         )
 
     def _kill(self, name: str) -> None:
-        """Kills a process; it restarts at once or its VM goes too."""
+        """Kills a process, which restarts at once or is lost with its VM."""
         self._count(deaths=1)
         del self._entries[name]
         if self.random.random() < 0.5:
--- a/features/support/operator_actions.py
+++ b/features/support/operator_actions.py
@@ -71,7 +71,7 @@
 
 
 def set_ramp(text: str, fraction: float) -> str:
-    """Returns the text with a new ramp for the profile `local`."""
+    """Returns the text with a new ramp fraction for the profile `local`."""
     head, mark, tail = text.partition("[profiles.local]")
     lines = tail.split("\n")
     for number, line in enumerate(lines):
@@ -109,7 +109,7 @@
     deployment.publish_vms()
 
 
-def restart_killed(deployment: Deployment, name: str) -> None:
+def kill_and_restart(deployment: Deployment, name: str) -> None:
     """Kills an entry and starts it again."""
     deployment.processes.children[name].kill()
     deployment.start_entry(name)
